--- a/packages/daisyturn-daemon/src/entry/createDataPath.ts
+++ b/packages/daisyturn-daemon/src/entry/createDataPath.ts
@@ -35,7 +35,7 @@
         membership,
         clock,
     });
-    router.onPlaced((request, option) => meter.notePlaced(request, option.prefillTokens));
+    router.onPlaced((request, option) => meter.recordPlaced(request, option.prefillTokens));
     const inner = policies.createAdmission({ loadView, router, keeper, network, membership, clock, eventLog });
     const admission = createMeteredAdmission(inner, meter);
     const claims = createClaimKeeper({
--- a/packages/daisyturn-daemon/src/entry/createMeteredAdmission.ts
+++ b/packages/daisyturn-daemon/src/entry/createMeteredAdmission.ts
@@ -5,7 +5,7 @@
     return {
         ...inner,
         admitModelRequest: (account, request, signal) => {
-            meter.noteArrival(request);
+            meter.recordArrival(request);
             return inner.admitModelRequest(account, request, signal);
         },
     };
--- a/packages/daisyturn-daemon/src/forwarding/createForwardingProcess.ts
+++ b/packages/daisyturn-daemon/src/forwarding/createForwardingProcess.ts
@@ -159,7 +159,7 @@
                 timing,
                 clock,
                 eventLog,
-                onCall: parts.targets.noteStoreCall,
+                onCall: parts.targets.recordStoreCall,
                 onRolledBack: () => void refreshEntry(),
                 relay: coordination.relayedTable(name),
                 reader: coordination.tableReader,
--- a/packages/daisyturn-daemon/src/forwarding/createMetricsServer.ts
+++ b/packages/daisyturn-daemon/src/forwarding/createMetricsServer.ts
@@ -53,7 +53,7 @@
     });
 
     class RegistryMetrics extends ForwardingMetrics {
-        override noteCall(kind: string, outcome: CallOutcome, milliseconds: number, longestPause: number): void {
+        override recordCall(kind: string, outcome: CallOutcome, milliseconds: number, longestPause: number): void {
             calls.inc({ kind, outcome });
             firstByte.observe({ kind }, milliseconds / millisecondsPerSecond);
             if (longestPause > 0) {
@@ -61,7 +61,7 @@
             }
         }
 
-        override noteSend(result: string): void {
+        override recordSend(result: string): void {
             sends.inc({ result });
         }
     }
--- a/packages/daisyturn-standins/src/bench/naivePolicies.ts
+++ b/packages/daisyturn-standins/src/bench/naivePolicies.ts
@@ -75,10 +75,10 @@
         engine,
         prefillEngine,
         expectedFirstTokenAt: 0,
-        noteStream: ignore,
-        notePrefilled: ignore,
-        noteFirstToken: ignore,
-        noteTokens: ignore,
+        recordStream: ignore,
+        recordPrefilled: ignore,
+        recordFirstToken: ignore,
+        recordTokens: ignore,
         end: ignore,
     };
 }
--- a/packages/daisyturn-standins/src/measure/measureRoutingSpeed.ts
+++ b/packages/daisyturn-standins/src/measure/measureRoutingSpeed.ts
@@ -56,7 +56,7 @@
     if (placed.isErr) {
         throw new Error(placed.error.message);
     }
-    placed.value.noteStream(placed.value.engine, `str-${number}`);
+    placed.value.recordStream(placed.value.engine, `str-${number}`);
     const { expectedFirstTokenAt } = placed.value;
     clock.callLater(expectedFirstTokenAt - clock.wallNow(), () => startStream(placed.value));
     if (open.length > openPlacements) {
@@ -65,12 +65,12 @@
 }
 
 function startStream(placement: Placement): void {
-    placement.noteFirstToken();
+    placement.recordFirstToken();
     open.push(placement);
 }
 
 function endStream(placement: Placement): void {
-    placement.noteTokens(200);
+    placement.recordTokens(200);
     placement.end(PlacementOutcome.Completed, { promptTokens: 6_432, cachedTokens: 3_200, outputTokens: 200 });
 }
 
@@ -78,7 +78,7 @@
 function takeReports(process: PolicyProcess): void {
     for (const load of process.loadView.loads()) {
         const report = load.report()!;
-        load.takeReport({ ...report, asOf: clock.wallNow() - 500, runningStreams: 4, recentStreamIds: [] });
+        load.applyReport({ ...report, asOf: clock.wallNow() - 500, runningStreams: 4, recentStreamIds: [] });
     }
 }
 
--- a/packages/daisyturn-standins/src/measure/policy/policyTrial.ts
+++ b/packages/daisyturn-standins/src/measure/policy/policyTrial.ts
@@ -180,7 +180,7 @@
 ): Promise<TrialUsage> {
     const arrivedAt = request.firstTokenDeadline - request.profile.firstTokenLimitMilliseconds;
     const streamId = `str-${request.requestId}`;
-    placement.noteStream(placement.engine, streamId);
+    placement.recordStream(placement.engine, streamId);
     return new Promise(resolve => {
         let firstToken = 0;
         engines.find(engine => engine.engineId === placement.engine)!.submit({
@@ -193,10 +193,10 @@
                 firstToken = clock.wallNow() - arrivedAt;
                 result.firstTokens.push(firstToken);
                 result.errors.push(clock.wallNow() - placement.expectedFirstTokenAt);
-                placement.noteFirstToken();
+                placement.recordFirstToken();
             },
             onEnd: ({ cachedTokens, longestGap }) => {
-                placement.noteTokens(outputTokens);
+                placement.recordTokens(outputTokens);
                 placement.end(PlacementOutcome.Completed, {
                     promptTokens: request.promptTokens,
                     cachedTokens,
--- a/packages/daisyturn/src/connection/caller/__fixtures__/createCallerBench.ts
+++ b/packages/daisyturn/src/connection/caller/__fixtures__/createCallerBench.ts
@@ -197,12 +197,12 @@
         prefillEngine,
         engine: chosen.engineId,
         expectedFirstTokenAt: request.firstTokenDeadline,
-        noteStream: (engine, streamId) => record.streams.push({ engine, streamId }),
-        notePrefilled: usage => {
+        recordStream: (engine, streamId) => record.streams.push({ engine, streamId }),
+        recordPrefilled: usage => {
             record.prefilled = usage;
         },
-        noteFirstToken: () => undefined,
-        noteTokens: count => {
+        recordFirstToken: () => undefined,
+        recordTokens: count => {
             record.tokens += count;
         },
         end: (outcome, usage) => {
--- a/packages/daisyturn/src/ports/storeEra.ts
+++ b/packages/daisyturn/src/ports/storeEra.ts
@@ -3,7 +3,7 @@
     /** Returns 0 before the first answer and for a store without eras. */
     current(): number;
     /** Records the era of an answer. A lower one belongs to a delayed answer and is ignored. */
-    note(era: number): void;
+    observe(era: number): void;
 }
 
 /** Creates a tracker that starts at era 0. */
@@ -11,7 +11,7 @@
     let latest = 0;
     return {
         current: () => latest,
-        note: era => {
+        observe: era => {
             latest = Math.max(latest, era);
         },
     };
--- a/packages/daisyturn/src/process/admission/createAdmission.ts
+++ b/packages/daisyturn/src/process/admission/createAdmission.ts
@@ -112,7 +112,7 @@
 
     const noteLimit = ({ partner, profile }: RoutingRequest) => {
         if (profile.priority === Priority.Interactive) {
-            use.noteGapLimit(partner, profile.betweenTokensLimitMilliseconds);
+            use.recordGapLimit(partner, profile.betweenTokensLimitMilliseconds);
         }
     };
 
--- a/packages/daisyturn/src/process/admission/createRetryBudget.ts
+++ b/packages/daisyturn/src/process/admission/createRetryBudget.ts
@@ -9,9 +9,9 @@
 /** Keeps retries of the whole process to a fraction of its requests, so that they can't feed an overload. */
 export interface RetryBudget {
     /** Notes a request that was admitted. */
-    noteRequest(): void;
+    recordRequest(): void;
     /** Takes one retry if there is one. */
-    tryTake(): boolean;
+    tryAcquire(): boolean;
 }
 
 /** Used where the settings say nothing else. */
@@ -21,10 +21,10 @@
 export function createRetryBudget(options: RetryBudgetOptions): RetryBudget {
     let saved = options.most;
     return {
-        noteRequest: () => {
+        recordRequest: () => {
             saved = Math.min(options.most, saved + options.fraction);
         },
-        tryTake: () => {
+        tryAcquire: () => {
             if (saved < 1) {
                 return false;
             }
--- a/packages/daisyturn/src/process/admission/partnerUse.ts
+++ b/packages/daisyturn/src/process/admission/partnerUse.ts
@@ -18,7 +18,7 @@
     /** Partners that have used or waited lately. */
     partners(): readonly string[];
     /** Notes that the partner has interactive work with this limit in milliseconds between tokens. */
-    noteGapLimit(partner: string, limit: number): void;
+    recordGapLimit(partner: string, limit: number): void;
     /** The strictest limit between tokens that another partner's interactive work has had lately; else Infinity. */
     strictestGapOfOthers(partner: string): number;
 }
@@ -167,7 +167,7 @@
         isWaiting,
         listWaiting,
         partners: () => [...known()].filter(partner => isWaiting(partner) || used(partner) >= negligibleUse),
-        noteGapLimit: (partner, limit) => {
+        recordGapLimit: (partner, limit) => {
             const record = ensureOwn(partner);
             record.gapLimit = Math.min(limit, gapLimitOf(record));
             record.gapLimitUntil = clock.monotonicNow() + gapLimitMilliseconds;
--- a/packages/daisyturn/src/process/forwarding/__tests__/sizeCounts.test.ts
+++ b/packages/daisyturn/src/process/forwarding/__tests__/sizeCounts.test.ts
@@ -6,22 +6,22 @@
 
 test("prompts are counted by route and size, and each is told once", () => {
     const counts = createSizeCounts();
-    counts.note("long", 17_000, true);
-    counts.note("long", 17_001, false);
-    counts.note("long", 60_000, false);
-    counts.note("short", 300, true);
+    counts.record("long", 17_000, true);
+    counts.record("long", 17_001, false);
+    counts.record("long", 60_000, false);
+    counts.record("short", 300, true);
     assert.deepEqual(
-        counts.take().map(({ route, served, ended }) => [route, served, ended]),
+        counts.drain().map(({ route, served, ended }) => [route, served, ended]),
         [["long", 1, 2], ["long", 0, 1], ["short", 1, 1]],
     );
-    assert.deepEqual(counts.take(), []);
+    assert.deepEqual(counts.drain(), []);
 });
 
 test("a class of sizes holds no prompt that is smaller than it says, or a quarter larger", () => {
     const counts = createSizeCounts();
     for (const tokens of [1, 2, 3, 511, 512, 513, 16_384, 100_000]) {
-        counts.note("route", tokens, true);
-        const [count] = counts.take();
+        counts.record("route", tokens, true);
+        const [count] = counts.drain();
         assert.ok(count && count.leastSize <= tokens && tokens < count.leastSize * 1.25 + 1, JSON.stringify(count));
     }
 });
@@ -34,8 +34,8 @@
     void reportSizeCounts({ sizeCounts, clock, eventLog }, stop.signal);
     await clock.advance(2_500);
     assert.equal(eventLog.events.length, 0);
-    sizeCounts.note("long", 16_384, true);
-    sizeCounts.note("long", 32_768, false);
+    sizeCounts.record("long", 16_384, true);
+    sizeCounts.record("long", 32_768, false);
     await clock.advance(2_500);
     assert.deepEqual(eventLog.events.map(({ kind, fields }) => [kind, fields]), [
         [EventKind.PromptsBySize, { route: "long", sizes: "16384:1/1,32768:0/1" }],
--- a/packages/daisyturn/src/process/forwarding/coordination/__tests__/coordinate.test.ts
+++ b/packages/daisyturn/src/process/forwarding/coordination/__tests__/coordinate.test.ts
@@ -39,7 +39,7 @@
         const member = fleet.processes.find(process => process.self.availabilityZone === "zone-0" && process !== near);
         assert.ok(near && member);
         const work = member.loads.begin("engine", { work: 80, isDeferred: false, tokens: 500 });
-        member.caches.note("engine", guide, kvTokens);
+        member.caches.record("engine", guide, kvTokens);
         await fleet.clock.advance(150);
         assert.equal(near.loads.wait("engine", false), 80);
         assert.equal(near.loads.tokens("engine"), 500);
@@ -165,11 +165,11 @@
                 self.availabilityZone !== planner?.self.availabilityZone && !coordination.isCoordinator()
             );
             assert.ok(planner && member);
-            member.health.note("engine", TargetEvidence.Unreachable);
+            member.health.record("engine", TargetEvidence.Unreachable);
             member.loads.begin("other", { work: 5, isDeferred: false, tokens: 1 }).end();
             await fleet.clock.advance(1_300);
             assert.equal(planner.health.isFailing("engine"), true, `${count} processes`);
-            member.health.note("engine", TargetEvidence.Answered);
+            member.health.record("engine", TargetEvidence.Answered);
             await fleet.clock.advance(6_500);
             fleet.processes.forEach(({ health }) => assert.equal(health.isFailing("engine"), false));
             await fleet.stop();
--- a/packages/daisyturn/src/process/forwarding/coordination/coordinate.ts
+++ b/packages/daisyturn/src/process/forwarding/coordination/coordinate.ts
@@ -128,32 +128,32 @@
     });
 
     const takeLoad = (message: LoadMessage, from: PeerAddress) => {
-        closed.noteTold(message.closed);
-        health.noteFailing(message.failing, message.isGroup);
-        message.kept.forEach(([targetId, partId, tokens]) => caches.noteTold(targetId, partId, tokens));
+        closed.applyRemote(message.closed);
+        health.recordFailing(message.failing, message.isGroup);
+        message.kept.forEach(([targetId, partId, tokens]) => caches.recordRemote(targetId, partId, tokens));
         if (message.isGroup) {
             otherCoordinators.set(message.from, clock.monotonicNow());
-            loads.noteGroup(message.from, message.work, message.pause);
-            demand.noteGroup(message.from, message.demand, message.pause);
+            loads.recordGroup(message.from, message.work, message.pause);
+            demand.recordGroup(message.from, message.demand, message.pause);
             return;
         }
         desk.noteTaken(message.from, message.placed);
-        loads.notePeer(message.from, message.work, message.pause);
-        demand.notePeer(message.from, message.demand, message.pause);
-        message.paces.forEach(paces.noteTold);
-        message.prefills.forEach(prefillRates.noteTold);
-        message.pauses.forEach(eventPace.noteTold);
-        message.ended.forEach(sizeFairness.noteTold);
+        loads.recordPeer(message.from, message.work, message.pause);
+        demand.recordPeer(message.from, message.demand, message.pause);
+        message.paces.forEach(paces.recordRemote);
+        message.prefills.forEach(prefillRates.recordRemote);
+        message.pauses.forEach(eventPace.recordRemote);
+        message.ended.forEach(sizeFairness.recordRemote);
         if (members.note(message.from, from)) {
             // A process that has just started, or lost its coordinator, learns at once that this one is there.
             stateTeller.tell(from);
         }
     };
 
-    const takeState = (state: CoordinatorState) => {
+    const applyState = (state: CoordinatorState) => {
         link.noteHeard(state.from, state.isAnswering);
         link.addPeers(state.candidates);
-        closed.noteTold(state.closed);
+        closed.applyRemote(state.closed);
         tables.noteState(state);
     };
 
@@ -176,7 +176,7 @@
             takeLoad(load, from);
         }
         if (state && isRegistered(state.from, from)) {
-            takeState(state);
+            applyState(state);
         }
         if (rows && isRegistered(rows.from, from)) {
             tables.noteRows(rows);
--- a/packages/daisyturn/src/process/forwarding/coordination/coordinatedDecisions.ts
+++ b/packages/daisyturn/src/process/forwarding/coordination/coordinatedDecisions.ts
@@ -62,13 +62,13 @@
 
 /** What an engine is about to read, it keeps for the prompts that come next. */
 export function noteKept(
-    caches: Pick<CacheBeliefs, "note">,
+    caches: Pick<CacheBeliefs, "record">,
     { demand: { service, prompt } }: DecisionRequest,
     decision: PromptDecision | undefined,
 ): void {
     if (decision && decision.lateness <= 0) {
         const { prefill, decode } = decision.way;
         const kvTokens = service.engine?.kvTokens ?? 0;
-        [prefill, decode].forEach(step => step && caches.note(step.target.targetId, prompt.parts, kvTokens));
+        [prefill, decode].forEach(step => step && caches.record(step.target.targetId, prompt.parts, kvTokens));
     }
 }
--- a/packages/daisyturn/src/process/forwarding/coordination/createGroupTeller.ts
+++ b/packages/daisyturn/src/process/forwarding/coordination/createGroupTeller.ts
@@ -32,7 +32,7 @@
     let wasBusy = false;
     let toldAt = -Infinity;
     closed.onChanged(news.raise);
-    caches.onNoted(placement => {
+    caches.onRecorded(placement => {
         kept = [...kept, placement].slice(-mostPlacements);
     });
 
--- a/packages/daisyturn/src/process/forwarding/coordination/createLoadTeller.ts
+++ b/packages/daisyturn/src/process/forwarding/coordination/createLoadTeller.ts
@@ -51,15 +51,15 @@
         hasChanged = true;
         changed.raise();
     });
-    caches.onNoted(placement => kept.push(placement));
+    caches.onRecorded(placement => kept.push(placement));
 
     const takeNews = (): News => {
         const news: News = {
             kept,
-            paces: paces.takeNew(),
-            prefills: prefillRates.takeNew(),
-            pauses: eventPace.takeNew(),
-            ended: sizeFairness.takeNew(),
+            paces: paces.drainUnsent(),
+            prefills: prefillRates.drainUnsent(),
+            pauses: eventPace.drainUnsent(),
+            ended: sizeFairness.drainUnsent(),
         };
         kept = [];
         return news;
--- a/packages/daisyturn/src/process/forwarding/coordination/createPlacementDesk.ts
+++ b/packages/daisyturn/src/process/forwarding/coordination/createPlacementDesk.ts
@@ -72,7 +72,7 @@
             deferredWork: deferred,
             tokens: way.prefill ? ask.prompt.promptTokens : countTokens(ask.prompt),
         }];
-        loads.notePeer(loadId, work, 0);
+        loads.recordPeer(loadId, work, 0);
         given.set(ask.from, [...given.get(ask.from) ?? [], { number, loadId, givenAt: clock.monotonicNow() }]);
     };
 
--- a/packages/daisyturn/src/process/forwarding/createSizeCounts.ts
+++ b/packages/daisyturn/src/process/forwarding/createSizeCounts.ts
@@ -12,9 +12,9 @@
  * no mean, and single lines are sampled and bounded.
  */
 export interface SizeCounts {
-    note(route: string, size: number, isServed: boolean): void;
+    record(route: string, size: number, isServed: boolean): void;
     /** What was counted since the last call, by route and size. */
-    take(): readonly SizeCount[];
+    drain(): readonly SizeCount[];
 }
 
 /** Classes of size a doubling: fine enough to tell the largest tenth from the fifth below it. */
@@ -29,14 +29,14 @@
 export function createSizeCounts(): SizeCounts {
     let routes = new Map<string, Map<number, Count>>();
     return {
-        note: (route, size, isServed) => {
+        record: (route, size, isServed) => {
             const classes = routes.get(route) ?? new Map<number, Count>();
             routes.set(route, classes);
             const sizeClass = Math.floor(Math.log2(Math.max(1, size)) * classesPerDoubling);
             const { ended, served } = classes.get(sizeClass) ?? { ended: 0, served: 0 };
             classes.set(sizeClass, { ended: ended + 1, served: served + (isServed ? 1 : 0) });
         },
-        take: () => {
+        drain: () => {
             const taken = routes;
             routes = new Map();
             return [...taken].flatMap(([route, classes]) =>
--- a/packages/daisyturn/src/process/forwarding/experiments/__tests__/mechanisms.test.ts
+++ b/packages/daisyturn/src/process/forwarding/experiments/__tests__/mechanisms.test.ts
@@ -39,13 +39,13 @@
         const { placement, caches } = createBench();
         const demand = createDemand(createLongPrompt("guide", "own"));
         const before = placement.placePrompt(demand);
-        caches.note(before?.prefill?.target.targetId ?? "", demand.prompt.parts, kvTokens);
+        caches.record(before?.prefill?.target.targetId ?? "", demand.prompt.parts, kvTokens);
         return (placement.placePrompt(demand)?.prefill?.work ?? 0) < (before?.prefill?.work ?? 0);
     }],
     [Mechanism.KvFetch, "an engine fetches a beginning that another one keeps", createBench => {
         const { placement, caches } = createBench();
         const { prompt, ...demand } = createDemand(createLongPrompt("guide", "own"));
-        caches.note("i-3", prompt.parts, kvTokens);
+        caches.record("i-3", prompt.parts, kvTokens);
         return placement.placePrompt({ ...demand, prompt })?.prefill?.fetchFrom !== undefined;
     }],
     [Mechanism.Pace, "an engine that was slow is expected to be slow", createBench => {
@@ -69,12 +69,12 @@
     }],
     [Mechanism.PeerMessages, "what a peer has under way counts", createBench => {
         const { loads } = createBench();
-        loads.notePeer("peer", [{ targetId: "i-0", calls: 9, work: 500, deferredWork: 0, tokens: 0 }], 100);
+        loads.recordPeer("peer", [{ targetId: "i-0", calls: 9, work: 500, deferredWork: 0, tokens: 0 }], 100);
         return loads.wait("i-0", false) > 0;
     }],
     [Mechanism.Trust, "a target that fails is left alone", createBench => {
         const { health, listed } = createBench();
-        Array.from({ length: 12 }).forEach(() => health.note("i-0", TargetEvidence.Unreachable));
+        Array.from({ length: 12 }).forEach(() => health.record("i-0", TargetEvidence.Unreachable));
         return !health.selectTrusted(listed).some(target => target.targetId === "i-0");
     }],
 ];
--- a/packages/daisyturn/src/process/forwarding/experiments/switchOffViews.ts
+++ b/packages/daisyturn/src/process/forwarding/experiments/switchOffViews.ts
@@ -12,12 +12,12 @@
         paces = { ...paces, factor: () => 1 };
     }
     if (switchedOff.has(Mechanism.PrefillRates)) {
-        prefillRates = { ...prefillRates, observe: nothing, noteTold: nothing };
+        prefillRates = { ...prefillRates, observe: nothing, recordRemote: nothing };
     }
     if (switchedOff.has(Mechanism.PeerMessages)) {
-        loads = { ...loads, notePeer: nothing };
-        demand = { ...demand, notePeer: nothing };
-        caches = { ...caches, noteTold: nothing };
+        loads = { ...loads, recordPeer: nothing };
+        demand = { ...demand, recordPeer: nothing };
+        caches = { ...caches, recordRemote: nothing };
     }
     if (switchedOff.has(Mechanism.Trust)) {
         health = { ...health, selectTrusted: targets => targets };
--- a/packages/daisyturn/src/process/forwarding/forwardingMetrics.ts
+++ b/packages/daisyturn/src/process/forwarding/forwardingMetrics.ts
@@ -21,13 +21,13 @@
      * @param milliseconds from the call's arrival to the first byte of its answer
      * @param longestPause milliseconds between two events of its answer; 0 where it had fewer
      */
-    abstract noteCall(kind: string, outcome: CallOutcome, milliseconds: number, longestPause: number): void;
+    abstract recordCall(kind: string, outcome: CallOutcome, milliseconds: number, longestPause: number): void;
     /** Notes one send to a target by its result: `answered`, or the reason of its failure. */
-    abstract noteSend(result: string): void;
+    abstract recordSend(result: string): void;
 }
 
 /** Counts nothing. */
 export class NoForwardingMetrics extends ForwardingMetrics {
-    override noteCall(): void {}
-    override noteSend(): void {}
+    override recordCall(): void {}
+    override recordSend(): void {}
 }
--- a/packages/daisyturn/src/process/forwarding/limits/__tests__/createLongReadings.test.ts
+++ b/packages/daisyturn/src/process/forwarding/limits/__tests__/createLongReadings.test.ts
@@ -6,12 +6,12 @@
     const readings = createLongReadings();
     assert.equal(readings.find("ask"), 0);
     for (let milliseconds = 1; milliseconds <= 100; milliseconds++) {
-        readings.note("ask", milliseconds);
+        readings.record("ask", milliseconds);
     }
     assert.equal(readings.find("ask"), 95);
     assert.equal(readings.find("chat"), 0);
     for (let count = 0; count < 200; count++) {
-        readings.note("ask", 20);
+        readings.record("ask", 20);
     }
     assert.equal(readings.find("ask"), 20);
 });
@@ -19,7 +19,7 @@
 test("a storm of routes does not grow the readings without end", () => {
     const readings = createLongReadings();
     for (let number = 0; number < 1_000; number++) {
-        readings.note(`route-${number}`, 5);
+        readings.record(`route-${number}`, 5);
     }
     assert.equal(readings.find("route-0"), 0);
     assert.equal(readings.find("route-999"), 5);
--- a/packages/daisyturn/src/process/forwarding/limits/createLongReadings.ts
+++ b/packages/daisyturn/src/process/forwarding/limits/createLongReadings.ts
@@ -1,7 +1,7 @@
 /** How long the long prompts of each route take to read, from recent prompts, whether they were admitted or not. */
 export interface LongReadings {
     /** @param milliseconds time to read a prompt at an engine that nothing slows */
-    note(route: string, milliseconds: number): void;
+    record(route: string, milliseconds: number): void;
     /** Milliseconds within which nearly all prompts of the route are read; 0 if none is known. */
     find(route: string): number;
 }
@@ -16,7 +16,7 @@
 export function createLongReadings(): LongReadings {
     const routes = new Map<string, number[]>();
     return {
-        note: (route, milliseconds) => {
+        record: (route, milliseconds) => {
             const readings = routes.get(route) ?? [];
             routes.set(route, [...readings, milliseconds].slice(-rememberedPrompts));
             const oldest = routes.keys().next().value;
--- a/packages/daisyturn/src/process/forwarding/limits/createOverloadGuard.ts
+++ b/packages/daisyturn/src/process/forwarding/limits/createOverloadGuard.ts
@@ -78,7 +78,7 @@
         });
     };
 
-    const noteCall = () => {
+    const recordCall = () => {
         lastCallAt = clock.monotonicNow();
         if (resume) {
             dueAt = lastCallAt + measureMilliseconds;
@@ -105,7 +105,7 @@
 
     return {
         shouldRefuse: () => {
-            noteCall();
+            recordCall();
             // A flood of connections is taken in one turn, in which no timer fires.
             const lagNow = Math.max(lag, clock.monotonicNow() - dueAt);
             const excess = (lagNow - firstLagMilliseconds) / (fullLagMilliseconds - firstLagMilliseconds);
--- a/packages/daisyturn/src/process/forwarding/limits/createSizeFairness.ts
+++ b/packages/daisyturn/src/process/forwarding/limits/createSizeFairness.ts
@@ -21,9 +21,9 @@
     isOwed(route: string, size: number): boolean;
     areLongestOwed(route: string): boolean;
     /** Takes in prompts that ended at a peer. */
-    noteTold(ended: EndedPrompt): void;
+    recordRemote(ended: EndedPrompt): void;
     /** Own prompts that ended since the last call, for the peers. */
-    takeNew(): readonly EndedPrompt[];
+    drainUnsent(): readonly EndedPrompt[];
 }
 
 /** The last prompts of a route that count: enough that several are among the longest tenth. */
@@ -83,8 +83,8 @@
         }),
         isOwed: (route, size) => isOwed(size, routes.get(route) ?? []),
         areLongestOwed: route => areLongestOwed(routes.get(route) ?? []),
-        noteTold: ([route, size, isServed]) => add(find(route), { size, isServed }),
-        takeNew: () => {
+        recordRemote: ([route, size, isServed]) => add(find(route), { size, isServed }),
+        drainUnsent: () => {
             const told = untold;
             untold = [];
             return told;
--- a/packages/daisyturn/src/process/forwarding/limits/createWindowedRetryBudget.ts
+++ b/packages/daisyturn/src/process/forwarding/limits/createWindowedRetryBudget.ts
@@ -10,9 +10,9 @@
 
 /** Keeps this process's repeated sends below its part of what the whole fleet may add. */
 export interface WindowedRetryBudget {
-    noteRequest(service: string): void;
+    recordRequest(service: string): void;
     /** Takes one repeated send if the window has room for it. */
-    tryTake(service: string): boolean;
+    tryAcquire(service: string): boolean;
 }
 
 /**
@@ -50,8 +50,8 @@
     };
 
     return {
-        noteRequest: service => findWindow(service).requests.add(1, clock.monotonicNow()),
-        tryTake: service => {
+        recordRequest: service => findWindow(service).requests.add(1, clock.monotonicNow()),
+        tryAcquire: service => {
             const now = clock.monotonicNow();
             const { requests, repeats } = findWindow(service);
             const { ratio, windowMilliseconds } = allowance();
--- a/packages/daisyturn/src/process/forwarding/placement/__tests__/createCallPlacement.test.ts
+++ b/packages/daisyturn/src/process/forwarding/placement/__tests__/createCallPlacement.test.ts
@@ -43,7 +43,7 @@
         const { placement, caches, loads } = createPlacementBench(stages, 1, withoutFetch);
         const prompt = createLongPrompt("guide", "own");
         const home = placement.placePrompt(createDemand(prompt))?.prefill?.target.targetId ?? "";
-        caches.note(home, prompt.parts, kvTokens);
+        caches.record(home, prompt.parts, kvTokens);
         loads.begin(home, { work: 100, isDeferred: false, tokens: 0 });
         assert.equal(placement.placePrompt(createDemand(prompt))?.prefill?.target.targetId, home);
         loads.begin(home, { work: 1_500, isDeferred: false, tokens: 0 });
@@ -56,7 +56,7 @@
         const first = placement.placePrompt(createDemand(prompt));
         const home = first?.prefill?.target.targetId ?? "";
         assert.equal(first?.prefill?.fetchFrom, undefined, "nobody keeps it yet");
-        caches.note(home, prompt.parts, kvTokens);
+        caches.record(home, prompt.parts, kvTokens);
         const atHome = placement.placePrompt(createDemand(prompt));
         assert.deepEqual([atHome?.prefill?.target.targetId, atHome?.prefill?.fetchFrom], [home, undefined]);
         loads.begin(home, { work: 150, isDeferred: false, tokens: 0 });
@@ -72,7 +72,7 @@
     it("fetches a beginning that only a decoding engine keeps, from the own zone where there is a choice", () => {
         const { placement, caches } = createPlacementBench(stages);
         const prompt = createLongPrompt("guide", "own");
-        ["i-3", "i-4", "i-5"].forEach(decoder => caches.note(decoder, prompt.parts, kvTokens));
+        ["i-3", "i-4", "i-5"].forEach(decoder => caches.record(decoder, prompt.parts, kvTokens));
         const reader = placement.placePrompt(createDemand(prompt))?.prefill;
         assert.equal(reader?.fetchFrom?.availabilityZone, reader?.target.availabilityZone);
         assert.equal(reader?.fetchFrom?.stage, Decode);
@@ -81,7 +81,7 @@
     it("counts what peers have under way", () => {
         const { placement, loads } = createPlacementBench(stages);
         const busy = ["i-0", "i-1"].map(targetId => ({ targetId, calls: 9, work: 2_000, deferredWork: 0, tokens: 0 }));
-        loads.notePeer("peer", busy, 100);
+        loads.recordPeer("peer", busy, 100);
         for (let index = 0; index < 20; index++) {
             const way = placement.placePrompt(createDemand(createLongPrompt(`guide-${index}`, "own")));
             assert.ok(!["i-0", "i-1"].includes(way?.prefill?.target.targetId ?? ""));
@@ -206,7 +206,7 @@
             if (way && reader) {
                 const cost = { work: reader.work, isDeferred: way.isDeferred, tokens: 0 };
                 const placed = loads.begin(reader.target.targetId, cost);
-                caches.note(reader.target.targetId, prompt.parts, kvTokens);
+                caches.record(reader.target.targetId, prompt.parts, kvTokens);
                 const queue = running.get(reader.target.targetId) ?? [];
                 queue.push({ ...cost, begin: clock.monotonicNow(), end: placed.end });
                 running.set(reader.target.targetId, queue);
--- a/packages/daisyturn/src/process/forwarding/placement/__tests__/decidePrompt.test.ts
+++ b/packages/daisyturn/src/process/forwarding/placement/__tests__/decidePrompt.test.ts
@@ -35,7 +35,7 @@
 
 function decide(options: SceneOptions) {
     const longReadings = createLongReadings();
-    options.otherReadings?.forEach(reading => longReadings.note("ask", reading));
+    options.otherReadings?.forEach(reading => longReadings.record("ask", reading));
     const parts = { placement: createPlacement(options), longReadings, switchedOff: new Set<never>() };
     const decision = decidePrompt(parts, {
         route: "ask",
--- a/packages/daisyturn/src/process/forwarding/placement/__tests__/placementDifferential.test.ts
+++ b/packages/daisyturn/src/process/forwarding/placement/__tests__/placementDifferential.test.ts
@@ -43,7 +43,7 @@
         loads.begin(targetId, { work: random.fraction() * 600, isDeferred: false, tokens: 0 });
     }
     if (random.fraction() < 0.4) {
-        caches.note(targetId, prompt.parts, engineService.engine?.kvTokens ?? 0);
+        caches.record(targetId, prompt.parts, engineService.engine?.kvTokens ?? 0);
     }
 }
 
--- a/packages/daisyturn/src/process/forwarding/placement/decidePrompt.ts
+++ b/packages/daisyturn/src/process/forwarding/placement/decidePrompt.ts
@@ -71,7 +71,7 @@
         return undefined;
     }
     const reading = findReading(way);
-    longReadings.note(route, reading);
+    longReadings.record(route, reading);
     const isFair = !switchedOff.has(Mechanism.SizeFairness);
     const latenessOf = ({ soonestEvent }: PromptWay) => soonestEvent - patience;
     if ((way.isDeferred || latenessOf(way) > 0) && isFair && isOwed()) {
--- a/packages/daisyturn/src/process/forwarding/reportSizeCounts.ts
+++ b/packages/daisyturn/src/process/forwarding/reportSizeCounts.ts
@@ -16,7 +16,7 @@
     const { sizeCounts, clock, eventLog } = options;
     while (!signal.aborted) {
         await clock.sleepUntil(clock.monotonicNow() + reportMilliseconds, signal);
-        groupByRoute(sizeCounts.take()).forEach((counts, route) => {
+        groupByRoute(sizeCounts.drain()).forEach((counts, route) => {
             eventLog.record(EventKind.PromptsBySize, { route, sizes: counts.map(formatCount).join(",") });
         });
     }
--- a/packages/daisyturn/src/process/forwarding/stages/__tests__/changeStages.test.ts
+++ b/packages/daisyturn/src/process/forwarding/stages/__tests__/changeStages.test.ts
@@ -122,13 +122,13 @@
     /** Has prompts ask for the reading of so many engines for a while. */
     const askForReading = async (engines: number, milliseconds: number) => {
         for (let passed = 0; passed < milliseconds; passed += askMilliseconds) {
-            views.demand.note("engines", engines * askMilliseconds);
+            views.demand.record("engines", engines * askMilliseconds);
             await clock.advance(askMilliseconds);
         }
     };
     /** Records a failed call at each engine, as for a terminated engine. */
     const failCalls = (...targetIds: string[]) =>
-        targetIds.forEach(targetId => views.health.note(targetId, TargetEvidence.Unreachable));
+        targetIds.forEach(targetId => views.health.record(targetId, TargetEvidence.Unreachable));
     const isLeaseKept = () => isRunning;
     return {
         clock,
--- a/packages/daisyturn/src/process/forwarding/stages/createLostEngines.ts
+++ b/packages/daisyturn/src/process/forwarding/stages/createLostEngines.ts
@@ -15,7 +15,7 @@
 
 /** What {@link createLostEngines} needs. */
 export interface LostEnginesOptions {
-    readonly targets: Pick<TargetList, "onGone">;
+    readonly targets: Pick<TargetList, "onRemoved">;
     readonly orders: Pick<EngineOrders, "readStatus">;
     readonly clock: Clock;
     readonly eventLog: EventLog;
@@ -39,7 +39,7 @@
 /** Creates a detector whose results are local to this process. */
 export function createLostEngines({ targets, orders, clock, eventLog }: LostEnginesOptions): LostEngines {
     const reads = new Map<string, StatusReads>();
-    targets.onGone(targetId => reads.delete(targetId));
+    targets.onRemoved(targetId => reads.delete(targetId));
 
     const read = async (engine: ListedTarget, state: StatusReads) => {
         state.isReading = true;
--- a/packages/daisyturn/src/process/forwarding/targets/__tests__/createSilenceDetector.test.ts
+++ b/packages/daisyturn/src/process/forwarding/targets/__tests__/createSilenceDetector.test.ts
@@ -42,7 +42,7 @@
         assert.equal(detector.isSilent("a"), false);
         await wait("a", 700);
         assert.equal(detector.isSilent("a"), true);
-        detector.noteHeard("a");
+        detector.recordBytesReceived("a");
         assert.equal(detector.isSilent("a"), false);
     });
 }
@@ -59,7 +59,7 @@
     const { detector, asked, wait } = createScene(EngineActivity.NoAnswer);
     const waiting = detector.beginWait("a", true);
     await wait("a", 1_000);
-    detector.noteHeard("a");
+    detector.recordBytesReceived("a");
     await wait("a", 1_000);
     waiting.end();
     await wait("a", 5_000);
--- a/packages/daisyturn/src/process/forwarding/targets/__tests__/createTargetList.test.ts
+++ b/packages/daisyturn/src/process/forwarding/targets/__tests__/createTargetList.test.ts
@@ -10,7 +10,7 @@
     const eventLog = new MemoryEventLog();
     const list = createTargetList({ decode: (targetId, text) => JSON.parse(text) as ListedTarget, clock, eventLog });
     const gone: string[] = [];
-    list.onGone(targetId => gone.push(targetId));
+    list.onRemoved(targetId => gone.push(targetId));
     return { clock, eventLog, list, gone };
 }
 
@@ -51,8 +51,8 @@
 test("an entry that lapsed in an outage counts until it had time to come back", async () => {
     const { list, clock, gone } = createBench();
     list.replace([row("a"), row("b")]);
-    list.noteStoreCall(false);
-    list.noteStoreCall(true);
+    list.recordStoreCall(false);
+    list.recordStoreCall(true);
     list.replace([]);
     assert.equal(list.isOpen("a"), true);
     await clock.advance(1_000);
@@ -67,7 +67,7 @@
 test("leaving that is told right after an outage counts at once", () => {
     const { list } = createBench();
     list.replace([row("a")]);
-    list.noteStoreCall(false);
+    list.recordStoreCall(false);
     list.change([row("a", true)]);
     assert.equal(list.isOpen("a"), false);
 });
@@ -88,7 +88,7 @@
 test("an entry that can't be read takes its target out of use also right after an outage", () => {
     const { list } = createBench();
     list.replace([row("a")]);
-    list.noteStoreCall(false);
+    list.recordStoreCall(false);
     list.change([{ key: "a", version: 3, text: "{" }]);
     assert.equal(list.isOpen("a"), false);
 });
@@ -125,7 +125,7 @@
 test("a restart that falls into an outage of the list is met with the first reading after it", () => {
     const { list, gone } = createBench();
     list.replace([row("a", false, 1_000)]);
-    list.noteStoreCall(false);
+    list.recordStoreCall(false);
     list.replace([row("a", false, 2_000)]);
     assert.deepEqual(gone, ["a@1000"]);
     assert.equal(list.isOpen("a@1000"), false);
@@ -151,7 +151,7 @@
 test("an entry removed according to a coordinator that the store answers is gone, whatever this process's own calls show", () => {
     const { list, clock } = createBench();
     list.replace([row("a"), row("b")]);
-    list.noteStoreCall(false);
+    list.recordStoreCall(false);
     list.change([removed("a")], -Infinity);
     assert.equal(list.isOpen("a"), false);
     list.change([removed("b")], clock.monotonicNow());
--- a/packages/daisyturn/src/process/forwarding/targets/createClosedTargets.ts
+++ b/packages/daisyturn/src/process/forwarding/targets/createClosedTargets.ts
@@ -26,7 +26,7 @@
     /** The unexpired lists of this process and those received from peers. */
     listKnown(): readonly ClosingList[];
     /** Applies lists received from a peer, either the peer's own or relayed ones. */
-    noteTold(lists: readonly ClosingList[]): void;
+    applyRemote(lists: readonly ClosingList[]): void;
     /** Calls the listener whenever the list of this process or of a peer changes. */
     onChanged(listener: () => void): void;
 }
@@ -117,7 +117,7 @@
             dropExpired();
             return [...lists].filter(isUnexpired).map(describe);
         },
-        noteTold: received => {
+        applyRemote: received => {
             dropExpired();
             const now = clock.monotonicNow();
             for (const { closerId, revision, closings } of received) {
--- a/packages/daisyturn/src/process/forwarding/targets/createSilenceDetector.ts
+++ b/packages/daisyturn/src/process/forwarding/targets/createSilenceDetector.ts
@@ -4,7 +4,7 @@
 /** Detects targets that have stopped working on the calls that wait for them. */
 export interface SilenceDetector {
     /** Notes that bytes of an answer arrived. */
-    noteHeard(targetId: string): void;
+    recordBytesReceived(targetId: string): void;
     /**
      * Notes a call that waits for its answer; to be ended once the answer begins or the call is over.
      * @param isEngine whether the target can be asked for its activity; others count as silent by time alone
@@ -63,7 +63,7 @@
         return state;
     };
 
-    const noteHeard = (targetId: string) => {
+    const recordBytesReceived = (targetId: string) => {
         const state = find(targetId);
         state.heardAt = clock.monotonicNow();
         state.failedChecks = 0;
@@ -82,7 +82,7 @@
         const activity = await askActivity(targetId);
         state.isChecking = false;
         if (activity === EngineActivity.Working) {
-            noteHeard(targetId);
+            recordBytesReceived(targetId);
         }
         else if (state.heardAt <= askedAt) {
             state.failedChecks += 1;
@@ -91,7 +91,7 @@
     };
 
     return {
-        noteHeard,
+        recordBytesReceived,
         beginWait: (targetId, isEngine) => {
             const state = find(targetId);
             const { waits } = state;
--- a/packages/daisyturn/src/process/forwarding/targets/createTargetHealth.ts
+++ b/packages/daisyturn/src/process/forwarding/targets/createTargetHealth.ts
@@ -18,9 +18,9 @@
 
 /** Which targets are left alone for a while, going by what their calls have shown. */
 export interface TargetHealth {
-    note(targetId: string, evidence: TargetEvidence): void;
+    record(targetId: string, evidence: TargetEvidence): void;
     /** Notes that bytes of an answer arrived. */
-    noteHeard(targetId: string): void;
+    recordBytesReceived(targetId: string): void;
     /** As {@link SilenceDetector.beginWait}; targets are no engines unless it is told. */
     beginWait(targetId: string, isEngine?: boolean): { end(): void; };
     /** Has the target asked for its activity if calls have waited for long and nothing was heard. */
@@ -37,7 +37,7 @@
     /** Targets failing at this process or reported by members of its group, without reports from other groups. */
     listGroupFailing(): readonly string[];
     /** Records targets reported as failing by a member of the same group or, if `isGroup`, by another group's coordinator. */
-    noteFailing(targetIds: readonly string[], isGroup: boolean): void;
+    recordFailing(targetIds: readonly string[], isGroup: boolean): void;
     /**
      * Those of a service's targets that may be sent work. Never fewer than half: where that many seem to fail, the
      * cause is more likely elsewhere, and the others could not bear the work.
@@ -115,7 +115,7 @@
         });
     };
 
-    const noteFailure = (targetId: string, state: HealthState, evidence: TargetEvidence) => {
+    const recordFailure = (targetId: string, state: HealthState, evidence: TargetEvidence) => {
         state.failures += 1;
         state.errors.add(1, clock.monotonicNow());
         if (evidence === TargetEvidence.Broken && state.failures < brokenAnswersForSuspicion) {
@@ -131,7 +131,7 @@
         suspect(targetId, state, milliseconds, evidence);
     };
 
-    const noteSuccess = (targetId: string, state: HealthState) => {
+    const recordSuccess = (targetId: string, state: HealthState) => {
         if (state.failures > 0 || state.isOnTrial) {
             if (state.suspectUntil > -Infinity) {
                 eventLog.record(EventKind.TargetTrusted, { target: targetId, failures: state.failures });
@@ -142,18 +142,18 @@
         }
     };
 
-    const note = (targetId: string, evidence: TargetEvidence) => {
+    const record = (targetId: string, evidence: TargetEvidence) => {
         const state = find(targetId);
         const now = clock.monotonicNow();
         if (evidence === TargetEvidence.Answered) {
             state.answers.add(1, now);
-            noteSuccess(targetId, state);
+            recordSuccess(targetId, state);
         }
         else if (evidence === TargetEvidence.AnsweredError) {
             state.errors.add(1, now);
         }
         else {
-            noteFailure(targetId, state, evidence);
+            recordFailure(targetId, state, evidence);
         }
     };
 
@@ -182,7 +182,7 @@
     };
 
     /** Once a suspicion ends, a single call goes first and shows whether the target works. */
-    const mayTake = (targetId: string): boolean => {
+    const acceptsWork = (targetId: string): boolean => {
         const state = states.get(targetId);
         if (!state) {
             return true;
@@ -191,7 +191,7 @@
         silence.check(targetId);
         if (silence.isSilent(targetId)) {
             if (state.suspectUntil <= now) {
-                noteFailure(targetId, state, TargetEvidence.Silent);
+                recordFailure(targetId, state, TargetEvidence.Silent);
             }
             return false;
         }
@@ -218,8 +218,8 @@
     const listOwnFailing = () => [...states.keys()].filter(isFailingLocally);
 
     return {
-        note,
-        noteHeard: silence.noteHeard,
+        record,
+        recordBytesReceived: silence.recordBytesReceived,
         beginWait: (targetId, isEngine = false) => {
             find(targetId);
             beginTrial(targetId);
@@ -235,14 +235,14 @@
             const reported = [...peerReportExpiry.keys()].filter(targetId => isReported(peerReportExpiry, targetId));
             return [...new Set([...listOwnFailing(), ...reported])];
         },
-        noteFailing: (targetIds, isGroup) => {
+        recordFailing: (targetIds, isGroup) => {
             const expiry = isGroup ? groupReportExpiry : peerReportExpiry;
             expiry.forEach((expiresAt, targetId) => expiresAt <= clock.monotonicNow() && expiry.delete(targetId));
             targetIds.forEach(targetId => expiry.set(targetId, clock.monotonicNow() + reportValidityMilliseconds));
         },
         selectTrusted: targets => {
             findFailing(targets.map(target => target.targetId));
-            const trusted = targets.filter(target => mayTake(target.targetId));
+            const trusted = targets.filter(target => acceptsWork(target.targetId));
             return trusted.length * 2 >= targets.length ? trusted : targets;
         },
         forget: targetId => {
--- a/packages/daisyturn/src/process/forwarding/targets/createTargetList.ts
+++ b/packages/daisyturn/src/process/forwarding/targets/createTargetList.ts
@@ -14,9 +14,9 @@
     /** Whether the list was read at least once. */
     isKnown(): boolean;
     /** Tells of each call to the store, so that lapses during an outage are known as such. */
-    noteStoreCall(isAnswered: boolean): void;
+    recordStoreCall(isAnswered: boolean): void;
     /** Called once a target is gone for good, or has started anew: what was believed of it ends. */
-    onGone(listener: (targetId: string) => void): void;
+    onRemoved(listener: (targetId: string) => void): void;
 }
 
 /** What {@link createTargetList} needs. */
@@ -163,12 +163,12 @@
         },
         find: targetId => targets.get(targetId),
         isKnown: () => isKnown,
-        noteStoreCall: isAnswered => {
+        recordStoreCall: isAnswered => {
             if (!isAnswered) {
                 lastFailureAt = clock.monotonicNow();
             }
         },
-        onGone: listener => goneListeners.push(listener),
+        onRemoved: listener => goneListeners.push(listener),
         replace: (rows, isAfterRollback = false) => {
             isKnown = true;
             const present = new Set(rows.map(row => row.key));
--- a/packages/daisyturn/src/process/forwarding/views/__tests__/createPrefillRates.test.ts
+++ b/packages/daisyturn/src/process/forwarding/views/__tests__/createPrefillRates.test.ts
@@ -58,7 +58,7 @@
     assert.ok(compareEstimates(rates.rate(service), engine, longestTokens) < 1.2);
     const untaught = createPrefillRates();
     untaught.observe([service, 400, 0, 900]);
-    untaught.noteTold([service, 2_000, 1e9, 1]);
+    untaught.recordRemote([service, 2_000, 1e9, 1]);
     assert.deepEqual(untaught.rate(service), createPrefillRates().rate(service));
 });
 
@@ -66,8 +66,8 @@
     const rates = createPrefillRates();
     rates.observe([service, 20_000, 0, 700]);
     const peer = createPrefillRates();
-    rates.takeNew().forEach(peer.noteTold);
+    rates.drainUnsent().forEach(peer.recordRemote);
     assert.deepEqual(peer.rate(service), rates.rate(service));
     assert.deepEqual(peer.rate("others"), createPrefillRates().rate(service));
-    assert.deepEqual([rates.takeNew(), peer.takeNew()], [[], []]);
+    assert.deepEqual([rates.drainUnsent(), peer.drainUnsent()], [[], []]);
 });
--- a/packages/daisyturn/src/process/forwarding/views/__tests__/engineViews.test.ts
+++ b/packages/daisyturn/src/process/forwarding/views/__tests__/engineViews.test.ts
@@ -40,10 +40,10 @@
             return [calls, work, tokens];
         };
         assert.equal(peers.sum("a"), undefined);
-        peers.note("p", [told("a", 2, 10)], 1_000);
-        peers.note("q", [told("a", 3, 5), told("b", 1, 1)], 3_000);
+        peers.record("p", [told("a", 2, 10)], 1_000);
+        peers.record("q", [told("a", 3, 5), told("b", 1, 1)], 3_000);
         assert.deepEqual(sum("a"), [5, 50, 15]);
-        peers.note("p", [told("b", 4, 0)], 1_500);
+        peers.record("p", [told("b", 4, 0)], 1_500);
         assert.deepEqual([sum("a"), sum("b")], [[3, 30, 5], [5, 50, 1]]);
         await clock.advance(2_000);
         assert.deepEqual(sum("b"), [1, 10, 1]);
--- a/packages/daisyturn/src/process/forwarding/views/__tests__/targetViews.test.ts
+++ b/packages/daisyturn/src/process/forwarding/views/__tests__/targetViews.test.ts
@@ -18,24 +18,24 @@
 describe("health of targets", () => {
     it("leaves a target alone that can't be reached, and tries it again with one call", async () => {
         const { clock, health, trusted } = createHealth();
-        health.note("a", TargetEvidence.Unreachable);
+        health.record("a", TargetEvidence.Unreachable);
         assert.equal(trusted(), "bcd");
         await clock.advance(500);
         assert.equal(trusted(), "abcd");
         health.beginWait("a");
         assert.equal(trusted(), "bcd");
-        health.note("a", TargetEvidence.Answered);
+        health.record("a", TargetEvidence.Answered);
         assert.equal(trusted(), "abcd");
     });
 
     it("waits longer after each failure, up to a limit", async () => {
         const { clock, health, trusted } = createHealth();
         for (let failure = 0; failure < 8; failure++) {
-            health.note("a", TargetEvidence.Unreachable);
+            health.record("a", TargetEvidence.Unreachable);
             await clock.advance(3_100);
             health.beginWait("a").end();
         }
-        health.note("a", TargetEvidence.Unreachable);
+        health.record("a", TargetEvidence.Unreachable);
         await clock.advance(2_500);
         assert.equal(trusted(), "bcd");
         await clock.advance(600);
@@ -44,15 +44,15 @@
 
     it("takes a single broken answer for chance, and two in a row for a failure", () => {
         const { health, trusted } = createHealth();
-        health.note("a", TargetEvidence.Broken);
+        health.record("a", TargetEvidence.Broken);
         assert.equal(trusted(), "abcd");
-        health.note("a", TargetEvidence.Broken);
+        health.record("a", TargetEvidence.Broken);
         assert.equal(trusted(), "bcd");
     });
 
     it("never leaves more than half of a service alone", () => {
         const { health, trusted } = createHealth();
-        ["a", "b", "c"].forEach(targetId => health.note(targetId, TargetEvidence.Unreachable));
+        ["a", "b", "c"].forEach(targetId => health.record(targetId, TargetEvidence.Unreachable));
         assert.equal(trusted(), "abcd");
     });
 
@@ -62,7 +62,7 @@
         for (let round = 0; round < 40; round++) {
             for (const { targetId } of targets) {
                 const isError = random.fraction() < (targetId === "b" ? 0.6 : 0.14);
-                health.note(targetId, isError ? TargetEvidence.AnsweredError : TargetEvidence.Answered);
+                health.record(targetId, isError ? TargetEvidence.AnsweredError : TargetEvidence.Answered);
             }
         }
         assert.equal(trusted(), "acd");
@@ -73,7 +73,7 @@
         health.beginWait("a");
         health.beginWait("b");
         await clock.advance(1_500);
-        health.noteHeard("b");
+        health.recordBytesReceived("b");
         await clock.advance(1_000);
         assert.equal(health.isSilent("a"), true);
         assert.equal(health.isSilent("b"), false);
@@ -87,7 +87,7 @@
         const loads = createTargetLoads(clock);
         const own = loads.begin("a", { work: 30, isDeferred: false, tokens: 100 });
         loads.begin("a", { work: 50, isDeferred: true, tokens: 200 });
-        loads.notePeer("p", [{ targetId: "a", calls: 3, work: 20, deferredWork: 10, tokens: 1_000 }], 100);
+        loads.recordPeer("p", [{ targetId: "a", calls: 3, work: 20, deferredWork: 10, tokens: 1_000 }], 100);
         assert.equal(loads.wait("a", false), 50);
         assert.equal(loads.wait("a", true), 110);
         assert.equal(loads.calls("a"), 5);
@@ -105,7 +105,7 @@
         const clock = new FakeClock();
         const loads = createTargetLoads(clock);
         loads.begin("a", { work: 0, isDeferred: false, tokens: 0 });
-        loads.noteReport("a", { running: 5, waiting: 4, slots: 8 });
+        loads.recordReport("a", { running: 5, waiting: 4, slots: 8 });
         assert.equal(loads.calls("a"), 9);
         await clock.advance(3_000);
         assert.ok(loads.calls("a") < 2);
@@ -117,7 +117,7 @@
 
     it("counts the parts at the start that are kept, without the request's own", () => {
         const caches = createCacheBeliefs(new FakeClock());
-        caches.note("a", [part("x", 1_000), part("y", 500), part("own", 9)], 10_000);
+        caches.record("a", [part("x", 1_000), part("y", 500), part("own", 9)], 10_000);
         assert.equal(caches.keptTokens("a", [part("x", 1_000), part("y", 500), part("other", 9)]), 1_500);
         assert.equal(caches.keptTokens("a", [part("z", 1_000), part("y", 500), part("other", 9)]), 0);
         assert.equal(caches.keptTokens("a", [part("x", 1_000)]), 0);
@@ -128,7 +128,7 @@
         const clock = new FakeClock();
         const caches = createCacheBeliefs(clock);
         for (const partId of ["p", "q", "r"]) {
-            caches.note("a", [part(partId, 3_000), part("own", 1)], 10_000);
+            caches.record("a", [part(partId, 3_000), part("own", 1)], 10_000);
         }
         const kept = (partId: string) => caches.keptTokens("a", [part(partId, 3_000), part("own", 1)]);
         assert.deepEqual([kept("p"), kept("q"), kept("r")], [0, 3_000, 3_000]);
@@ -139,8 +139,8 @@
     it("tells long parts to the peers once", () => {
         const caches = createCacheBeliefs(new FakeClock());
         const told: unknown[] = [];
-        caches.onNoted(placement => told.push(placement));
-        caches.note("a", [part("long", 3_000), part("short", 10), part("own", 1)], 10_000);
+        caches.onRecorded(placement => told.push(placement));
+        caches.record("a", [part("long", 3_000), part("short", 10), part("own", 1)], 10_000);
         assert.deepEqual(told, [["a", "long", 3_000]]);
     });
 });
@@ -155,9 +155,9 @@
             const events: { at: number; isRepeat: boolean; }[] = [];
             for (let step = 0; step < 400; step++) {
                 await clock.advance(random.fraction() * (step % 100 < 50 ? 20 : 150));
-                budget.noteRequest("s");
+                budget.recordRequest("s");
                 events.push({ at: clock.monotonicNow(), isRepeat: false });
-                if (budget.tryTake("s")) {
+                if (budget.tryAcquire("s")) {
                     events.push({ at: clock.monotonicNow(), isRepeat: true });
                 }
             }
@@ -174,9 +174,9 @@
 
     it("keeps services apart", () => {
         const budget = createWindowedRetryBudget(new FakeClock(), () => ({ ratio: 0.2, windowMilliseconds: 10_000 }));
-        while (budget.tryTake("s")) {
+        while (budget.tryAcquire("s")) {
             // Until the budget of this service is spent.
         }
-        assert.equal(budget.tryTake("t"), true);
+        assert.equal(budget.tryAcquire("t"), true);
     });
 });
--- a/packages/daisyturn/src/process/forwarding/views/createCacheBeliefs.ts
+++ b/packages/daisyturn/src/process/forwarding/views/createCacheBeliefs.ts
@@ -7,11 +7,11 @@
 /** Which parts of prompts the engines are believed to keep, from where this process and its peers have placed them. */
 export interface CacheBeliefs {
     /** Notes that an engine has read or fetched a prompt. */
-    note(targetId: string, parts: readonly PromptPart[], capacityTokens: number): void;
+    record(targetId: string, parts: readonly PromptPart[], capacityTokens: number): void;
     /** Takes in what a peer has placed. */
-    noteTold(targetId: string, partId: string, tokens: number): void;
+    recordRemote(targetId: string, partId: string, tokens: number): void;
     /** Called with each part that was noted and that peers need to know of. */
-    onNoted(listener: (placement: PartPlacement) => void): void;
+    onRecorded(listener: (placement: PartPlacement) => void): void;
     /** Tokens at the start of the prompt that the engine need not compute. */
     keptTokens(targetId: string, parts: readonly PromptPart[]): number;
     forget(targetId: string): void;
@@ -68,7 +68,7 @@
     };
 
     return {
-        note: (targetId, parts, capacityTokens) => {
+        record: (targetId, parts, capacityTokens) => {
             const cache = find(targetId);
             cache.capacity = capacityTokens * keepingFraction;
             // The last part is the request's own: nobody asks for it again, but it pushes out others.
@@ -79,8 +79,8 @@
                 }
             });
         },
-        noteTold: (targetId, partId, tokens) => put(find(targetId), partId, tokens),
-        onNoted: listener => void listeners.push(listener),
+        recordRemote: (targetId, partId, tokens) => put(find(targetId), partId, tokens),
+        onRecorded: listener => void listeners.push(listener),
         keptTokens: (targetId, parts) => {
             const cache = caches.get(targetId);
             const oldest = clock.monotonicNow() - beliefMilliseconds;
--- a/packages/daisyturn/src/process/forwarding/views/createEventPace.ts
+++ b/packages/daisyturn/src/process/forwarding/views/createEventPace.ts
@@ -8,9 +8,9 @@
     /** Takes in the mean of one answer that had several events. */
     observe(service: string, meanInterval: number): void;
     /** Takes in what a peer has observed. */
-    noteTold(observation: PauseObservation): void;
+    recordRemote(observation: PauseObservation): void;
     /** Own observations since the last call, for the peers. */
-    takeNew(): readonly PauseObservation[];
+    drainUnsent(): readonly PauseObservation[];
 }
 
 /** Observations kept for the peers; an answer's pause says about as much as that of the one before it. */
@@ -40,8 +40,8 @@
             learn(service, meanInterval);
             untold = [...untold, [service, meanInterval] as const].slice(-mostUntold);
         },
-        noteTold: ([service, meanInterval]) => learn(service, meanInterval),
-        takeNew: () => {
+        recordRemote: ([service, meanInterval]) => learn(service, meanInterval),
+        drainUnsent: () => {
             const told = untold;
             untold = [];
             return told;
--- a/packages/daisyturn/src/process/forwarding/views/createPaceView.ts
+++ b/packages/daisyturn/src/process/forwarding/views/createPaceView.ts
@@ -8,9 +8,9 @@
     /** @param waited estimated milliseconds before the target turned to the call */
     observe(targetId: string, waited: number, estimated: number, actual: number): void;
     /** Takes in what a peer has observed. */
-    noteTold(observation: PaceObservation): void;
+    recordRemote(observation: PaceObservation): void;
     /** Own observations since the last call, for the peers. */
-    takeNew(): readonly PaceObservation[];
+    drainUnsent(): readonly PaceObservation[];
     forget(targetId: string): void;
 }
 
@@ -46,8 +46,8 @@
                 untold = [...untold, [targetId, ...rounded] as const].slice(-mostUntold);
             }
         },
-        noteTold: learn,
-        takeNew: () => {
+        recordRemote: learn,
+        drainUnsent: () => {
             const told = untold;
             untold = [];
             return told;
--- a/packages/daisyturn/src/process/forwarding/views/createPeerLoads.ts
+++ b/packages/daisyturn/src/process/forwarding/views/createPeerLoads.ts
@@ -7,7 +7,7 @@
      * Replaces what a peer told before.
      * @param forgottenAt monotonic time after which it no longer counts
      */
-    note(peerId: string, underWay: readonly WorkUnderWay[], forgottenAt: number): void;
+    record(peerId: string, underWay: readonly WorkUnderWay[], forgottenAt: number): void;
     forget(peerId: string): void;
     /** Undefined while no peer is heard. */
     sum(targetId: string): PeerLoad | undefined;
@@ -63,7 +63,7 @@
 
     return {
         forget,
-        note: (peerId, underWay, forgottenAt) => {
+        record: (peerId, underWay, forgottenAt) => {
             forget(peerId);
             peers.set(peerId, { forgottenAt, underWay });
             add(underWay, 1);
--- a/packages/daisyturn/src/process/forwarding/views/createPrefillRates.ts
+++ b/packages/daisyturn/src/process/forwarding/views/createPrefillRates.ts
@@ -16,9 +16,9 @@
     rate(service: string): PrefillRate;
     observe(observation: PrefillObservation): void;
     /** Takes in what a peer has observed. */
-    noteTold(observation: PrefillObservation): void;
+    recordRemote(observation: PrefillObservation): void;
     /** Own observations since the last call, for the peers. */
-    takeNew(): readonly PrefillObservation[];
+    drainUnsent(): readonly PrefillObservation[];
 }
 
 /** Rates before anything was observed: those of a model of some ten billion active parameters. */
@@ -96,8 +96,8 @@
             learn(observation);
             untold = [...untold, observation].slice(-mostUntold);
         },
-        noteTold: learn,
-        takeNew: () => {
+        recordRemote: learn,
+        drainUnsent: () => {
             const told = untold;
             untold = [];
             return told;
--- a/packages/daisyturn/src/process/forwarding/views/createReadingDemand.ts
+++ b/packages/daisyturn/src/process/forwarding/views/createReadingDemand.ts
@@ -6,14 +6,14 @@
 
 /** How much reading of prompts is asked of a service's engines, by all processes together. */
 export interface ReadingDemand {
-    note(service: string, milliseconds: number): void;
+    record(service: string, milliseconds: number): void;
     listOwn(): readonly ServiceDemand[];
     /** That of this process and of those that have told theirs, other groups not counted. */
     listGroup(): readonly ServiceDemand[];
     /** @param pause milliseconds until the peer tells it anew */
-    notePeer(peerId: string, demand: readonly ServiceDemand[], pause: number): void;
+    recordPeer(peerId: string, demand: readonly ServiceDemand[], pause: number): void;
     /** The same of another group of processes, told by its coordinator. */
-    noteGroup(coordinatorId: string, demand: readonly ServiceDemand[], pause: number): void;
+    recordGroup(coordinatorId: string, demand: readonly ServiceDemand[], pause: number): void;
     /** Engines that would read without a pause. */
     engines(service: string): number;
 }
@@ -61,7 +61,7 @@
         new Set([...own.keys(), ...[...peers.values()].flatMap(({ demand }) => [...demand.keys()])]);
 
     return {
-        note: (service, milliseconds) => {
+        record: (service, milliseconds) => {
             let rate = own.get(service);
             if (!rate) {
                 rate = createDecayingRate(memoryMilliseconds, clock.monotonicNow());
@@ -71,8 +71,8 @@
         },
         listOwn: () => [...own.keys()].map(service => [service, ownRate(service)] as const),
         listGroup: () => [...listServices()].map(service => [service, groupRate(service)] as const),
-        notePeer: (peerId, demand, pause) => noteIn(peers, peerId, demand, pause),
-        noteGroup: (coordinatorId, demand, pause) => noteIn(groups, coordinatorId, demand, pause),
+        recordPeer: (peerId, demand, pause) => noteIn(peers, peerId, demand, pause),
+        recordGroup: (coordinatorId, demand, pause) => noteIn(groups, coordinatorId, demand, pause),
         engines: service => (groupRate(service) + sumTold(groups, service)) / millisecondsPerSecond,
     };
 }
--- a/packages/daisyturn/src/process/forwarding/views/createTargetLoads.ts
+++ b/packages/daisyturn/src/process/forwarding/views/createTargetLoads.ts
@@ -24,15 +24,15 @@
 /** How busy targets are: from this process's own calls, from what its peers tell, and from the targets' answers. */
 export interface TargetLoads {
     begin(targetId: string, cost: CallCost): PlacedWork;
-    noteReport(targetId: string, load: ReportedLoad): void;
+    recordReport(targetId: string, load: ReportedLoad): void;
     /**
      * Takes in all that a peer has under way.
      * @param pause milliseconds until the peer tells it anew
      */
-    notePeer(peerId: string, work: readonly WorkUnderWay[], pause: number): void;
+    recordPeer(peerId: string, work: readonly WorkUnderWay[], pause: number): void;
     forgetPeer(peerId: string): void;
     /** The same of another group of processes, told by its coordinator. */
-    noteGroup(coordinatorId: string, work: readonly WorkUnderWay[], pause: number): void;
+    recordGroup(coordinatorId: string, work: readonly WorkUnderWay[], pause: number): void;
     /** What this process has under way at engines, for its coordinators: plain calls end before it would be known. */
     listOwn(): readonly WorkUnderWay[];
     /** What this process and those that have told theirs have under way at engines, other groups not counted. */
@@ -163,19 +163,19 @@
         listOwn,
         listGroup,
         onChanged: listener => void listeners.push(listener),
-        noteReport: (targetId, { running, waiting }) => {
+        recordReport: (targetId, { running, waiting }) => {
             const load = find(targetId);
             load.reportedOthers = Math.max(0, running + waiting - load.calls);
             load.reportedAt = clock.monotonicNow();
         },
-        notePeer: (peerId, work, pause) => {
+        recordPeer: (peerId, work, pause) => {
             const forgottenAt = findForgetTime(clock.monotonicNow(), pause, peerMemoryMilliseconds);
-            peers.note(peerId, work, forgottenAt);
+            peers.record(peerId, work, forgottenAt);
         },
         forgetPeer: peers.forget,
-        noteGroup: (coordinatorId, work, pause) => {
+        recordGroup: (coordinatorId, work, pause) => {
             const forgottenAt = findForgetTime(clock.monotonicNow(), pause, peerMemoryMilliseconds);
-            groups.note(coordinatorId, work, forgottenAt);
+            groups.record(coordinatorId, work, forgottenAt);
         },
         calls: targetId => {
             const load = own.get(targetId);
--- a/packages/daisyturn/src/process/forwarding/views/createTargetViews.ts
+++ b/packages/daisyturn/src/process/forwarding/views/createTargetViews.ts
@@ -45,7 +45,7 @@
     const health = createTargetHealth(clock, eventLog, askActivity);
     const caches = createCacheBeliefs(clock);
     const paces = createPaceView();
-    targets.onGone(targetId => [loads, health, caches, paces].forEach(view => view.forget(targetId)));
+    targets.onRemoved(targetId => [loads, health, caches, paces].forEach(view => view.forget(targetId)));
     return {
         targets,
         loads,
--- a/packages/daisyturn/src/process/health/engineHealth.ts
+++ b/packages/daisyturn/src/process/health/engineHealth.ts
@@ -14,14 +14,14 @@
 export interface EngineHealth {
     standing(engineId: string): EngineStanding;
     /** Whether one more request may go there now, as far as health goes. */
-    mayTake(engineId: string): boolean;
-    noteDispatch(engineId: string): void;
-    noteSuccess(engineId: string): void;
-    noteFailure(engineId: string): void;
+    acceptsWork(engineId: string): boolean;
+    recordDispatch(engineId: string): void;
+    recordSuccess(engineId: string): void;
+    recordFailure(engineId: string): void;
     /** Takes in a first token, or its absence so far, as a multiple of what was predicted. */
-    noteFirstTokenRatio(engineId: string, ratio: number): void;
+    recordFirstTokenRatio(engineId: string, ratio: number): void;
     /** The request has left the engine without saying anything about its health. */
-    noteEnd(engineId: string): void;
+    recordEnd(engineId: string): void;
 }
 
 /** What {@link createEngineHealth} needs. */
@@ -151,7 +151,7 @@
         }
     };
 
-    const noteSuccess = (engineId: string) => {
+    const recordSuccess = (engineId: string) => {
         const entry = refresh(engineId);
         entry.failuresInRow = 0;
         if (entry.standing === EngineStanding.Probing) {
@@ -159,7 +159,7 @@
         }
     };
 
-    const noteFailure = (engineId: string) => {
+    const recordFailure = (engineId: string) => {
         const entry = refresh(engineId);
         entry.failuresInRow += 1;
         const limit = entry.standing === EngineStanding.Probing ? 1 : failuresToEject;
@@ -180,7 +180,7 @@
         return middle;
     };
 
-    const noteFirstTokenRatio = (engineId: string, ratio: number) => {
+    const recordFirstTokenRatio = (engineId: string, ratio: number) => {
         const entry = refresh(engineId);
         const log = Math.log(Math.max(ratio, smallestRatio));
         entry.averageLog += (entry.samples === 0 ? 1 : averageGain) * (log - entry.averageLog);
@@ -193,7 +193,7 @@
         }
     };
 
-    const mayTake = (engineId: string) => {
+    const acceptsWork = (engineId: string) => {
         const entry = refresh(engineId);
         return entry.standing === EngineStanding.Healthy
             || entry.standing === EngineStanding.Probing && entry.inFlight === 0;
@@ -228,14 +228,14 @@
     });
     return {
         standing: engineId => refresh(engineId).standing,
-        mayTake,
-        noteDispatch: engineId => {
+        acceptsWork,
+        recordDispatch: engineId => {
             ensureEntry(engineId).inFlight += 1;
         },
-        noteSuccess,
-        noteFailure,
-        noteFirstTokenRatio,
-        noteEnd: engineId => {
+        recordSuccess,
+        recordFailure,
+        recordFirstTokenRatio,
+        recordEnd: engineId => {
             const entry = ensureEntry(engineId);
             entry.inFlight = Math.max(0, entry.inFlight - 1);
         },
--- a/packages/daisyturn/src/process/lease/__fixtures__/restorableTable.ts
+++ b/packages/daisyturn/src/process/lease/__fixtures__/restorableTable.ts
@@ -14,19 +14,19 @@
             override async transact(transaction: Transaction, deadline: number) {
                 history.push(transaction);
                 const answer = await table.transact(transaction, deadline);
-                storeEra.note(era);
+                storeEra.observe(era);
                 return answer;
             }
 
             override async read(keys: readonly string[], deadline: number) {
                 const answer = await table.read(keys, deadline);
-                storeEra.note(era);
+                storeEra.observe(era);
                 return answer;
             }
 
             override async list(prefix: string, limit: number, afterKey: string | undefined, deadline: number) {
                 const answer = await table.list(prefix, limit, afterKey, deadline);
-                storeEra.note(era);
+                storeEra.observe(era);
                 return answer;
             }
         }
--- a/packages/daisyturn/src/process/lease/__tests__/createLeaseKeeper.test.ts
+++ b/packages/daisyturn/src/process/lease/__tests__/createLeaseKeeper.test.ts
@@ -161,7 +161,7 @@
         await awaitHolder(clock, [one]);
         const [first] = one.leases;
         await store.rollBack(1_000);
-        storeEra.note(2);
+        storeEra.observe(2);
         assert.equal(one.keeper.current(), undefined);
         assert.equal(first?.isHeld(), false);
         const waited = await awaitHolder(clock, [one]);
--- a/packages/daisyturn/src/process/load/__tests__/cacheIndex.test.ts
+++ b/packages/daisyturn/src/process/load/__tests__/cacheIndex.test.ts
@@ -53,10 +53,10 @@
     test("a gap in the events empties the engine's view, a repeated event does not", () => {
         const index = createCacheIndex();
         const view = index.view("e1");
-        view.take(page("1", { sequence: 1, stored: ["a"] }, { sequence: 2, stored: ["b"] }));
-        view.take(page("1", { sequence: 2, stored: ["b"] }));
+        view.apply(page("1", { sequence: 1, stored: ["a"] }, { sequence: 2, stored: ["b"] }));
+        view.apply(page("1", { sequence: 2, stored: ["b"] }));
         assert.equal(index.match(["a", "b"]).matchedBy(view), 2);
-        view.take(page("1", { sequence: 4, stored: ["c"] }));
+        view.apply(page("1", { sequence: 4, stored: ["c"] }));
         assert.equal(index.match(["a"]).matchedBy(view), 0);
         assert.equal(index.match(["c"]).matchedBy(view), 1);
     });
@@ -64,11 +64,11 @@
     test("a restarted engine holds nothing and is read from the beginning", () => {
         const index = createCacheIndex();
         const view = index.view("e1");
-        view.take(page("1", { sequence: 7, stored: ["a"] }));
-        view.takeIncarnation("2");
+        view.apply(page("1", { sequence: 7, stored: ["a"] }));
+        view.applyIncarnation("2");
         assert.equal(index.match(["a"]).matchedBy(view), 0);
         assert.equal(view.cursor(), 0);
-        view.take(page("2", { sequence: 1, stored: ["b"] }));
+        view.apply(page("2", { sequence: 1, stored: ["b"] }));
         assert.equal(index.match(["b"]).matchedBy(view), 1);
     });
 
--- a/packages/daisyturn/src/process/load/__tests__/engineLoad.test.ts
+++ b/packages/daisyturn/src/process/load/__tests__/engineLoad.test.ts
@@ -22,7 +22,7 @@
     send(start);
     await clock.advance(400);
     send(start + 400);
-    load.takeReport(createReport("e1", { asOf: start + 200, runningStreams: 1, queuedPrefillTokens: 0 }));
+    load.applyReport(createReport("e1", { asOf: start + 200, runningStreams: 1, queuedPrefillTokens: 0 }));
     assert.equal(load.streams(), 2);
     // Of two prompts of 1,000 tokens, only the one that was sent just now waits.
     assert.equal(load.prefillWait(clock.wallNow()), 1_000 / load.prefillPerMillisecond());
@@ -30,7 +30,7 @@
 
 test("the queue is worked off between reports, and no further than to its end", async () => {
     const { clock, load } = createFixture();
-    load.takeReport(createReport("e1", { asOf: clock.wallNow(), queuedPrefillTokens: 5_000 }));
+    load.applyReport(createReport("e1", { asOf: clock.wallNow(), queuedPrefillTokens: 5_000 }));
     const whole = load.prefillWait(clock.wallNow());
     await clock.advance(300);
     assert.equal(Math.round(load.prefillWait(clock.wallNow())), Math.round(whole - 300));
@@ -45,7 +45,7 @@
     send(now - 20, "str-1");
     send(now - 10, "str-2");
     const report = { asOf: now - 400, runningStreams: 1, recentStreamIds: ["str-1"] };
-    load.takeReport(createReport("e1", report));
+    load.applyReport(createReport("e1", report));
     assert.equal(load.streams(), 2);
 });
 
@@ -53,20 +53,20 @@
     const { clock, load } = createFixture();
     const now = clock.wallNow();
     const ended = { engineId: "e1", unstartedPrefillTokens: 0, kvTokens: 500, decodes: true, endedAt: now };
-    load.takeReport(createReport("e1", { asOf: now - 100, runningStreams: 3, kvTokensUsed: 2_000 }));
+    load.applyReport(createReport("e1", { asOf: now - 100, runningStreams: 3, kvTokensUsed: 2_000 }));
     load.end(ended);
     assert.equal(load.streams(), 2);
-    load.takeReport(createReport("e1", { asOf: now - 50, runningStreams: 3, kvTokensUsed: 2_000 }));
+    load.applyReport(createReport("e1", { asOf: now - 50, runningStreams: 3, kvTokensUsed: 2_000 }));
     assert.deepEqual([load.streams(), load.kvTokens()], [2, 1_500]);
     await clock.advance(10);
-    load.takeReport(createReport("e1", { asOf: now + 10, runningStreams: 2 }));
+    load.applyReport(createReport("e1", { asOf: now + 10, runningStreams: 2 }));
     assert.equal(load.streams(), 2);
 });
 
 test("reports that come crossed don't take the view back", () => {
     const { clock, load } = createFixture();
-    load.takeReport(createReport("e1", { asOf: clock.wallNow() - 100, runningStreams: 7 }));
-    load.takeReport(createReport("e1", { asOf: clock.wallNow() - 900, runningStreams: 1 }));
+    load.applyReport(createReport("e1", { asOf: clock.wallNow() - 100, runningStreams: 7 }));
+    load.applyReport(createReport("e1", { asOf: clock.wallNow() - 900, runningStreams: 1 }));
     assert.equal(load.streams(), 7);
 });
 
@@ -74,11 +74,11 @@
     const learn = async (queuedBefore: number, queuedAfter: number) => {
         const { clock, load, send } = createFixture();
         const start = clock.wallNow();
-        load.takeReport(createReport("e1", { asOf: start, queuedPrefillTokens: queuedBefore }));
+        load.applyReport(createReport("e1", { asOf: start, queuedPrefillTokens: queuedBefore }));
         const before = load.rates.prefillPerMillisecond(0);
         await clock.advance(500);
         send(start + 450);
-        load.takeReport(createReport("e1", { asOf: start + 500, queuedPrefillTokens: queuedAfter }));
+        load.applyReport(createReport("e1", { asOf: start + 500, queuedPrefillTokens: queuedAfter }));
         return load.rates.prefillPerMillisecond(0) / before;
     };
     // 2,000 of 8,000 were done in 500 ms: 4 tokens a millisecond where 10 were promised.
--- a/packages/daisyturn/src/process/load/cacheView.ts
+++ b/packages/daisyturn/src/process/load/cacheView.ts
@@ -10,9 +10,9 @@
     /** Enters a placement's blocks ahead of the engine's events. */
     expect(keys: BlockKeys): void;
     /** Takes in a page of events. A gap or a new incarnation empties the view first. */
-    take(page: CacheEventPage): void;
+    apply(page: CacheEventPage): void;
     /** Empties the view if the engine has been restarted. */
-    takeIncarnation(incarnation: string): void;
+    applyIncarnation(incarnation: string): void;
     /** Takes back what was expected beyond the first `matched` blocks. */
     forgetAfter(keys: BlockKeys, matched: number): void;
     clear(): void;
@@ -63,7 +63,7 @@
         turnGeneration();
     };
 
-    const takeIncarnation = (next: string) => {
+    const applyIncarnation = (next: string) => {
         if (next === incarnation) {
             return;
         }
@@ -87,8 +87,8 @@
         store(hashBlocks(event.stored));
     };
 
-    const take = (page: CacheEventPage) => {
-        takeIncarnation(page.incarnation);
+    const apply = (page: CacheEventPage) => {
+        applyIncarnation(page.incarnation);
         page.events.forEach(takeEvent);
         cursor = page.cursor;
     };
@@ -96,8 +96,8 @@
     return {
         slot,
         expect: store,
-        take,
-        takeIncarnation,
+        apply,
+        applyIncarnation,
         forgetAfter: (keys, matched) => remove(keys.subarray(2 * matched)),
         clear,
         cursor: () => cursor,
@@ -109,8 +109,8 @@
     return {
         slot: noSlot,
         expect: () => undefined,
-        take: () => undefined,
-        takeIncarnation: () => undefined,
+        apply: () => undefined,
+        applyIncarnation: () => undefined,
         forgetAfter: () => undefined,
         clear: () => undefined,
         cursor: () => 0,
--- a/packages/daisyturn/src/process/load/createLoadView.ts
+++ b/packages/daisyturn/src/process/load/createLoadView.ts
@@ -34,7 +34,7 @@
     /** What the engines' prefix caches are thought to hold. */
     readonly caches: CacheIndex;
     /** Counts work that is about to be sent. */
-    noteSent(work: Omit<SentWork, "sentAt">): SentHandle;
+    recordSent(work: Omit<SentWork, "sentAt">): SentHandle;
     /** What the processes tell each other; other modules add their parts. */
     readonly exchange: LoadExchange;
     /** Milliseconds of prefill for each engine that peers have probably sent since they last told. */
@@ -103,7 +103,7 @@
     const readLoad = async (engine: Engine, load: EngineLoad, deadline: number) => {
         const result = await engine.readLoad(deadline);
         if (result.isOk) {
-            load.takeReport(result.value);
+            load.applyReport(result.value);
             listeners.forEach(listener => listener(load));
         }
     };
@@ -111,14 +111,14 @@
     const readCacheEvents = async (engine: Engine, load: EngineLoad, deadline: number) => {
         const result = await engine.readCacheEvents(load.cache.cursor(), deadline);
         if (result.isOk) {
-            load.cache.take(result.value);
+            load.cache.apply(result.value);
         }
     };
 
     const readState = async (engine: Engine, load: EngineLoad, deadline: number) => {
         const result = await engine.readState(deadline);
         if (result.isOk) {
-            load.takeState(result.value);
+            load.applyState(result.value);
         }
     };
 
@@ -161,7 +161,7 @@
         await Promise.all(polls);
     };
 
-    const noteSent = (work: Omit<SentWork, "sentAt">): SentHandle => {
+    const recordSent = (work: Omit<SentWork, "sentAt">): SentHandle => {
         const timed: SentWork = { ...work, sentAt: clock.wallNow() };
         let isOpen = true;
         ensureLoad(work.engineId).add(timed);
@@ -222,7 +222,7 @@
         loads,
         find: engineId => known.get(engineId),
         caches,
-        noteSent,
+        recordSent,
         anticipatedWait: () => inflow.untold() / Math.max(1, known.size),
         countProcesses: () => 1 + options.membership.livePeers().length,
         exchange,
--- a/packages/daisyturn/src/process/load/engineLoad.ts
+++ b/packages/daisyturn/src/process/load/engineLoad.ts
@@ -42,10 +42,10 @@
     report(): LoadReport | undefined;
     /** Monotonic time; undefined before the first report. */
     reportedAt(): number | undefined;
-    takeReport(report: LoadReport): void;
+    applyReport(report: LoadReport): void;
     /** Last state read; undefined before the first. */
     state(): EngineState | undefined;
-    takeState(state: EngineState): void;
+    applyState(state: EngineState): void;
     add(work: SentWork): void;
     end(work: EndedWork): void;
     /** Prompt tokens prefilled a millisecond, with the streams that decode beside. */
@@ -122,7 +122,7 @@
         }
     };
 
-    const takeReport = (next: LoadReport) => {
+    const applyReport = (next: LoadReport) => {
         if (report && report.incarnation === next.incarnation && next.asOf < report.asOf) {
             return;
         }
@@ -134,7 +134,7 @@
         const listed = next.recentStreamIds && new Set(next.recentStreamIds);
         unreported = unreported.filter(work => isUnreported(work, listed, asOf));
         endedSinceReport = endedSinceReport.filter(work => work.endedAt >= asOf);
-        cache.takeIncarnation(next.incarnation);
+        cache.applyIncarnation(next.incarnation);
         report = next;
         reportedAt = clock.monotonicNow();
         rates.setPrior(next.prefillRate, next.decodeRate);
@@ -174,9 +174,9 @@
         phase: () => report?.phase ?? EnginePhase.Changing,
         report: () => report,
         reportedAt: () => reportedAt,
-        takeReport,
+        applyReport,
         state: () => state,
-        takeState: next => {
+        applyState: next => {
             state = next;
         },
         add,
--- a/packages/daisyturn/src/process/load/outputLengths.ts
+++ b/packages/daisyturn/src/process/load/outputLengths.ts
@@ -4,7 +4,7 @@
 export interface OutputLengths {
     /** Expected output tokens, never more than `limit`. */
     expect(profile: Profile, limit: number): number;
-    note(profile: Profile, outputTokens: number): void;
+    record(profile: Profile, outputTokens: number): void;
 }
 
 /** How much one answer moves the average. */
@@ -26,7 +26,7 @@
             const average = averages.get(keyOf(profile));
             return average && average.answers >= trustedAnswers ? Math.min(limit, average.mean) : limit;
         },
-        note: (profile, outputTokens) => {
+        record: (profile, outputTokens) => {
             const average = averages.get(keyOf(profile)) ?? { mean: outputTokens, answers: 0 };
             average.mean += gain * (outputTokens - average.mean);
             average.answers += 1;
--- a/packages/daisyturn/src/process/roles/arrivalMeter.ts
+++ b/packages/daisyturn/src/process/roles/arrivalMeter.ts
@@ -23,9 +23,9 @@
 
 /** Counts what arrives, refused requests included: what is refused for want of engines is demand all the same. */
 export interface ArrivalMeter {
-    noteArrival(request: RoutingRequest): void;
+    recordArrival(request: RoutingRequest): void;
     /** Tells what a placed request turned out to need, so that later arrivals are estimated better. */
-    notePlaced(request: RoutingRequest, prefillTokens: number): void;
+    recordPlaced(request: RoutingRequest, prefillTokens: number): void;
     /** To be called at a steady interval: takes a sample of the counts. */
     sample(): void;
     /** Rates over the window, with one entry per model and partner; none before the window is nearly covered. */
@@ -80,7 +80,7 @@
     const windowMilliseconds = options.windowMilliseconds ?? arrivalWindowMilliseconds;
     let samples: Sample[] = [];
 
-    const noteArrival = (request: RoutingRequest) => {
+    const recordArrival = (request: RoutingRequest) => {
         const { profile, partner } = request;
         const mean = means.get(keyOf(partner, profile.name));
         const counts = findCounts(own, profile.model, partner);
@@ -92,7 +92,7 @@
         counts.betweenTokensLimit += profile.betweenTokensLimitMilliseconds;
     };
 
-    const notePlaced = (request: RoutingRequest, prefillTokens: number) => {
+    const recordPlaced = (request: RoutingRequest, prefillTokens: number) => {
         const key = keyOf(request.partner, request.profile.name);
         const uncachedPart = prefillTokens / Math.max(1, request.promptTokens);
         const mean = means.get(key) ?? { uncachedPart, outputTokens: request.expectedOutputTokens };
@@ -150,7 +150,7 @@
         oldRuns.slice(0, Math.max(0, oldRuns.length - membership.others().length)).forEach(key => ofPeers.delete(key));
     };
 
-    return { noteArrival, notePlaced, sample, rates };
+    return { recordArrival, recordPlaced, sample, rates };
 }
 
 function computeRate(
--- a/packages/daisyturn/src/process/routing/__tests__/createRouter.test.ts
+++ b/packages/daisyturn/src/process/routing/__tests__/createRouter.test.ts
@@ -192,9 +192,9 @@
                 return;
             }
             await bench.clock.advance(100);
-            placement.notePrefilled();
+            placement.recordPrefilled();
             await bench.clock.advance(1_500);
-            placement.noteFirstToken();
+            placement.recordFirstToken();
             placement.end(PlacementOutcome.Completed);
         }
         assert.fail("still apart");
@@ -260,7 +260,7 @@
             onSick += placement.engine === "sick" ? 1 : 0;
             if (placement.engine !== "sick") {
                 await bench.clock.advance(10);
-                placement.noteFirstToken();
+                placement.recordFirstToken();
                 placement.end(PlacementOutcome.Completed);
             }
             await bench.clock.advance(10);
@@ -276,7 +276,7 @@
         for (let request = 0; request < 40; request++) {
             const placement = place(bench, { promptTokens: 100, profile });
             await bench.clock.advance(3_000);
-            placement.noteFirstToken();
+            placement.recordFirstToken();
             placement.end(PlacementOutcome.Completed);
         }
         assert.ok(bench.processes[0]!.eventLog.of(EventKind.EngineDegraded).length <= 1);
--- a/packages/daisyturn/src/process/routing/createPlacement.ts
+++ b/packages/daisyturn/src/process/routing/createPlacement.ts
@@ -58,17 +58,17 @@
     let tokens = 0;
     let isOpen = true;
 
-    loads.forEach(load => health.noteDispatch(load.engineId));
+    loads.forEach(load => health.recordDispatch(load.engineId));
     prefillLoad.cache.expect(match.keys);
 
-    const notePrefilled = (usage?: PlacementUsage) => {
+    const recordPrefilled = (usage?: PlacementUsage) => {
         prefilledAt = clock.monotonicNow();
         handles.get(prefillLoad)?.end();
         const predicted = option.firstToken - parts.transfer.estimate(request.promptTokens);
         noteSpeed(prefillLoad, predicted, prefilledAt - placedAt, usage);
     };
 
-    const noteFirstToken = () => {
+    const recordFirstToken = () => {
         if (firstTokenAt !== undefined) {
             return;
         }
@@ -86,7 +86,7 @@
         const corrected = predicted + Math.max(0, uncached) / load.prefillPerMillisecond();
         load.rates.observeFirstToken(load.streams(), corrected, actual, option.certainty);
         const ratio = (actual + ratioFloorMilliseconds) / (corrected + ratioFloorMilliseconds);
-        health.noteFirstTokenRatio(load.engineId, ratio);
+        health.recordFirstTokenRatio(load.engineId, ratio);
     };
 
     const noteDecodeRate = () => {
@@ -99,12 +99,12 @@
     };
 
     const noteCompleted = (usage?: PlacementUsage) => {
-        loads.forEach(load => health.noteSuccess(load.engineId));
+        loads.forEach(load => health.recordSuccess(load.engineId));
         noteDecodeRate();
         if (firstTokenAt !== undefined && prefilledAt === undefined) {
             noteSpeed(option.decode, option.firstToken, firstTokenAt - placedAt, usage);
         }
-        parts.lengths.note(request.profile, usage?.outputTokens ?? tokens);
+        parts.lengths.record(request.profile, usage?.outputTokens ?? tokens);
     };
 
     /** What never was prefilled is not in the cache, whatever was entered ahead. */
@@ -121,13 +121,13 @@
         isOpen = false;
         parts.onSettled(pending);
         handles.forEach(handle => outcome === PlacementOutcome.Refused ? handle.withdraw() : handle.end());
-        loads.forEach(load => health.noteEnd(load.engineId));
+        loads.forEach(load => health.recordEnd(load.engineId));
         switch (outcome) {
             case PlacementOutcome.Completed:
                 noteCompleted(usage);
                 break;
             case PlacementOutcome.Failed:
-                health.noteFailure(failedEngine().engineId);
+                health.recordFailure(failedEngine().engineId);
                 forgetPrefix();
                 break;
             case PlacementOutcome.Refused:
@@ -143,12 +143,12 @@
         prefillEngine: option.prefill?.engineId,
         engine: option.decode.engineId,
         expectedFirstTokenAt: clock.wallNow() + option.firstToken,
-        noteStream: (engine, streamId) => {
+        recordStream: (engine, streamId) => {
             loads.filter(load => load.engineId === engine).forEach(load => handles.get(load)?.nameStream(streamId));
         },
-        notePrefilled,
-        noteFirstToken,
-        noteTokens: count => {
+        recordPrefilled,
+        recordFirstToken,
+        recordTokens: count => {
             tokens += count;
         },
         end,
@@ -168,12 +168,12 @@
         kvTokens,
         decodes: true,
     };
-    const handles = new Map([[option.decode, loadView.noteSent(decodePart)]]);
+    const handles = new Map([[option.decode, loadView.recordSent(decodePart)]]);
     if (option.prefill) {
         const { engineId } = option.prefill;
         const kvOfPrompt = request.promptTokens;
         const part = { engineId, prefillTokens: option.prefillTokens, kvTokens: kvOfPrompt, decodes: false };
-        handles.set(option.prefill, loadView.noteSent(part));
+        handles.set(option.prefill, loadView.recordSent(part));
     }
     return handles;
 }
--- a/packages/daisyturn/src/process/routing/createRouter.ts
+++ b/packages/daisyturn/src/process/routing/createRouter.ts
@@ -89,7 +89,7 @@
     const listTiers = (request: RoutingRequest): EngineLoad[][] => {
         const able = loadView.loads().filter(load => canServe(load, request.profile, keeper));
         const untried = able.filter(load => !request.avoid.includes(load.engineId));
-        const steady = untried.filter(load => health.mayTake(load.engineId));
+        const steady = untried.filter(load => health.acceptsWork(load.engineId));
         return [steady, untried, able].filter(isComplete);
     };
 
--- a/packages/daisyturn/src/process/routing/overdueWatch.ts
+++ b/packages/daisyturn/src/process/routing/overdueWatch.ts
@@ -23,7 +23,7 @@
         const factor = (now - placement.placedAt) / expected;
         if (factor >= placement.nextOverdueFactor) {
             placement.nextOverdueFactor *= 2;
-            placement.engines.forEach(engineId => health.noteFirstTokenRatio(engineId, factor));
+            placement.engines.forEach(engineId => health.recordFirstTokenRatio(engineId, factor));
         }
     };
 
--- a/packages/daisyturn/src/process/routing/router.ts
+++ b/packages/daisyturn/src/process/routing/router.ts
@@ -41,11 +41,11 @@
     /** Wall-clock time in milliseconds. */
     readonly expectedFirstTokenAt: number;
     /** Tells under which id a part goes to an engine, right before it is sent; reports name streams by it. */
-    noteStream(engine: string, streamId: string): void;
+    recordStream(engine: string, streamId: string): void;
     /** Where prefill and decode are apart: the prefill part is done. */
-    notePrefilled(usage?: PlacementUsage): void;
-    noteFirstToken(): void;
-    noteTokens(count: number): void;
+    recordPrefilled(usage?: PlacementUsage): void;
+    recordFirstToken(): void;
+    recordTokens(count: number): void;
     /** @param usage from the stream's end mark, where there was one */
     end(outcome: PlacementOutcome, usage?: PlacementUsage): void;
 }
--- a/packages/daisyturn/src/request/answer/produceAnswer.ts
+++ b/packages/daisyturn/src/request/answer/produceAnswer.ts
@@ -28,10 +28,10 @@
         if (run.signal.aborted) {
             return err(history.conclude(run.signal.reason as Failure));
         }
-        history.note(end.error);
+        history.record(end.error);
         run.avoid.add(placement.value.engine);
         const isWorthwhile = isWorthAnotherTarget(end.error) && history.attempts < maxAttempts;
-        if (!isWorthwhile || !parts.retryBudget.tryTake()) {
+        if (!isWorthwhile || !parts.retryBudget.tryAcquire()) {
             return err(history.conclude(end.error));
         }
         recordRetry(parts, run, placement.value, end.error);
@@ -87,10 +87,10 @@
     return (tokens: StreamTokens) => {
         if (isFirst) {
             isFirst = false;
-            placement.noteFirstToken();
+            placement.recordFirstToken();
             recordFirstToken(parts, run, placement, tokens);
         }
-        placement.noteTokens(tokens.tokenCount);
+        placement.recordTokens(tokens.tokenCount);
         return run.channel.deliver(tokens);
     };
 }
--- a/packages/daisyturn/src/request/completion/serveModelRequest.ts
+++ b/packages/daisyturn/src/request/completion/serveModelRequest.ts
@@ -51,7 +51,7 @@
     if (ticket.isErr) {
         return err(ticket.error);
     }
-    parts.retryBudget.noteRequest();
+    parts.retryBudget.recordRequest();
     try {
         return await produceAnswer(parts, run);
     }
--- a/packages/daisyturn/src/request/dispatch.ts
+++ b/packages/daisyturn/src/request/dispatch.ts
@@ -92,7 +92,7 @@
     const { request, progress } = run;
     const streamId = parts.ids.next("str");
     const leave = parts.gate.enter(engineName);
-    placement.noteStream(engineName, streamId);
+    placement.recordStream(engineName, streamId);
     parts.eventLog.record(EventKind.RequestDispatched, {
         request: request.requestId,
         engine: engineName,
@@ -139,7 +139,7 @@
         cancelStream(parts, engine, streamId);
         return err(end.error);
     }
-    placement.notePrefilled(end.value);
+    placement.recordPrefilled(end.value);
     return ok({ engine, streamId, kvHandle: end.value.kvHandle });
 }
 
--- a/packages/daisyturn/src/request/forwarding/__fixtures__/playOverload.ts
+++ b/packages/daisyturn/src/request/forwarding/__fixtures__/playOverload.ts
@@ -103,7 +103,7 @@
         const { prefill, decode, isDeferred } = admitted.value;
         const { target: { targetId }, work, leastWork } = prefill ?? decode;
         const placed = loads.begin(targetId, { work, isDeferred, tokens: 0 });
-        caches.note(targetId, prompt.parts, engineService.engine?.kvTokens ?? 0);
+        caches.record(targetId, prompt.parts, engineService.engine?.kvTokens ?? 0);
         const end = (isServed: boolean) => {
             placed.end();
             account.end(isServed);
--- a/packages/daisyturn/src/request/forwarding/__tests__/requestTrace.test.ts
+++ b/packages/daisyturn/src/request/forwarding/__tests__/requestTrace.test.ts
@@ -7,9 +7,9 @@
     const eventLog = new MemoryEventLog();
     const trace = createRequestTrace({ eventLog, sampledCalls: 64, callId: "a", arrivedAt: 100, now: () => 105 });
     trace.repeatAtEnd({ tokens: 30_000, begins: 2_900, patience: 2_400 });
-    trace.note(EventKind.RequestPlaced, { target: "i-1" });
+    trace.record(EventKind.RequestPlaced, { target: "i-1" });
     trace.repeatAtEnd({ begins: 2_600 });
-    trace.noteEnd(EventKind.RequestRefused, { reason: "deadline_unreachable" });
+    trace.recordEnd(EventKind.RequestRefused, { reason: "deadline_unreachable" });
     trace.end(false);
     assert.deepEqual(eventLog.events.map(({ fields }) => fields), [
         { request: "a", after: 5, target: "i-1" },
--- a/packages/daisyturn/src/request/forwarding/admitPrompt.ts
+++ b/packages/daisyturn/src/request/forwarding/admitPrompt.ts
@@ -91,7 +91,7 @@
         patience: Math.round(findLeaveTime(run) - arrivedAt),
         deferred: isDeferred,
     });
-    run.trace.note(EventKind.RequestPlaced, {
+    run.trace.record(EventKind.RequestPlaced, {
         reader: reader?.target.targetId,
         readerWait: reader && Math.round(reader.wait),
         readerWork: reader && Math.round(reader.work),
--- a/packages/daisyturn/src/request/forwarding/callRun.ts
+++ b/packages/daisyturn/src/request/forwarding/callRun.ts
@@ -53,7 +53,7 @@
  * @param reachedTarget whether the target was sent the call: a connection that could not be made costs no budget
  */
 export function mayTryAgain(parts: ForwardingParts, run: CallRun, failure: Failure, reachedTarget: boolean): boolean {
-    run.history.note(failure);
+    run.history.record(failure);
     const hasTime = run.deadline - parts.clock.monotonicNow() > leastRetryMilliseconds;
     const isWorthwhile = isWorthAnotherTarget(failure) && run.history.attempts < mostAttempts;
     const isAllowed = maySendAgain(failure, isRepeatable(run.route));
@@ -61,10 +61,10 @@
         return false;
     }
     const isSpent = reachedTarget && run.sentTo.size >= run.route.maxAttempts;
-    if (isSpent || (reachedTarget && !parts.budget.tryTake(run.service.name))) {
+    if (isSpent || (reachedTarget && !parts.budget.tryAcquire(run.service.name))) {
         return false;
     }
-    run.trace.note(EventKind.RequestRetried, {
+    run.trace.record(EventKind.RequestRetried, {
         reason: failure.reason,
         verdict: failure.verdict,
         attempts: run.history.attempts,
--- a/packages/daisyturn/src/request/forwarding/requestTrace.ts
+++ b/packages/daisyturn/src/request/forwarding/requestTrace.ts
@@ -6,11 +6,11 @@
  * nearly nothing.
  */
 export interface RequestTrace {
-    note(kind: EventKind, fields: EventFields): void;
+    record(kind: EventKind, fields: EventFields): void;
     /** Fields that the last line repeats, so that it tells why the call ended even where the lines before it were dropped. */
     repeatAtEnd(fields: EventFields): void;
     /** Notes how the call ended. */
-    noteEnd(kind: EventKind, fields: EventFields): void;
+    recordEnd(kind: EventKind, fields: EventFields): void;
     /** Logs what was noted, or forgets it. */
     end(isOrdinary: boolean): void;
 }
@@ -42,17 +42,17 @@
     const notes: Note[] = [];
     const isSampled = hashTextTo32Bits(callId) % sampledCalls === 0;
     let repeated: EventFields = {};
-    const note = (kind: EventKind, fields: EventFields) => {
+    const record = (kind: EventKind, fields: EventFields) => {
         if (notes.length < mostNotes) {
             notes.push({ kind, fields: { request: callId, after: Math.round(now() - arrivedAt), ...fields } });
         }
     };
     return {
-        note,
+        record,
         repeatAtEnd: fields => {
             repeated = { ...repeated, ...fields };
         },
-        noteEnd: (kind, fields) => note(kind, { ...fields, ...repeated }),
+        recordEnd: (kind, fields) => record(kind, { ...fields, ...repeated }),
         end: isOrdinary => {
             if (!isOrdinary || isSampled) {
                 notes.forEach(({ kind, fields }) => eventLog.record(kind, fields));
--- a/packages/daisyturn/src/request/forwarding/runPlainCall.ts
+++ b/packages/daisyturn/src/request/forwarding/runPlainCall.ts
@@ -47,7 +47,7 @@
     target: ListedTarget,
     relay: EventRelay | undefined,
 ): Promise<Result<CallAnswer, Failure>> {
-    run.trace.note(EventKind.RequestPlaced, {
+    run.trace.record(EventKind.RequestPlaced, {
         target: target.targetId,
         zone: target.availabilityZone,
         calls: Math.round(parts.loads.calls(target.targetId)),
--- a/packages/daisyturn/src/request/forwarding/runPromptCall.ts
+++ b/packages/daisyturn/src/request/forwarding/runPromptCall.ts
@@ -62,7 +62,7 @@
         }
         const way = admitted.value;
         prefills += way.prefill ? 1 : 0;
-        parts.demand.note(run.service.name, way.reading);
+        parts.demand.record(run.service.name, way.reading);
         const answer = await takeWay(parts, run, prompt, way, relay);
         if (answer.isOk) {
             return ok(answer.value);
@@ -140,7 +140,7 @@
         return err(mayHaveRun(FailureReason.TargetFailed, message));
     }
     notePrefill(parts, run, prompt, step, parts.clock.monotonicNow() - startedAt);
-    parts.caches.note(step.target.targetId, prompt.parts, run.service.engine?.kvTokens ?? 0);
+    parts.caches.record(step.target.targetId, prompt.parts, run.service.engine?.kvTokens ?? 0);
     return parts.protocol.readKvHandle(body).map(handle => ({ address: step.target.address, handle }));
 }
 
@@ -178,7 +178,7 @@
         return err(reply.error);
     }
     run.sentTo.add(target.targetId);
-    parts.caches.note(target.targetId, prompt.parts, run.service.engine?.kvTokens ?? 0);
+    parts.caches.record(target.targetId, prompt.parts, run.service.engine?.kvTokens ?? 0);
     const meanPause = run.exchange.meanPause();
     if (meanPause !== undefined) {
         parts.eventPace.observe(run.service.name, meanPause);
--- a/packages/daisyturn/src/request/forwarding/sendToTarget.ts
+++ b/packages/daisyturn/src/request/forwarding/sendToTarget.ts
@@ -63,7 +63,7 @@
     const wait = health.beginWait(target.targetId, run.service.engine !== undefined);
     const watch = watchSilence(clock, health, run.signal, target.targetId, send.isRepeatable);
 
-    run.trace.note(EventKind.RequestDispatched, {
+    run.trace.record(EventKind.RequestDispatched, {
         target: target.targetId,
         address: target.address,
         part: describePart(send),
@@ -89,15 +89,15 @@
             sink: {
                 onHead: (status, fields) => {
                     const head = protocol.readHead(status, fields);
-                    health.noteHeard(target.targetId);
+                    health.recordBytesReceived(target.targetId);
                     if (head.load) {
-                        loads.noteReport(target.targetId, head.load);
+                        loads.recordReport(target.targetId, head.load);
                     }
                     reply.head = head;
                     return checkOrigin(run, send, head);
                 },
                 onChunk: chunk => {
-                    health.noteHeard(target.targetId);
+                    health.recordBytesReceived(target.targetId);
                     watch.noteHeard();
                     reply.bytes += chunk.length;
                     if (reply.bytes === chunk.length) {
@@ -144,8 +144,8 @@
     head: ReplyHead | undefined,
     result: Result<void, Failure>,
 ): void {
-    parts.metrics.noteSend(result.isErr ? result.error.reason : head?.isNotRun ? "not_run" : "answered");
-    run.trace.note(EventKind.TargetAnswered, {
+    parts.metrics.recordSend(result.isErr ? result.error.reason : head?.isNotRun ? "not_run" : "answered");
+    run.trace.record(EventKind.TargetAnswered, {
         target: target.targetId,
         status: head?.status,
         isNotRun: head?.isNotRun,
@@ -183,15 +183,15 @@
     isSilent: boolean,
 ): void {
     if (isSilent) {
-        parts.health.note(targetId, TargetEvidence.Silent);
+        parts.health.record(targetId, TargetEvidence.Silent);
     }
     else if (judged.isOk) {
         const isError = judged.value.head.status >= firstErrorStatus;
-        parts.health.note(targetId, isError ? TargetEvidence.AnsweredError : TargetEvidence.Answered);
+        parts.health.record(targetId, isError ? TargetEvidence.AnsweredError : TargetEvidence.Answered);
     }
     else if (!run.signal.aborted && judged.error.reason === FailureReason.TargetFailed) {
         const isSent = judged.error.verdict !== ExecutionVerdict.NotRun;
-        parts.health.note(targetId, isSent ? TargetEvidence.Broken : TargetEvidence.Unreachable);
+        parts.health.record(targetId, isSent ? TargetEvidence.Broken : TargetEvidence.Unreachable);
     }
 }
 
--- a/packages/daisyturn/src/request/forwarding/serveForwardedCall.ts
+++ b/packages/daisyturn/src/request/forwarding/serveForwardedCall.ts
@@ -37,7 +37,7 @@
         return;
     }
     const { run, end } = started.value;
-    parts.budget.noteRequest(run.service.name);
+    parts.budget.recordRequest(run.service.name);
     const answer = await runCall(parts, run);
     end();
     const failure = answer.isErr ? adviseReturn(parts, answer.error) : undefined;
@@ -74,7 +74,7 @@
     const deadline = Math.min(call.deadline, call.arrivedAt + route.timeoutMilliseconds);
     const wallDeadline = parts.clock.wallNow() + deadline - parts.clock.monotonicNow();
     const life = startRequestLife(parts.clock, exchange.signal, wallDeadline);
-    trace.note(EventKind.RequestAccepted, {
+    trace.record(EventKind.RequestAccepted, {
         route: route.name,
         service: serviceName,
         generation: table.configuration.version,
@@ -119,11 +119,11 @@
     const milliseconds = (run?.exchange.firstByteAt() ?? parts.clock.monotonicNow()) - arrivedAt;
     const longestPause = run?.exchange.longestPause() ?? 0;
     const outcome = judgeOutcome(run, milliseconds, failure, reply);
-    parts.metrics.noteCall(kind, outcome, milliseconds, longestPause);
+    parts.metrics.recordCall(kind, outcome, milliseconds, longestPause);
     if (run?.call.prompt) {
-        parts.sizeCounts.note(run.route.name, measureSize(run.call.prompt), isServed(outcome));
+        parts.sizeCounts.record(run.route.name, measureSize(run.call.prompt), isServed(outcome));
     }
-    trace.noteEnd(failure ? kindOfFailure(failure) : EventKind.RequestAnswered, {
+    trace.recordEnd(failure ? kindOfFailure(failure) : EventKind.RequestAnswered, {
         outcome,
         firstByte: Math.round(milliseconds),
         aim: run?.route.latencyAimMilliseconds,
--- a/packages/daisyturn/src/request/handlePlainCall.ts
+++ b/packages/daisyturn/src/request/handlePlainCall.ts
@@ -44,7 +44,7 @@
     if (ticket.isErr) {
         return err(ticket.error);
     }
-    parts.retryBudget.noteRequest();
+    parts.retryBudget.recordRequest();
     try {
         return await runPlainRequest(parts, exchange, request.value);
     }
--- a/packages/daisyturn/src/request/retryPolicy.ts
+++ b/packages/daisyturn/src/request/retryPolicy.ts
@@ -30,7 +30,7 @@
 
 /** Failures of one request's attempts, from which its final answer is made. */
 export interface FailureHistory {
-    note(failure: Failure): void;
+    record(failure: Failure): void;
     readonly attempts: number;
     /** The final failure: it may have run if any attempt may have. */
     conclude(last: Failure): Failure;
@@ -44,7 +44,7 @@
         get attempts() {
             return attempts;
         },
-        note: failure => {
+        record: failure => {
             attempts += 1;
             anyMayHaveRun ||= failure.verdict === ExecutionVerdict.MayHaveRun;
         },
--- a/packages/daisyturn/src/request/sendCall.ts
+++ b/packages/daisyturn/src/request/sendCall.ts
@@ -43,11 +43,11 @@
             return answer;
         }
         const failure = answer.error;
-        history.note(failure);
+        history.record(failure);
         failed.add(targetName);
         const mayRetry = !sent.signal.aborted && maySendAgain(failure, sent.idempotent)
             && isWorthAnotherTarget(failure) && history.attempts < maxAttempts;
-        if (!mayRetry || !parts.retryBudget.tryTake()) {
+        if (!mayRetry || !parts.retryBudget.tryAcquire()) {
             return err(history.conclude(failure));
         }
         call = { ...call, callId: parts.ids.next("call") };
