--- a/packages/daisyturn-cli/src/__fixtures__/createCommandBench.ts
+++ b/packages/daisyturn-cli/src/__fixtures__/createCommandBench.ts
@@ -1,7 +1,7 @@
 import {
     ChangeAction,
     type ConfigurationItem,
-    createConfigurationKeeper,
+    createConfigurationManager,
     createConfigurationRoutes,
     createIdentityRoutes,
     createMemoryTableService,
@@ -61,7 +61,7 @@
         readsPerSecond: 1_000,
     });
     const network = new NetworkAlone(self);
-    const keeper = createConfigurationKeeper({
+    const configurationManager = createConfigurationManager({
         self,
         storeClient,
         network,
@@ -72,12 +72,12 @@
         ids,
     });
     const stop = new AbortController();
-    await keeper.adopt(stop.signal);
+    await configurationManager.adopt(stop.signal);
     const server = await createOperatorServer({
         listen: { host: "127.0.0.1", port: 0 },
         operators: [{ partner: "nyamata", name: "alice", keyHash: hashText("operator-key") }],
         routes: [
-            ...createConfigurationRoutes({ keeper, membership: membershipAlone, self, ids, clock }),
+            ...createConfigurationRoutes({ configurationManager, membership: membershipAlone, self, ids, clock }),
             ...createIdentityRoutes(),
             ...routes,
         ],
@@ -112,7 +112,12 @@
     /** Publishes as another operator of the partner would, past the command line. */
     const publish = async (...items: readonly ConfigurationItem[]) => {
         const changes = items.map(item => ({ action: ChangeAction.Put as const, item }));
-        const answer = await keeper.publish({ writeId: ids.next("wr"), partner: "nyamata", operator: "bob", changes });
+        const answer = await configurationManager.publish({
+            writeId: ids.next("wr"),
+            partner: "nyamata",
+            operator: "bob",
+            changes,
+        });
         return answer.unwrapOr(undefined);
     };
 
@@ -121,7 +126,7 @@
         await server.close();
     };
 
-    return { address, keeper, run, publish, close };
+    return { address, configurationManager, run, publish, close };
 }
 
 /** A route that answers with what `answer` gives at that time. */
--- a/packages/daisyturn-cli/src/__tests__/commands.test.ts
+++ b/packages/daisyturn-cli/src/__tests__/commands.test.ts
@@ -42,7 +42,7 @@
         const replaced = await bench.run(["engine", "replace", "engine-1", "--with", "engine-2", "--yes"]);
         assert.match(replaced.errors, /~ hold engine-1: replaced\n.*holdKind: "drain" -> "replace"/);
         assert.equal((await bench.run(["engine", "resume", "engine-1", "--yes"])).code, ExitCode.Success);
-        assert.deepEqual(bench.keeper.current().holdsOn("engine-1"), []);
+        assert.deepEqual(bench.configurationManager.current().holdsOn("engine-1"), []);
         assert.equal((await bench.run(["engine", "withdraw", "engine-2", "--yes"])).code, ExitCode.Success);
         await bench.close();
     });
--- a/packages/daisyturn-cli/src/__tests__/profileCommands.test.ts
+++ b/packages/daisyturn-cli/src/__tests__/profileCommands.test.ts
@@ -64,7 +64,7 @@
         assert.equal((await bench.run(words, () => false)).code, ExitCode.Refused);
         const dry = await bench.run([...words, "--dry-run"]);
         assert.match(dry.out, /~ profile dossier: replaced\n {4}goodputWorth: 3 -> 5\n/);
-        assert.equal(bench.keeper.current().generation, 1);
+        assert.equal(bench.configurationManager.current().generation, 1);
     });
 
     it("changes and drops fields, and keeps the history", async () => {
@@ -72,7 +72,7 @@
         const words = ["profile", "change", "dossier", "--set", "goodputWorth=5", "--unset", "adapter"];
         const changed = await bench.run([...words, "--yes", "--json"]);
         assert.equal(changed.json()["generation"], 2);
-        const found = bench.keeper.current().findProfile("nyamata", "dossier");
+        const found = bench.configurationManager.current().findProfile("nyamata", "dossier");
         assert.deepEqual([found?.goodputWorth, found?.adapter], [5, undefined]);
         const renamed = await bench.run(["profile", "change", "dossier", "--set", "name=x", "--yes"]);
         assert.equal(renamed.code, ExitCode.Usage);
@@ -87,7 +87,7 @@
         const refused = await bench.run([...words, "--expect-generation", "7", "--json"]);
         assert.equal(refused.code, ExitCode.Refused);
         assert.match(refused.errors, /"reason":"conflict"/);
-        assert.equal(bench.keeper.current().generation, 1);
+        assert.equal(bench.configurationManager.current().generation, 1);
     });
 
     it("compares anew when others change something in between, and asks again only about another difference", async () => {
@@ -124,7 +124,7 @@
         const changed = await bench.run(words, undefined, environment);
         await proxy.close();
         assert.equal(changed.code, ExitCode.Success, changed.errors);
-        assert.deepEqual([lost, bench.keeper.current().generation], [1, 2]);
+        assert.deepEqual([lost, bench.configurationManager.current().generation], [1, 2]);
     });
 
     it("tells the write id when the outcome stays unknown", async () => {
@@ -141,17 +141,17 @@
         const writeId = /--write-id (\S+),/.exec(changed.errors)?.[1] ?? "";
         const again = await bench.run([...words, "--write-id", writeId]);
         assert.equal(again.code, ExitCode.Success, again.errors);
-        assert.equal(bench.keeper.current().generation, 2);
+        assert.equal(bench.configurationManager.current().generation, 2);
     });
 
     it("retires a profile and waits until nothing runs under it", async () => {
         await bench.publish(dossier);
-        const pin = bench.keeper.pin();
+        const pin = bench.configurationManager.pin();
         const words = ["profile", "retire", "dossier", "--yes", "--wait", "--write-id", "retire-1"];
         const waiting = await bench.run([...words, "--wait-seconds", "0.1"]);
         assert.equal(waiting.code, ExitCode.NotYet, waiting.errors);
         assert.match(waiting.errors, /- profile dossier: removed(.*\n)*.*still in use: running: 1 at entry-1/);
-        assert.equal(bench.keeper.current().findProfile("nyamata", "dossier"), undefined);
+        assert.equal(bench.configurationManager.current().findProfile("nyamata", "dossier"), undefined);
         assert.equal((await bench.run(["profile", "show", "dossier"])).code, ExitCode.Refused);
         pin.release();
         const ended = await bench.run(words);
--- a/packages/daisyturn-daemon/src/entry/createCell.ts
+++ b/packages/daisyturn-daemon/src/entry/createCell.ts
@@ -1,7 +1,7 @@
 import {
-    createConfigurationKeeper,
+    createConfigurationManager,
     createController,
-    createLeaseKeeper,
+    createLeaseManager,
     createMembership,
     createOrderCommands,
     createOrderRecords,
@@ -68,8 +68,17 @@
         lastStoreAnswerAt: () => storeClient.lastAnswerAt(),
         silenceLimitMilliseconds: settings.cell.outOfServiceMilliseconds,
     });
-    const keeper = createConfigurationKeeper({ self, storeClient, network, membership, clock, random, eventLog, ids });
-    return { network, storeClient, membership, serviceGuard, keeper };
+    const configurationManager = createConfigurationManager({
+        self,
+        storeClient,
+        network,
+        membership,
+        clock,
+        random,
+        eventLog,
+        ids,
+    });
+    return { network, storeClient, membership, serviceGuard, configurationManager };
 }
 
 type Agreement = ReturnType<typeof createAgreement>;
@@ -77,9 +86,9 @@
 /** The targets, and whether new work may go to them. */
 function createTargets(base: Base, agreement: Agreement) {
     const vmWatch = createVmWatch({ vmList: base.platform.vmList, clock: base.clock });
-    const targets = createHttpTargets(agreement.keeper, base.clock);
+    const targets = createHttpTargets(agreement.configurationManager, base.clock);
     const gate = createTargetGate({
-        configurationKeeper: agreement.keeper,
+        configurationManager: agreement.configurationManager,
         peerNetwork: agreement.network,
         clock: base.clock,
         isVmLeaving: target => isOnLeavingVm(vmWatch, target.url),
@@ -102,9 +111,9 @@
     { targets, gate }: ReturnType<typeof createTargets>,
 ) {
     const { clock, eventLog, random, ids, self } = base;
-    const { storeClient, membership, network, keeper } = agreement;
+    const { storeClient, membership, network, configurationManager } = agreement;
     const cellLeaseName = `${settings.cell.name}/${leaseName}`;
-    const leaseKeeper = createLeaseKeeper({
+    const leaseManager = createLeaseManager({
         name: cellLeaseName,
         self,
         storeClient,
@@ -120,17 +129,17 @@
         leaseName: cellLeaseName,
         storeClient,
         membership,
-        configurationKeeper: keeper,
+        configurationManager: configurationManager,
         clock,
     });
     const controller = createController({
         self,
-        leaseKeeper,
+        leaseManager,
         records,
         commands: orderCommands,
         peerNetwork: network,
         membership,
-        configurationKeeper: keeper,
+        configurationManager: configurationManager,
         targetDirectory: targets,
         targetGate: gate,
         weightStore: base.platform.weightStore,
@@ -138,5 +147,5 @@
         ids,
         eventLog,
     });
-    return { leaseKeeper, orderCommands, controller };
+    return { leaseManager, orderCommands, controller };
 }
--- a/packages/daisyturn-daemon/src/entry/createDataPath.ts
+++ b/packages/daisyturn-daemon/src/entry/createDataPath.ts
@@ -1,7 +1,7 @@
 import {
     createArrivalMeter,
     createCallerServer,
-    createClaimKeeper,
+    createClaimManager,
     createClaimPruner,
     createLoadView,
     defaultCallerLimits,
@@ -20,7 +20,7 @@
 /** Creates the parts that a caller's request goes through. */
 export function createDataPath(settings: DaemonSettings, policies: EntryPolicies, base: Base, cell: Cell) {
     const { clock, eventLog, random, ids, self } = base;
-    const { network, membership, keeper, targets, gate, storeClient, serviceGuard } = cell;
+    const { network, membership, configurationManager, targets, gate, storeClient, serviceGuard } = cell;
     const loadView = createLoadView({
         targets,
         network,
@@ -29,16 +29,24 @@
         eventLog,
         reportIntervalMilliseconds: loadReportIntervalMilliseconds,
     });
-    const router = policies.createRouter({ loadView, gate, keeper, clock, random, eventLog });
+    const router = policies.createRouter({ loadView, gate, configurationManager, clock, random, eventLog });
     const meter = createArrivalMeter({
         exchange: loadView.exchange,
         membership,
         clock,
     });
     router.onPlaced((request, option) => meter.recordPlaced(request, option.prefillTokens));
-    const inner = policies.createAdmission({ loadView, router, keeper, network, membership, clock, eventLog });
+    const inner = policies.createAdmission({
+        loadView,
+        router,
+        configurationManager,
+        network,
+        membership,
+        clock,
+        eventLog,
+    });
     const admission = createMeteredAdmission(inner, meter);
-    const claims = createClaimKeeper({
+    const claims = createClaimManager({
         self,
         storeClient,
         network,
@@ -50,18 +58,25 @@
     });
     const claimPruner = createClaimPruner({
         storeClient,
-        keeper: claims,
+        claimManager: claims,
         membership,
         clock,
         random,
         ids,
         eventLog,
     });
-    const readiness = createReadiness({ keeper, serviceGuard, targets, loadView, clock, firstReportsMilliseconds });
+    const readiness = createReadiness({
+        configurationManager,
+        serviceGuard,
+        targets,
+        loadView,
+        clock,
+        firstReportsMilliseconds,
+    });
     const callerServer = createCallerServer({
         listen: { address: settings.callers.listen.host, port: settings.callers.listen.port },
         tls: settings.callers.tls && readTlsFiles(settings.callers.tls),
-        keeper,
+        configurationManager,
         router,
         admission,
         gate,
--- a/packages/daisyturn-daemon/src/entry/createEntryProcess.ts
+++ b/packages/daisyturn-daemon/src/entry/createEntryProcess.ts
@@ -60,14 +60,14 @@
         await cell.network.start();
         membershipTask = cell.membership.run(membershipStop.signal);
         tasks.push(...startObserving(cell, data, background.signal));
-        await cell.keeper.adopt(background.signal);
+        await cell.configurationManager.adopt(background.signal);
         tasks.push(...startControl(cell, background.signal));
         tasks.push(reportMetrics(base.metrics, base.clock, cell, data, background.signal));
         tasks.push(startRolePlanner(policies, base, cell, data, background.signal));
         operatorServer = await startOperatorServer(settings, base, cell, data);
         await waitForEngines(base, data, background.signal);
         const { port } = await data.callerServer.start();
-        base.eventLog.record(EventKind.ProcessReady, { generation: cell.keeper.current().generation });
+        base.eventLog.record(EventKind.ProcessReady, { generation: cell.configurationManager.current().generation });
         return { callerPort: port, operatorPort: operatorServer.port };
     };
 
@@ -104,7 +104,7 @@
 }
 
 function startControl(cell: Cell, signal: AbortSignal): Promise<void>[] {
-    return [cell.keeper.run(signal), cell.leaseKeeper.run(signal), cell.controller.run(signal)];
+    return [cell.configurationManager.run(signal), cell.leaseManager.run(signal), cell.controller.run(signal)];
 }
 
 async function startRolePlanner(
@@ -120,8 +120,8 @@
             planning,
             meter: data.meter,
             loadView: data.loadView,
-            keeper: cell.keeper,
-            leaseKeeper: cell.leaseKeeper,
+            configurationManager: cell.configurationManager,
+            leaseManager: cell.leaseManager,
             controller: cell.controller,
             clock: base.clock,
             eventLog: base.eventLog,
@@ -138,7 +138,13 @@
 ): Promise<OperatorServer> {
     const { self, ids, clock, eventLog } = base;
     const routes = [
-        ...createConfigurationRoutes({ keeper: cell.keeper, membership: cell.membership, self, ids, clock }),
+        ...createConfigurationRoutes({
+            configurationManager: cell.configurationManager,
+            membership: cell.membership,
+            self,
+            ids,
+            clock,
+        }),
         ...createOrderRoutes({ commands: cell.orderCommands, loadView: data.loadView }),
         ...createClaimRoutes(data.claims),
         ...createIdentityRoutes(),
--- a/packages/daisyturn-daemon/src/entry/createMetricsReporter.ts
+++ b/packages/daisyturn-daemon/src/entry/createMetricsReporter.ts
@@ -14,9 +14,9 @@
     signal: AbortSignal,
 ): Promise<void> {
     while (!signal.aborted) {
-        metrics.gauge("configuration.generation", cell.keeper.current().generation);
+        metrics.gauge("configuration.generation", cell.configurationManager.current().generation);
         metrics.gauge("members.alive", cell.membership.livePeers().length + 1);
-        metrics.gauge("lease.held", cell.leaseKeeper.current() ? 1 : 0);
+        metrics.gauge("lease.held", cell.leaseManager.current() ? 1 : 0);
         metrics.gauge("service.in", cell.serviceGuard.isInService() ? 1 : 0);
         metrics.gauge("store.available", cell.storeClient.isAvailable() ? 1 : 0);
         metrics.gauge("admission.waiting", data.admission.waitingRequests());
--- a/packages/daisyturn-daemon/src/entry/createPlatform.ts
+++ b/packages/daisyturn-daemon/src/entry/createPlatform.ts
@@ -1,5 +1,5 @@
 import {
-    type ConfigurationKeeper,
+    type ConfigurationManager,
     createHttpEngine,
     createHttpPlainService,
     createHttpTableService,
@@ -34,10 +34,10 @@
 }
 
 /** Creates the directory of targets whose adapters share one pool of connections. */
-export function createHttpTargets(keeper: ConfigurationKeeper, clock: Clock): TargetDirectory {
+export function createHttpTargets(configurationManager: ConfigurationManager, clock: Clock): TargetDirectory {
     const dispatcher = createTargetDispatcher();
     return createTargetDirectory({
-        keeper,
+        configurationManager,
         createEngine: target => createHttpEngine({ engineId: target.name, url: target.url, clock, dispatcher }),
         createPlainService: target =>
             createHttpPlainService({ targetId: target.name, url: target.url, clock, dispatcher }),
--- a/packages/daisyturn-daemon/src/entry/createReadiness.ts
+++ b/packages/daisyturn-daemon/src/entry/createReadiness.ts
@@ -1,9 +1,9 @@
-import type { ConfigurationKeeper, LoadView, ServiceGuard, TargetDirectory } from "daisyturn";
+import type { ConfigurationManager, LoadView, ServiceGuard, TargetDirectory } from "daisyturn";
 import type { Clock } from "daisyturn-utils";
 
 /** What readiness depends on. */
 export interface ReadinessOptions {
-    readonly keeper: ConfigurationKeeper;
+    readonly configurationManager: ConfigurationManager;
     readonly serviceGuard: ServiceGuard;
     readonly targets: TargetDirectory;
     readonly loadView: LoadView;
@@ -24,12 +24,12 @@
  * first requests for want of one (seen in the rolling restart, and when the first version names the engines).
  */
 export function createReadiness(options: ReadinessOptions): Readiness {
-    const { keeper, serviceGuard, targets, loadView, clock } = options;
+    const { configurationManager, serviceGuard, targets, loadView, clock } = options;
     let reportDeadline = clock.monotonicNow() + options.firstReportsMilliseconds;
 
     const haveAllReported = () => loadView.loads().length >= targets.engines().length;
 
-    keeper.onVersion(() => {
+    configurationManager.onVersion(() => {
         // Versions that name no new engine leave a deadline that has passed as it is.
         if (!haveAllReported()) {
             reportDeadline = Math.max(reportDeadline, clock.monotonicNow() + options.firstReportsMilliseconds);
@@ -38,7 +38,7 @@
 
     const knowsEngines = () => haveAllReported() || clock.monotonicNow() >= reportDeadline;
 
-    const isReady = () => keeper.current().generation > 0 && serviceGuard.isInService() && knowsEngines();
+    const isReady = () => configurationManager.current().generation > 0 && serviceGuard.isInService() && knowsEngines();
 
     return { isReady, knowsEngines };
 }
--- a/packages/daisyturn-daemon/src/entry/createStatusRoutes.ts
+++ b/packages/daisyturn-daemon/src/entry/createStatusRoutes.ts
@@ -16,8 +16,8 @@
                 ready: data.readiness.isReady(),
                 inService: cell.serviceGuard.isInService(),
                 outOfServiceReason: cell.serviceGuard.reason(),
-                generation: cell.keeper.current().generation,
-                holdsLease: cell.leaseKeeper.current() !== undefined,
+                generation: cell.configurationManager.current().generation,
+                holdsLease: cell.leaseManager.current() !== undefined,
                 storeAvailable: cell.storeClient.isAvailable(),
                 members: cell.membership.others().map(member => ({
                     processId: member.identity.processId,
--- a/packages/daisyturn-daemon/src/forwarding/createForwardingParts.ts
+++ b/packages/daisyturn-daemon/src/forwarding/createForwardingParts.ts
@@ -1,7 +1,7 @@
 import type { Clock, EventLog, Random } from "daisyturn-utils";
 import {
     createCallPlacement,
-    createForwardingKeeper,
+    createForwardingConfigurationManager,
     createLeastRunningPlacement,
     createLongReadings,
     createSizeCounts,
@@ -10,7 +10,7 @@
     createTargetViews,
     createWindowedRetryBudget,
     defaultSampledCalls,
-    type ForwardingKeeper,
+    type ForwardingConfigurationManager,
     type ForwardingMetrics,
     type ForwardingParts,
     switchOffViews,
@@ -32,14 +32,14 @@
 
 /** The parts of one process but for the decisions, which its group takes part in; with the followers of the tables. */
 export interface ForwardingProcessParts extends Omit<ForwardingParts, "decisions"> {
-    readonly keeper: ForwardingKeeper;
+    readonly configurationManager: ForwardingConfigurationManager;
     readonly targets: TargetList;
 }
 
 /** Creates the parts that a forwarded call passes through, and ties them to the coming and going of targets. */
 export function createForwardingParts(options: ForwardingPartsOptions): ForwardingProcessParts {
     const { adapters, settings, clock, random, eventLog, metrics } = options;
-    const keeper = createForwardingKeeper({
+    const configurationManager = createForwardingConfigurationManager({
         key: adapters.configurationKey,
         decode: adapters.decodeConfiguration,
         eventLog,
@@ -56,7 +56,7 @@
     const budget = createWindowedRetryBudget(clock, () => settings().retries);
     return {
         ...views,
-        keeper,
+        configurationManager,
         placement,
         availabilityZone,
         budget,
--- a/packages/daisyturn-daemon/src/forwarding/createForwardingProcess.ts
+++ b/packages/daisyturn-daemon/src/forwarding/createForwardingProcess.ts
@@ -109,7 +109,7 @@
         views: parts,
         sizeFairness: parts.sizeFairness,
         decideHere: request => decidePrompt(parts, request),
-        findService: name => parts.keeper.current()?.configuration.services.get(name),
+        findService: name => parts.configurationManager.current()?.configuration.services.get(name),
         freshMilliseconds: () => heedMilliseconds() * freshFraction,
         clock,
         eventLog,
@@ -133,10 +133,10 @@
     setMaxListeners(mostBackgroundTasks, background.signal);
     let isStopping = false;
     const isReady = () =>
-        !isStopping && !overloadGuard.isOverwhelmed() && parts.keeper.current() !== undefined
+        !isStopping && !overloadGuard.isOverwhelmed() && parts.configurationManager.current() !== undefined
         && parts.targets.isKnown();
     const readiness = createReadinessServer(settings.readiness, adapters.readinessPath, isReady);
-    parts.keeper.onChanged(table => server.setLimits(table.configuration.limits));
+    parts.configurationManager.onChanged(table => server.setLimits(table.configuration.limits));
 
     const follow = () => {
         const ownWait = () => Math.max(shortestFeedWait, settings.contactMilliseconds - feedMarginMilliseconds);
@@ -164,7 +164,7 @@
                 relay: coordination.relayedTable(name),
                 reader: coordination.tableReader,
             }, background.signal);
-        void follow("configuration", adapters.configurationFeed, parts.keeper);
+        void follow("configuration", adapters.configurationFeed, parts.configurationManager);
         void follow("targets", adapters.targetFeed, parts.targets);
     };
 
--- a/packages/daisyturn-daemon/src/forwarding/createMetricsServer.ts
+++ b/packages/daisyturn-daemon/src/forwarding/createMetricsServer.ts
@@ -12,7 +12,7 @@
 export interface MetricsServer {
     readonly metrics: ForwardingMetrics;
     /** Adds what is read at the moment of asking. */
-    observe(parts: Pick<ForwardingParts, "keeper" | "targets">): void;
+    observe(parts: Pick<ForwardingParts, "configurationManager" | "targets">): void;
     start(): Promise<void>;
     close(): void;
 }
@@ -66,13 +66,13 @@
         }
     }
 
-    const observe = ({ keeper, targets }: Pick<ForwardingParts, "keeper" | "targets">) => {
+    const observe = ({ configurationManager, targets }: Pick<ForwardingParts, "configurationManager" | "targets">) => {
         new Gauge({
             name: "daisyturn_configuration_version",
             help: "Version of the configuration in force; 0 before the first",
             registers,
             collect() {
-                this.set(keeper.current()?.configuration.version ?? 0);
+                this.set(configurationManager.current()?.configuration.version ?? 0);
             },
         });
         new Gauge({
@@ -82,7 +82,7 @@
             registers,
             collect() {
                 this.reset();
-                const services = keeper.current()?.configuration.services.keys() ?? [];
+                const services = configurationManager.current()?.configuration.services.keys() ?? [];
                 [...services].forEach(service => this.set({ service }, targets.open(service).length));
             },
         });
--- a/packages/daisyturn-daemon/src/forwarding/startStageChanges.ts
+++ b/packages/daisyturn-daemon/src/forwarding/startStageChanges.ts
@@ -1,5 +1,5 @@
 import { type Clock, createIdSource, type EventLog, type Random } from "daisyturn-utils";
-import { changeStages, createLeaseKeeper, createStoreClient } from "daisyturn/forwarding";
+import { changeStages, createLeaseManager, createStoreClient } from "daisyturn/forwarding";
 import type { ForwardingProcessParts } from "./createForwardingParts.js";
 import type { ForwardingAdapters } from "./forwardingAdapters.js";
 import type { ForwardingSettings } from "./forwardingSettings.js";
@@ -41,7 +41,7 @@
         signal,
     });
     const peerAddress = `${settings.peers.address}:${settings.peers.port}`;
-    const leaseKeeper = createLeaseKeeper({
+    const leaseManager = createLeaseManager({
         name: leaseName,
         self: { processId, incarnation, vmId: processId, availabilityZone, peerAddress },
         storeClient,
@@ -56,14 +56,15 @@
     void changeStages({
         holder: processId,
         listServices: () => listEngineServices(parts),
-        kvTokens: service => parts.keeper.current()?.configuration.services.get(service)?.engine?.kvTokens ?? 0,
+        kvTokens: service =>
+            parts.configurationManager.current()?.configuration.services.get(service)?.engine?.kvTokens ?? 0,
         targets: parts.targets,
         loads: parts.loads,
         health: parts.health,
         demand: parts.demand,
         closed: parts.closed,
         orders: engineOrders,
-        leaseKeeper,
+        leaseManager,
         isPlanner: options.isPlanner,
         leaseMilliseconds,
         closingMilliseconds: () => options.peerPause() * datagramsBeforeOrder,
@@ -73,6 +74,6 @@
 }
 
 function listEngineServices(parts: ForwardingProcessParts): readonly string[] {
-    const services = parts.keeper.current()?.configuration.services.values() ?? [];
+    const services = parts.configurationManager.current()?.configuration.services.values() ?? [];
     return [...services].filter(service => service.engine !== undefined).map(service => service.name);
 }
--- a/packages/daisyturn-examples/src/holdLease.ts
+++ b/packages/daisyturn-examples/src/holdLease.ts
@@ -1,4 +1,4 @@
-import { createLeaseKeeper, createMemoryTableService, createStoreClient, type ProcessIdentity } from "daisyturn";
+import { createLeaseManager, createMemoryTableService, createStoreClient, type ProcessIdentity } from "daisyturn";
 import { type Clock, createIdSource, createSeededRandom, MemoryEventLog, SystemClock } from "daisyturn-utils";
 
 /** Fencing numbers of two processes that held the same lease one after the other. */
@@ -40,7 +40,7 @@
         writesPerSecond: 50,
         readsPerSecond: 200,
     });
-    const keeper = createLeaseKeeper({
+    const leaseManager = createLeaseManager({
         name: "example",
         self,
         storeClient,
@@ -50,9 +50,9 @@
         eventLog,
         pollIntervalMilliseconds: 50,
     });
-    const acquired = new Promise<number>(resolve => keeper.onAcquired(lease => resolve(lease.fencingNumber)));
+    const acquired = new Promise<number>(resolve => leaseManager.onAcquired(lease => resolve(lease.fencingNumber)));
     const stopper = new AbortController();
-    const running = keeper.run(stopper.signal);
+    const running = leaseManager.run(stopper.signal);
     const stop = async () => {
         stopper.abort();
         await running;
--- a/packages/daisyturn-standins/src/bench/naivePolicies.ts
+++ b/packages/daisyturn-standins/src/bench/naivePolicies.ts
@@ -31,13 +31,16 @@
 }
 
 function createRoundRobinRouter(options: RouterOptions): PlanningRouter {
-    const { loadView, gate, keeper, clock } = options;
+    const { loadView, gate, configurationManager, clock } = options;
     const turns = new Map<string, number>();
 
     const listOpen = (request: RoutingRequest, roles: readonly EngineRole[]) =>
         loadView.loads()
             .filter(load => roles.includes(load.role()) && gate.isOpen(load.engineId))
-            .filter(load => keeper.current().findTarget(load.engineId)?.models?.includes(request.profile.model) ?? true)
+            .filter(load =>
+                configurationManager.current().findTarget(load.engineId)?.models?.includes(request.profile.model)
+                    ?? true
+            )
             .map(load => load.engineId)
             .sort();
 
--- a/packages/daisyturn-standins/src/configuration/runConfigurationNode.ts
+++ b/packages/daisyturn-standins/src/configuration/runConfigurationNode.ts
@@ -1,5 +1,5 @@
 import {
-    createConfigurationKeeper,
+    createConfigurationManager,
     createConfigurationRoutes,
     createHttpTableService,
     createHttpVmList,
@@ -62,7 +62,7 @@
     readsPerSecond: 150,
 });
 const membership = createMembership({ network, vmList: vms.vmList, seeds, clock, random, eventLog });
-const keeper = createConfigurationKeeper({
+const configurationManager = createConfigurationManager({
     self,
     storeClient,
     network,
@@ -83,7 +83,7 @@
         acceptedAt: eventLog.acceptedAt,
         inForceAt: eventLog.inForceAt,
         adoptionMilliseconds: adoptedAt - startedAt,
-        items: keeper.current().items.length,
+        items: configurationManager.current().items.length,
         livePeers: membership.livePeers().length,
         cpuMilliseconds: (cpu.user + cpu.system) / 1_000,
         messagesSent: network.traffic.messagesSent,
@@ -100,14 +100,14 @@
     await clock.sleepUntil(clock.monotonicNow() + 20);
 }
 const adoptionStart = readMachineClock();
-await keeper.adopt(background.signal);
+await configurationManager.adopt(background.signal);
 adoptedAt = startedAt + readMachineClock() - adoptionStart;
-tasks.push(keeper.run(background.signal));
+tasks.push(configurationManager.run(background.signal));
 const server = await createOperatorServer({
     listen: { host: "127.0.0.1", port: 0 },
     operators: measuredPartners.map(partner => ({ partner, name: "op", keyHash: hashText(operatorKeyOf(partner)) })),
     routes: [
-        ...createConfigurationRoutes({ keeper, membership, self, ids, clock }),
+        ...createConfigurationRoutes({ configurationManager, membership, self, ids, clock }),
         { method: OperatorMethod.Get, path: "/measurements", handle: () => ok(toJson(report())) },
     ],
     clock,
--- a/packages/daisyturn-standins/src/measure/claims/measureClaims.ts
+++ b/packages/daisyturn-standins/src/measure/claims/measureClaims.ts
@@ -1,10 +1,10 @@
 import {
     type ClaimRequest,
-    createClaimKeeper,
+    createClaimManager,
     membershipAlone,
     NetworkAlone,
     type PagedStoreClient,
-    type ProcessClaimKeeper,
+    type ProcessClaimManager,
     type ProcessIdentity,
     type SendCall,
     type ServiceCall,
@@ -49,7 +49,7 @@
 
 interface Bench {
     readonly storeClient: PagedStoreClient;
-    readonly keeper: ProcessClaimKeeper;
+    readonly claimManager: ProcessClaimManager;
     countTransactions(): number;
     close(): Promise<void>;
 }
@@ -61,7 +61,10 @@
 async function measureLatency(slowMilliseconds: number): Promise<void> {
     const ways: readonly (readonly [string, (bench: Bench) => RunCall])[] = [
         ["no claim", () => call => send(call, { mayStart: () => true })],
-        ["claim, answer before its record", ({ keeper }) => call => keeper.runOnce(createRequest(call), send)],
+        [
+            "claim, answer before its record",
+            ({ claimManager }) => call => claimManager.runOnce(createRequest(call), send),
+        ],
         ["claim, answer after its record", bench => call => runWithRecord(bench, call)],
         ["claim in two steps, answer before its record", bench => call => runInTwoSteps(bench, call)],
     ];
@@ -96,11 +99,11 @@
         const calls: Promise<void>[] = [];
         const startedAt = clock.monotonicNow();
         while (clock.monotonicNow() < startedAt + offeredMilliseconds) {
-            calls.push(timeAnswered(bench.keeper, times));
+            calls.push(timeAnswered(bench.claimManager, times));
             await clock.sleepUntil(startedAt + calls.length * 1_000 / offered);
         }
         await Promise.all(calls);
-        await bench.keeper.drain(clock.monotonicNow() + callMilliseconds);
+        await bench.claimManager.drain(clock.monotonicNow() + callMilliseconds);
         perCall.push(bench.countTransactions() / calls.length);
         answered.push(times.length / calls.length);
         latencies.push(quantile(times, 0.99));
@@ -131,7 +134,7 @@
         },
     });
     const storeClient = createMeasuredClient(tableService, seed, { writesPerSecond });
-    const keeper = createClaimKeeper({
+    const claimManager = createClaimManager({
         self,
         storeClient,
         network: new NetworkAlone(self),
@@ -142,24 +145,24 @@
     });
     return {
         storeClient,
-        keeper,
+        claimManager,
         countTransactions: () => transactions,
         close: async () => {
-            await keeper.drain(clock.monotonicNow() + callMilliseconds);
+            await claimManager.drain(clock.monotonicNow() + callMilliseconds);
             await tables.close();
             await server.close();
         },
     };
 }
 
-async function runWithRecord({ keeper }: Bench, call: ServiceCall): Promise<void> {
-    await keeper.runOnce(createRequest(call), send);
-    await keeper.drain(clock.monotonicNow() + callMilliseconds);
+async function runWithRecord({ claimManager }: Bench, call: ServiceCall): Promise<void> {
+    await claimManager.runOnce(createRequest(call), send);
+    await claimManager.drain(clock.monotonicNow() + callMilliseconds);
 }
 
 /** A second write, before the send, that would tell a claim whose call was not sent from one whose call was. */
-function runInTwoSteps({ keeper, storeClient }: Bench, call: ServiceCall): Promise<unknown> {
-    return keeper.runOnce(createRequest(call), async (given, permit) => {
+function runInTwoSteps({ claimManager, storeClient }: Bench, call: ServiceCall): Promise<unknown> {
+    return claimManager.runOnce(createRequest(call), async (given, permit) => {
         const deadline = clock.monotonicNow() + callMilliseconds;
         await storeClient.commit(createClaimTransaction(), StorePriority.Claim, deadline);
         return send(given, permit);
@@ -179,11 +182,11 @@
 }
 
 /** Times a call that is answered; one that is refused for lack of writes is left out. */
-async function timeAnswered(keeper: ProcessClaimKeeper, times: number[]): Promise<void> {
+async function timeAnswered(claimManager: ProcessClaimManager, times: number[]): Promise<void> {
     const own: number[] = [];
     let isAnswered = false;
     await timeCall(async call => {
-        const result = await keeper.runOnce(createRequest(call, offeredCallMilliseconds), send);
+        const result = await claimManager.runOnce(createRequest(call, offeredCallMilliseconds), send);
         isAnswered = result.isOk;
     }, own);
     times.push(...isAnswered ? own : []);
--- a/packages/daisyturn-standins/src/measure/policy/policyCell.ts
+++ b/packages/daisyturn-standins/src/measure/policy/policyCell.ts
@@ -1,6 +1,6 @@
 import {
     type ConfigurationItem,
-    type ConfigurationKeeper,
+    type ConfigurationManager,
     type ConfigurationVersion,
     createAdmission,
     createConfigurationVersion,
@@ -37,7 +37,7 @@
     readonly loadView: LoadView;
     readonly router: PlanningRouter;
     readonly admission: RunningAdmission;
-    readonly keeper: ConfigurationKeeper;
+    readonly configurationManager: ConfigurationManager;
 }
 
 /** What a measurement varies. */
@@ -77,7 +77,7 @@
     const identities = countUpTo(options.processes).map(index => createIdentity(`p${index}`));
     const handlers = new Map<string, Map<PeerMethod, PeerHandler>>();
     const traffic = { messages: 0, bytes: 0 };
-    const keeper = createFixedKeeper(options.items);
+    const configurationManager = createFixedConfigurationManager(options.items);
     const targets = {
         engine: (name: string) => engines.find(engine => engine.engineId === name),
         plainService: () => undefined,
@@ -113,13 +113,13 @@
     const processes = identities.map((identity, index): PolicyProcess => {
         const network = new DelayedNetwork(identity);
         const membership = createFullMembership(identities.filter(other => other !== identity));
-        const common = { clock, eventLog: new MemoryEventLog(), network, membership, keeper };
+        const common = { clock, eventLog: new MemoryEventLog(), network, membership, configurationManager };
         const loadView = createLoadView({ ...options, ...common, targets });
         const random = createSeededRandom(options.seed * 1_000 + index);
         const choice = options.createChoice?.(index);
         const router = createRouter({ ...common, loadView, gate: openGate, random, choice });
         const admission = createAdmission({ ...common, loadView, router });
-        return { network, membership, loadView, router, admission, keeper };
+        return { network, membership, loadView, router, admission, configurationManager };
     });
 
     return {
@@ -152,7 +152,7 @@
     };
 }
 
-function createFixedKeeper(items: readonly ConfigurationItem[]): ConfigurationKeeper {
+function createFixedConfigurationManager(items: readonly ConfigurationItem[]): ConfigurationManager {
     const version: ConfigurationVersion = createConfigurationVersion(1, items);
     const unused = () => Promise.reject(new Error("A measurement's configuration is fixed."));
     return {
--- a/packages/daisyturn-standins/src/orders/runLeaseHolder.ts
+++ b/packages/daisyturn-standins/src/orders/runLeaseHolder.ts
@@ -1,4 +1,4 @@
-import { createHttpTableService, createLeaseKeeper, createStoreClient } from "daisyturn";
+import { createHttpTableService, createLeaseManager, createStoreClient } from "daisyturn";
 import { createIdSource, createSeededRandom, MemoryEventLog, SystemClock } from "daisyturn-utils";
 import { once } from "node:events";
 import { parseArgs } from "node:util";
@@ -17,7 +17,7 @@
 const incarnation = `${values.id}-${String(Date.now()).padStart(15, "0")}`;
 const { tableService, close } = createHttpTableService({ url: values.platform, clock });
 const stopper = new AbortController();
-const leaseKeeper = createLeaseKeeper({
+const leaseManager = createLeaseManager({
     name: "measured",
     self: {
         processId: values.id,
@@ -40,7 +40,7 @@
     ids: createIdSource(incarnation),
     eventLog,
 });
-const running = leaseKeeper.run(stopper.signal);
+const running = leaseManager.run(stopper.signal);
 process.stdout.write(`listening incarnation=${incarnation}\n`);
 await once(process, "SIGTERM");
 stopper.abort();
--- a/packages/daisyturn/src/connection/caller/__fixtures__/createCallerBench.ts
+++ b/packages/daisyturn/src/connection/caller/__fixtures__/createCallerBench.ts
@@ -3,7 +3,7 @@
 import { Priority } from "../../../ports/engine.js";
 import type { PlainService } from "../../../ports/plainService.js";
 import type { Placement, PlacementOutcome, PlacementUsage, RoutingRequest } from "../../../process/routing/index.js";
-import type { ClaimKeeper } from "../../../request/claims/claimKeeper.js";
+import type { ClaimManager } from "../../../request/claims/claimManager.js";
 import {
     type CallerAccount,
     ItemKind,
@@ -128,7 +128,7 @@
         listen: { address: "127.0.0.1", port: 0 },
         isReady: () => true,
         resumeKeys: [benchResumeKey],
-        keeper: versionUsage,
+        configurationManager: versionUsage,
         router: { place: request => placeOnFirst(engines, request, placements, overrides.prefillEngine) },
         admission: { admitModelRequest: () => Promise.resolve(ticket()), admitPlainCall: ticket },
         gate: {
@@ -177,7 +177,7 @@
 }
 
 /** Keeps no claims: every call is sent. */
-function createPassingClaims(): ClaimKeeper {
+function createPassingClaims(): ClaimManager {
     return {
         runOnce: (request, send) => send(request.call, { mayStart: () => true }),
         lookUp: () => Promise.resolve(err(notRun(FailureReason.NotFound, "Not kept."))),
--- a/packages/daisyturn/src/connection/caller/__tests__/plainCalls.test.ts
+++ b/packages/daisyturn/src/connection/caller/__tests__/plainCalls.test.ts
@@ -3,7 +3,7 @@
 import { afterEach, describe, test } from "node:test";
 import { err, ok, type Result } from "true-myth/result";
 import { PlainService, type ServiceAnswer, type ServiceCall } from "../../../ports/plainService.js";
-import { type ClaimRequest, ClaimState, standingPermit } from "../../../request/claims/claimKeeper.js";
+import { type ClaimRequest, ClaimState, standingPermit } from "../../../request/claims/claimManager.js";
 import { openRaw, readToEnd, waitUntil } from "../__fixtures__/callerRequests.js";
 import { type BenchOptions, callerKey, createCallerBench } from "../__fixtures__/createCallerBench.js";
 
--- a/packages/daisyturn/src/connection/operator/__tests__/createClaimRoutes.test.ts
+++ b/packages/daisyturn/src/connection/operator/__tests__/createClaimRoutes.test.ts
@@ -6,12 +6,12 @@
 import { matchRoute } from "../operatorRoutes.js";
 
 it("shows a claim to its partner's operators only, and never the answer", async () => {
-    const { clock, startKeeper, send } = createClaimBench();
-    const keeper = startKeeper("p");
-    await keeper.runOnce(createClaimRequest(clock), send);
+    const { clock, startManager, send } = createClaimBench();
+    const claimManager = startManager("p");
+    await claimManager.runOnce(createClaimRequest(clock), send);
     await clock.advance(100);
     const show = async (partner: string, key: string) => {
-        const matched = matchRoute(createClaimRoutes(keeper), "GET", "/v1/claims/a/s");
+        const matched = matchRoute(createClaimRoutes(claimManager), "GET", "/v1/claims/a/s");
         const { route, parameters } = matched ?? assert.fail();
         const query = new URLSearchParams(key === "" ? {} : { key });
         return route.handle({ operator: { partner, name: "o" }, parameters, query, body: undefined });
--- a/packages/daisyturn/src/connection/operator/__tests__/createOperatorServer.test.ts
+++ b/packages/daisyturn/src/connection/operator/__tests__/createOperatorServer.test.ts
@@ -137,7 +137,7 @@
         const differences = tried.body["differences"] as { effect: string; }[];
         assert.deepEqual(differences.map(one => one.effect), ["replaced", "added"]);
         assert.equal(tried.body["generation"], 1);
-        assert.equal(process.keeper.current().generation, 1);
+        assert.equal(process.configurationManager.current().generation, 1);
     });
 
     it("tells what became of a write id, and cancels one that was not accepted", async () => {
@@ -160,20 +160,22 @@
         assert.equal((await call("north", "POST", "/v1/targets/engine-1/drain", { note: "disk" })).status, 200);
         assert.equal((await call("north", "POST", "/v1/targets/engine-1/resume")).status, 200);
         assert.equal((await call("north", "POST", "/v1/targets/engine-1/resume")).status, 404);
-        assert.deepEqual(process.keeper.current().holdsOn("engine-1").map(hold => hold.partner), ["south"]);
+        assert.deepEqual(process.configurationManager.current().holdsOn("engine-1").map(hold => hold.partner), [
+            "south",
+        ]);
     });
 
     it("retires a profile with its services and reports when nothing runs under it", async () => {
         const items = [createProfile("north", "dossier"), createModelService("north", "valuation", "dossier")];
         await publish("north", "w-1", ...items.map(put));
-        const pin = process.keeper.pin();
+        const pin = process.configurationManager.pin();
         pin.use(items[0]!);
         const order = { writeId: "w-2", kind: "profile", name: "dossier" };
         assert.equal((await call("north", "POST", "/v1/retirements", order)).status, 409);
         const retired = await call("north", "POST", "/v1/retirements", { ...order, withServices: true });
         const again = await call("north", "POST", "/v1/retirements", { ...order, withServices: true });
         assert.deepEqual([retired.body["generation"], again.body["generation"]], [2, 2]);
-        assert.equal(process.keeper.current().items.length, 0);
+        assert.equal(process.configurationManager.current().items.length, 0);
         const waiting = call("north", "GET", "/v1/retirements/profile/dossier?wait-milliseconds=500");
         assert.equal((await waiting).body["isComplete"], false);
         pin.release();
--- a/packages/daisyturn/src/connection/operator/configurationRoutes.ts
+++ b/packages/daisyturn/src/connection/operator/configurationRoutes.ts
@@ -1,5 +1,5 @@
 import { type Clock, type IdSource, toJson } from "daisyturn-utils";
-import type { FleetConfigurationKeeper } from "../../process/configuration/index.js";
+import type { FleetConfigurationManager } from "../../process/configuration/index.js";
 import type { Membership, ProcessIdentity } from "../../process/peers/index.js";
 import { createChangeRoutes } from "./createChangeRoutes.js";
 import { createItemRoutes } from "./createItemRoutes.js";
@@ -10,7 +10,7 @@
 
 /** What the routes work on. */
 export interface ConfigurationRoutesOptions {
-    readonly keeper: FleetConfigurationKeeper;
+    readonly configurationManager: FleetConfigurationManager;
     readonly membership: Membership;
     readonly self: ProcessIdentity;
     readonly ids: IdSource;
@@ -28,11 +28,11 @@
     ];
 }
 
-async function showFleet({ keeper, membership, self }: ConfigurationRoutesOptions) {
-    const usage = await keeper.usage();
+async function showFleet({ configurationManager, membership, self }: ConfigurationRoutesOptions) {
+    const usage = await configurationManager.usage();
     return answerWith({
         self: toJson(self),
-        generation: keeper.current().generation,
+        generation: configurationManager.current().generation,
         members: membership.others().map(toJson),
         processes: usage.map(toJson),
     });
--- a/packages/daisyturn/src/connection/operator/createChangeRoutes.ts
+++ b/packages/daisyturn/src/connection/operator/createChangeRoutes.ts
@@ -1,6 +1,6 @@
 import { type IdSource, toJson } from "daisyturn-utils";
 import { z } from "zod";
-import type { FleetConfigurationKeeper } from "../../process/configuration/index.js";
+import type { FleetConfigurationManager } from "../../process/configuration/index.js";
 import { changeBodySchema, writeIdSchema } from "../../version/itemSchemas.js";
 import { showChange } from "./itemVisibility.js";
 import { refuseProblem } from "./operatorAnswers.js";
@@ -16,12 +16,12 @@
 
 /** What the routes work on. */
 export interface ChangeRoutesOptions {
-    readonly keeper: FleetConfigurationKeeper;
+    readonly configurationManager: FleetConfigurationManager;
     readonly ids: IdSource;
 }
 
 /** Routes that publish changes, try them out, and tell what became of them. */
-export function createChangeRoutes({ keeper, ids }: ChangeRoutesOptions): OperatorRoutes {
+export function createChangeRoutes({ configurationManager, ids }: ChangeRoutesOptions): OperatorRoutes {
     const postChange = async ({ operator, query, body }: OperatorRequest) => {
         const parsed = changeBodySchema.safeParse(body);
         if (!parsed.success) {
@@ -29,23 +29,27 @@
         }
         const { changes, ...guards } = parsed.data;
         if (query.get("dry-run") !== "true") {
-            return await publishForOperator(keeper, ids, operator, changes, guards);
+            return await publishForOperator(configurationManager, ids, operator, changes, guards);
         }
-        const preview = await keeper.preview({ ...parsed.data, partner: operator.partner, operator: operator.name });
+        const preview = await configurationManager.preview({
+            ...parsed.data,
+            partner: operator.partner,
+            operator: operator.name,
+        });
         return preview.map(toJson);
     };
 
     const showOutcome = async ({ operator, parameters }: OperatorRequest) => {
         const writeId = writeIdSchema.safeParse(parameters["writeId"]);
         return writeId.success
-            ? (await keeper.outcomeOf(operator.partner, writeId.data)).map(toJson)
+            ? (await configurationManager.outcomeOf(operator.partner, writeId.data)).map(toJson)
             : refuseProblem(writeId.error);
     };
 
     const cancelChange = async ({ operator, parameters }: OperatorRequest) => {
         const writeId = writeIdSchema.safeParse(parameters["writeId"]);
         return writeId.success
-            ? (await keeper.cancel(operator.partner, writeId.data)).map(toJson)
+            ? (await configurationManager.cancel(operator.partner, writeId.data)).map(toJson)
             : refuseProblem(writeId.error);
     };
 
@@ -54,7 +58,7 @@
         if (!parsed.success) {
             return refuseProblem(parsed.error);
         }
-        const changes = await keeper.history(parsed.data.limit);
+        const changes = await configurationManager.history(parsed.data.limit);
         return changes.map(list => toJson({ changes: list.map(change => showChange(operator, change)) }));
     };
 
--- a/packages/daisyturn/src/connection/operator/createClaimRoutes.ts
+++ b/packages/daisyturn/src/connection/operator/createClaimRoutes.ts
@@ -1,23 +1,23 @@
 import { FailureReason, notRun, toJson } from "daisyturn-utils";
 import Result from "true-myth/result";
-import type { ProcessClaimKeeper } from "../../request/claims/createClaimKeeper.js";
+import type { ProcessClaimManager } from "../../request/claims/createClaimManager.js";
 import { OperatorMethod, type OperatorRequest, type OperatorRoutes } from "./operatorRoutes.js";
 
 /** Shows operators the claims of their own partner's callers, without the answers. */
-export function createClaimRoutes(keeper: Pick<ProcessClaimKeeper, "inspect">): OperatorRoutes {
+export function createClaimRoutes(claimManager: Pick<ProcessClaimManager, "inspect">): OperatorRoutes {
     return [{
         method: OperatorMethod.Get,
         path: "/v1/claims/:account/:service",
-        handle: request => showClaim(keeper, request),
+        handle: request => showClaim(claimManager, request),
     }];
 }
 
-async function showClaim(keeper: Pick<ProcessClaimKeeper, "inspect">, request: OperatorRequest) {
+async function showClaim(claimManager: Pick<ProcessClaimManager, "inspect">, request: OperatorRequest) {
     const idempotencyKey = request.query.get("key") ?? "";
     if (idempotencyKey === "") {
         return Result.err(notRun(FailureReason.BadRequest, "the query must name the idempotency key: ?key=KEY"));
     }
-    const claim = await keeper.inspect({
+    const claim = await claimManager.inspect({
         partner: request.operator.partner,
         account: request.parameters["account"] ?? "",
         service: request.parameters["service"] ?? "",
--- a/packages/daisyturn/src/connection/operator/createItemRoutes.ts
+++ b/packages/daisyturn/src/connection/operator/createItemRoutes.ts
@@ -1,6 +1,6 @@
 import { type IdSource, toJson } from "daisyturn-utils";
 import { z } from "zod";
-import type { FleetConfigurationKeeper } from "../../process/configuration/index.js";
+import type { FleetConfigurationManager } from "../../process/configuration/index.js";
 import { ChangeAction } from "../../version/configurationChange.js";
 import { formatItemIdentity, type ItemIdentity, ItemKind } from "../../version/configurationItems.js";
 import { identitySchema, itemSchema } from "../../version/itemSchemas.js";
@@ -21,19 +21,19 @@
 
 /** What the routes work on. */
 export interface ItemRoutesOptions {
-    readonly keeper: FleetConfigurationKeeper;
+    readonly configurationManager: FleetConfigurationManager;
     readonly ids: IdSource;
 }
 
 /** Routes that show, write and remove single items. */
-export function createItemRoutes({ keeper, ids }: ItemRoutesOptions): OperatorRoutes {
+export function createItemRoutes({ configurationManager, ids }: ItemRoutesOptions): OperatorRoutes {
     const listItems = ({ operator, query }: OperatorRequest) => {
         const parsed = listQuerySchema.safeParse(Object.fromEntries(query));
         if (!parsed.success) {
             return refuseProblem(parsed.error);
         }
         const { kind, after, limit } = parsed.data;
-        const version = keeper.current();
+        const version = configurationManager.current();
         const found = listSorted(version).filter(item =>
             isVisible(operator, item) && (kind === undefined || item.kind === kind)
             && formatItemIdentity(item) > after
@@ -50,7 +50,7 @@
     const showItem = ({ operator, parameters, query }: OperatorRequest) => {
         const identity = identitySchema.safeParse({ partner: query.get("partner") ?? operator.partner, ...parameters });
         const isShown = identity.success && isVisible(operator, identity.data);
-        const version = keeper.current();
+        const version = configurationManager.current();
         const item = isShown ? version.findItem(identity.data) : undefined;
         return item ? answerWith({ generation: version.generation, item }) : refuseUnknown("item");
     };
@@ -67,7 +67,7 @@
             return refuseForm("the body names another item than the path");
         }
         const changes = [{ action: ChangeAction.Put as const, item: item.data }];
-        return await publishForOperator(keeper, ids, operator, changes, guards.data);
+        return await publishForOperator(configurationManager, ids, operator, changes, guards.data);
     };
 
     const removeItem = async ({ operator, parameters, query }: OperatorRequest) => {
@@ -77,7 +77,7 @@
             return refuseProblem((identity.error ?? guards.error) as z.ZodError);
         }
         const changes = [{ action: ChangeAction.Remove as const, identity: identity.data }];
-        return await publishForOperator(keeper, ids, operator, changes, guards.data);
+        return await publishForOperator(configurationManager, ids, operator, changes, guards.data);
     };
 
     return [
--- a/packages/daisyturn/src/connection/operator/createRetirementRoutes.ts
+++ b/packages/daisyturn/src/connection/operator/createRetirementRoutes.ts
@@ -1,6 +1,6 @@
 import { type Clock, type IdSource, toJson } from "daisyturn-utils";
 import { z } from "zod";
-import { ChangeState, type FleetConfigurationKeeper } from "../../process/configuration/index.js";
+import { ChangeState, type FleetConfigurationManager } from "../../process/configuration/index.js";
 import { ChangeAction, type RemoveItem } from "../../version/configurationChange.js";
 import { type ItemIdentity, ItemKind, type Service } from "../../version/configurationItems.js";
 import { identitySchema } from "../../version/itemSchemas.js";
@@ -28,13 +28,13 @@
 
 /** What the routes work on. */
 export interface RetirementRoutesOptions {
-    readonly keeper: FleetConfigurationKeeper;
+    readonly configurationManager: FleetConfigurationManager;
     readonly ids: IdSource;
     readonly clock: Clock;
 }
 
 /** Routes that retire items and tell when nothing runs under them any more. */
-export function createRetirementRoutes({ keeper, ids, clock }: RetirementRoutesOptions): OperatorRoutes {
+export function createRetirementRoutes({ configurationManager, ids, clock }: RetirementRoutesOptions): OperatorRoutes {
     const retire = async ({ operator, body }: OperatorRequest) => {
         const parsed = retireBodySchema.safeParse(body);
         if (!parsed.success) {
@@ -48,18 +48,20 @@
         const identity = { kind, partner: operator.partner, name };
         const services = withServices && kind === ItemKind.Profile ? findServicesUnder(identity) : [];
         const changes = [identity, ...services].map(createRemoval);
-        return await publishForOperator(keeper, ids, operator, changes, guards);
+        return await publishForOperator(configurationManager, ids, operator, changes, guards);
     };
 
     /** The services that go along are found anew at each call, so a repeat can't be told by its changes. */
     const findRepeated = async (operator: OperatorIdentity, writeId: string | undefined) => {
-        const outcome = writeId === undefined ? undefined : await keeper.outcomeOf(operator.partner, writeId);
+        const outcome = writeId === undefined
+            ? undefined
+            : await configurationManager.outcomeOf(operator.partner, writeId);
         const known = outcome?.unwrapOr(undefined);
         return known?.state === ChangeState.Accepted ? answerWith({ writeId, ...known }) : undefined;
     };
 
     const findServicesUnder = ({ partner, name }: ItemIdentity) =>
-        keeper.current().items.filter((item): item is Service =>
+        configurationManager.current().items.filter((item): item is Service =>
             item.kind === ItemKind.Service && item.partner === partner && item.profile === name
         );
 
@@ -79,7 +81,7 @@
 
     const waitForReport = async (identity: ItemIdentity, generation: number | undefined, deadline: number) => {
         for (;;) {
-            const report = await keeper.retirementOf(identity, generation);
+            const report = await configurationManager.retirementOf(identity, generation);
             const isOver = report.isErr || report.value.isComplete || clock.monotonicNow() >= deadline;
             if (isOver) {
                 return report;
--- a/packages/daisyturn/src/connection/operator/createTargetRoutes.ts
+++ b/packages/daisyturn/src/connection/operator/createTargetRoutes.ts
@@ -1,5 +1,5 @@
 import { type IdSource, toJson } from "daisyturn-utils";
-import type { FleetConfigurationKeeper } from "../../process/configuration/index.js";
+import type { FleetConfigurationManager } from "../../process/configuration/index.js";
 import { ChangeAction, type ItemChange } from "../../version/configurationChange.js";
 import { HoldKind, ItemKind } from "../../version/configurationItems.js";
 import { holdSchema } from "../../version/itemSchemas.js";
@@ -14,20 +14,20 @@
 
 /** What the routes work on. */
 export interface TargetRoutesOptions {
-    readonly keeper: FleetConfigurationKeeper;
+    readonly configurationManager: FleetConfigurationManager;
     readonly ids: IdSource;
 }
 
 /** Routes that show targets, and place and lift the operator's own holds on them. */
-export function createTargetRoutes({ keeper, ids }: TargetRoutesOptions): OperatorRoutes {
+export function createTargetRoutes({ configurationManager, ids }: TargetRoutesOptions): OperatorRoutes {
     const listTargets = () => {
-        const version = keeper.current();
+        const version = configurationManager.current();
         const targets = version.targets.map(target => ({ target, holds: version.holdsOn(target.name) }));
         return answerWith({ generation: version.generation, targets: targets.map(toJson) });
     };
 
     const showTarget = ({ parameters }: OperatorRequest) => {
-        const version = keeper.current();
+        const version = configurationManager.current();
         const name = parameters["name"] ?? "";
         const target = version.findTarget(name);
         return target
@@ -47,7 +47,7 @@
         const change: ItemChange = holdKind
             ? { action: ChangeAction.Put, item: { ...identity, holdKind, ...details } }
             : { action: ChangeAction.Remove, identity };
-        return await publishForOperator(keeper, ids, operator, [change], guards);
+        return await publishForOperator(configurationManager, ids, operator, [change], guards);
     };
 
     return [
--- a/packages/daisyturn/src/connection/operator/publishForOperator.ts
+++ b/packages/daisyturn/src/connection/operator/publishForOperator.ts
@@ -1,6 +1,6 @@
 import { type Failure, FailureReason, type IdSource, notRun, toJson } from "daisyturn-utils";
 import { z } from "zod";
-import type { FleetConfigurationKeeper } from "../../process/configuration/index.js";
+import type { FleetConfigurationManager } from "../../process/configuration/index.js";
 import type { ItemChange } from "../../version/configurationChange.js";
 import { writeIdSchema } from "../../version/itemSchemas.js";
 import type { OperatorAnswer, OperatorIdentity } from "./operatorRoutes.js";
@@ -24,7 +24,7 @@
 
 /** Publishes changes in the operator's name. */
 export async function publishForOperator(
-    keeper: FleetConfigurationKeeper,
+    configurationManager: FleetConfigurationManager,
     ids: IdSource,
     operator: OperatorIdentity,
     changes: readonly ItemChange[],
@@ -32,7 +32,7 @@
 ): Promise<OperatorAnswer> {
     const writeId = guards.writeId ?? ids.next("op");
     const { expectedGeneration } = guards;
-    const answer = await keeper.publish({
+    const answer = await configurationManager.publish({
         writeId,
         partner: operator.partner,
         operator: operator.name,
--- a/packages/daisyturn/src/process/admission/__fixtures__/createLimitsBench.ts
+++ b/packages/daisyturn/src/process/admission/__fixtures__/createLimitsBench.ts
@@ -2,7 +2,10 @@
 import { createFakeIdentity, createFakePeerNetworks } from "../../../__fixtures__/fakePeerNetwork.js";
 import { createAccount } from "../../../version/__fixtures__/items.js";
 import { createLoadExchange, MemberState } from "../../peers/index.js";
-import { createFixedKeeper, createScriptedMembership } from "../../routing/__fixtures__/createDecisionBench.js";
+import {
+    createFixedConfigurationManager,
+    createScriptedMembership,
+} from "../../routing/__fixtures__/createDecisionBench.js";
 import { createAccountLimits } from "../accountLimits.js";
 import type { AdmissionTicket } from "../admission.js";
 
@@ -15,7 +18,7 @@
     const networks = createFakePeerNetworks(clock);
     const stopper = new AbortController();
     const account = { ...createAccount("nyamata", "desk", []), requestsPerSecond, concurrentRequests };
-    const keeper = createFixedKeeper([account]);
+    const configurationManager = createFixedConfigurationManager([account]);
     const dead = new Set<string>();
     const identities = [...Array(count).keys()].map(index => createFakeIdentity(`p${index}`));
     const processes = identities.map(self => {
@@ -29,7 +32,7 @@
             clock,
             exchangeIntervalMilliseconds: exchangeInterval,
         });
-        const limits = createAccountLimits({ exchange, membership, keeper, clock });
+        const limits = createAccountLimits({ exchange, membership, configurationManager, clock });
         void exchange.run(stopper.signal);
         return { limits, membership };
     });
--- a/packages/daisyturn/src/process/admission/accountLimits.ts
+++ b/packages/daisyturn/src/process/admission/accountLimits.ts
@@ -10,7 +10,7 @@
 } from "daisyturn-utils";
 import { err, ok, type Result } from "true-myth/result";
 import { type CallerAccount, ItemKind } from "../../version/configurationItems.js";
-import type { ConfigurationKeeper } from "../configuration/index.js";
+import type { ConfigurationManager } from "../configuration/index.js";
 import { ExchangeSection, type LoadExchange, type Membership, type ProcessIdentity } from "../peers/index.js";
 import type { AdmissionTicket } from "./admission.js";
 
@@ -35,7 +35,7 @@
 export interface AccountLimitsOptions {
     readonly exchange: LoadExchange;
     readonly membership: Membership;
-    readonly keeper: ConfigurationKeeper;
+    readonly configurationManager: ConfigurationManager;
     readonly clock: Clock;
 }
 
@@ -95,7 +95,7 @@
 
 /** Creates the limits of one process. */
 export function createAccountLimits(options: AccountLimitsOptions): AccountLimits {
-    const { exchange, membership, keeper, clock } = options;
+    const { exchange, membership, configurationManager, clock } = options;
     const records = new Map<string, AccountRecord>();
     const news = new Set<AccountRecord>();
     let hasUrgentNews = false;
@@ -213,7 +213,7 @@
         const isContinued = known?.incarnation === from.incarnation && known.told.since === told.since;
         const last = isContinued ? known.told : undefined;
         const demand = known?.demand ?? createDecayingRate(demandMemoryMilliseconds, now);
-        const account = keeper.current().findItem({ kind: ItemKind.CallerAccount, ...told });
+        const account = configurationManager.current().findItem({ kind: ItemKind.CallerAccount, ...told });
         if (account?.kind === ItemKind.CallerAccount) {
             refill(record, account, partOf(record, account, now), now);
         }
--- a/packages/daisyturn/src/process/admission/createAdmission.ts
+++ b/packages/daisyturn/src/process/admission/createAdmission.ts
@@ -2,7 +2,7 @@
 import { err, ok, type Result } from "true-myth/result";
 import { Priority } from "../../ports/engine.js";
 import type { CallerAccount } from "../../version/configurationItems.js";
-import type { ConfigurationKeeper } from "../configuration/index.js";
+import type { ConfigurationManager } from "../configuration/index.js";
 import type { LoadView } from "../load/index.js";
 import type { Membership, PeerNetwork } from "../peers/index.js";
 import type { PlanningRouter, RoutingRequest } from "../routing/index.js";
@@ -24,7 +24,7 @@
 export interface AdmissionOptions {
     readonly loadView: LoadView;
     readonly router: PlanningRouter;
-    readonly keeper: ConfigurationKeeper;
+    readonly configurationManager: ConfigurationManager;
     readonly network: PeerNetwork;
     readonly membership: Membership;
     readonly clock: Clock;
@@ -57,14 +57,14 @@
 
 /** Creates the admission of one process. */
 export function createAdmission(options: AdmissionOptions): RunningAdmission {
-    const { loadView, router, keeper, membership, clock } = options;
+    const { loadView, router, configurationManager, membership, clock } = options;
     const { exchange } = loadView;
-    const limits = createAccountLimits({ exchange, membership, keeper, clock });
-    const weightOf = (partner: string) => keeper.current().shareWeight(partner);
+    const limits = createAccountLimits({ exchange, membership, configurationManager, clock });
+    const weightOf = (partner: string) => configurationManager.current().shareWeight(partner);
     const { processId } = options.network.self;
     const use = createPartnerUse({ exchange, membership, clock, processId });
     const turns = createRoomTurns({ use, clock, processId, weightOf });
-    const room = createEngineRoom({ loadView, router, keeper, use, turns });
+    const room = createEngineRoom({ loadView, router, configurationManager, use, turns });
     const queue = createAdmissionQueue(options.bounds ?? defaultQueueBounds);
     const retryTimes = createRetryTimes(clock, room.drainRate);
     const refusals = new Map<WaitingRequest, (failure: Failure) => void>();
--- a/packages/daisyturn/src/process/admission/engineRoom.ts
+++ b/packages/daisyturn/src/process/admission/engineRoom.ts
@@ -1,4 +1,4 @@
-import type { ConfigurationKeeper } from "../configuration/index.js";
+import type { ConfigurationManager } from "../configuration/index.js";
 import type { LoadView } from "../load/index.js";
 import type { PlacementOption, PlanningRouter, RoutingRequest } from "../routing/index.js";
 import { computeFairShares } from "./fairShares.js";
@@ -29,7 +29,7 @@
 export interface EngineRoomOptions {
     readonly loadView: LoadView;
     readonly router: PlanningRouter;
-    readonly keeper: ConfigurationKeeper;
+    readonly configurationManager: ConfigurationManager;
     readonly use: PartnerUse;
     readonly turns: RoomTurns;
 }
@@ -53,7 +53,7 @@
 
 /** Creates the view of the room. */
 export function createEngineRoom(options: EngineRoomOptions): EngineRoom {
-    const { loadView, router, keeper, use, turns } = options;
+    const { loadView, router, configurationManager, use, turns } = options;
 
     /** Engine time a second that the engines give, by what they gave lately. */
     const capacity = () => {
@@ -64,7 +64,7 @@
     const fairShareOf = (partner: string) => {
         const partners = [...new Set([...use.partners(), partner])];
         const claims = partners.map(other => ({
-            weight: keeper.current().shareWeight(other),
+            weight: configurationManager.current().shareWeight(other),
             demand: use.isWaiting(other) || other === partner ? Infinity : use.used(other),
         }));
         return computeFairShares(sharedOut * capacity(), claims)[partners.indexOf(partner)]!;
--- a/packages/daisyturn/src/process/claims/__tests__/claimPruner.test.ts
+++ b/packages/daisyturn/src/process/claims/__tests__/claimPruner.test.ts
@@ -36,8 +36,8 @@
 
 describe("createClaimPruner", () => {
     it("deletes rows once their time is over by its own clock and by that of the last pass", async () => {
-        const { clock, startKeeper, startPruner, send, readRow } = createClaimBench();
-        await startKeeper("p").runOnce(createClaimRequest(clock), send);
+        const { clock, startManager, startPruner, send, readRow } = createClaimBench();
+        await startManager("p").runOnce(createClaimRequest(clock), send);
         await clock.advance(100);
         const pruner = startPruner("q");
         assert.equal(await takeTurn(pruner), 0);
@@ -50,8 +50,8 @@
     });
 
     it("deletes nothing because of one clock that is ahead", async () => {
-        const { clock, startKeeper, startPruner, send, readRow } = createClaimBench();
-        await startKeeper("p").runOnce(createClaimRequest(clock), send);
+        const { clock, startManager, startPruner, send, readRow } = createClaimBench();
+        await startManager("p").runOnce(createClaimRequest(clock), send);
         await clock.advance(100);
         const [right, wrong] = [startPruner("q"), startPruner("r", new AheadClock(clock))];
         for (let pass = 0; pass < 3; pass++) {
@@ -64,8 +64,8 @@
     });
 
     it("walks over many rows in several turns, also of different processes", async () => {
-        const { clock, startKeeper, startPruner, send } = createClaimBench();
-        const p = startKeeper("p");
+        const { clock, startManager, startPruner, send } = createClaimBench();
+        const p = startManager("p");
         const keys = Array.from({ length: 1_250 }, (...[, index]) => `k${index}`);
         const calls = keys.map(idempotencyKey => p.runOnce(createClaimRequest(clock, { idempotencyKey }), send));
         await clock.advance(10_000);
@@ -83,8 +83,8 @@
     });
 
     it("settles the claim of an ended process that nobody asks for, and keeps that of a live one", async () => {
-        const { clock, startKeeper, startPruner, endProcess, readRow } = createClaimBench();
-        void startKeeper("p").runOnce(createClaimRequest(clock), () => new Promise(() => undefined));
+        const { clock, startManager, startPruner, endProcess, readRow } = createClaimBench();
+        void startManager("p").runOnce(createClaimRequest(clock), () => new Promise(() => undefined));
         await clock.advance(1);
         const pruner = startPruner("q");
         for (const expected of [ClaimRowState.Claimed, ClaimRowState.Claimed]) {
--- a/packages/daisyturn/src/process/claims/claimPruner.ts
+++ b/packages/daisyturn/src/process/claims/claimPruner.ts
@@ -44,7 +44,7 @@
 /** What the pruner works with. */
 export interface ClaimPrunerOptions {
     readonly storeClient: PagedStoreClient;
-    readonly keeper: AbandonedClaims;
+    readonly claimManager: AbandonedClaims;
     readonly membership: Membership;
     readonly clock: Clock;
     readonly random: Random;
@@ -74,7 +74,7 @@
  * same work twice, and every deletion demands the version that was seen.
  */
 export function createClaimPruner(options: ClaimPrunerOptions): ClaimPruner {
-    const { storeClient, keeper, membership, clock, random, ids, eventLog } = options;
+    const { storeClient, claimManager, membership, clock, random, ids, eventLog } = options;
 
     const takeTurn = async (): Promise<Result<PruningTurn, Failure>> => {
         const deadline = clock.monotonicNow() + turnLimitMilliseconds;
@@ -134,7 +134,7 @@
     const prunePage = async (rows: readonly Row[], horizon: number, deadline: number) => {
         const over = Math.min(clock.wallNow(), horizon);
         for (const row of rows.filter(isAbandoned)) {
-            await keeper.settleAbandoned(row, deadline);
+            await claimManager.settleAbandoned(row, deadline);
         }
         return deleteRows(rows.filter(row => (parseClaimRow(row.value).keepUntil ?? Infinity) < over), deadline);
     };
--- a/packages/daisyturn/src/process/configuration/__fixtures__/configurationCell.ts
+++ b/packages/daisyturn/src/process/configuration/__fixtures__/configurationCell.ts
@@ -28,15 +28,15 @@
 import { type Membership, MemberState, type PeerNetwork, type ProcessIdentity } from "../../peers/index.js";
 import { createStoreClient } from "../../store/index.js";
 import type { ConfigurationTiming } from "../configurationTiming.js";
-import { createConfigurationKeeper } from "../createConfigurationKeeper.js";
-import type { FleetConfigurationKeeper } from "../fleetConfigurationKeeper.js";
+import { createConfigurationManager } from "../createConfigurationManager.js";
+import type { FleetConfigurationManager } from "../fleetConfigurationManager.js";
 
 /** Called before the store carries out a call of a process, and before its answer reaches the process. */
 export type StoreStep = (processId: string, step: string) => Promise<void>;
 
 /** One process of the cell. */
 export interface CellProcess {
-    readonly keeper: FleetConfigurationKeeper;
+    readonly configurationManager: FleetConfigurationManager;
     readonly network: PeerNetwork;
     readonly membership: Membership;
     readonly self: ProcessIdentity;
@@ -96,7 +96,7 @@
             step => onStep(processId, step),
             () => cutOff.has(processId),
         );
-        const keeper = createConfigurationKeeper({
+        const configurationManager = createConfigurationManager({
             self,
             network,
             membership,
@@ -115,8 +115,8 @@
             timing: { raceBackoffMilliseconds: 0, ...options.timing },
         });
         const generations: number[] = [];
-        keeper.onVersion(version => generations.push(version.generation));
-        return { keeper, network, membership, self, eventLog, generations };
+        configurationManager.onVersion(version => generations.push(version.generation));
+        return { configurationManager, network, membership, self, eventLog, generations };
     };
 
     const onStep = async (processId: string, step: string) => {
--- a/packages/daisyturn/src/process/configuration/__tests__/adoptVersion.test.ts
+++ b/packages/daisyturn/src/process/configuration/__tests__/adoptVersion.test.ts
@@ -23,9 +23,9 @@
 
 const never = new AbortController().signal;
 
-async function publishAt(cell: ConfigurationCell, { keeper }: CellProcess, name: string): Promise<void> {
+async function publishAt(cell: ConfigurationCell, { configurationManager }: CellProcess, name: string): Promise<void> {
     const request = createChangeRequest("north", name, [put(createProfile("north", name))]);
-    const answer = await cell.complete(keeper.publish(request));
+    const answer = await cell.complete(configurationManager.publish(request));
     assert.ok(answer.isOk);
 }
 
@@ -76,12 +76,16 @@
             const late = cell.start("late");
             const abort = new AbortController();
             let isReady = false;
-            const adopting = late.keeper.adopt(abort.signal).then(() => isReady = !abort.signal.aborted);
+            const adopting = late.configurationManager.adopt(abort.signal).then(() => isReady = !abort.signal.aborted);
             await cell.clock.advance(100);
             abort.abort();
             await adopting;
             const expected = findExpected(conditions, isStoreUp);
-            assert.equal(isReady ? late.keeper.current().generation : undefined, expected, JSON.stringify(conditions));
+            assert.equal(
+                isReady ? late.configurationManager.current().generation : undefined,
+                expected,
+                JSON.stringify(conditions),
+            );
         });
         assert.equal(runs, 4 ** 4 * 2);
     });
@@ -91,12 +95,12 @@
         cell.store.setStandingFault(TableFaultKind.Down);
         const late = cell.start("late");
         let isReady = false;
-        const adopting = late.keeper.adopt(never).then(() => isReady = true);
+        const adopting = late.configurationManager.adopt(never).then(() => isReady = true);
         await cell.clock.advance(60_000);
         assert.equal(isReady, false);
         cell.store.setStandingFault(TableFaultKind.None);
         await cell.complete(adopting);
-        assert.equal(late.keeper.current().generation, 2);
+        assert.equal(late.configurationManager.current().generation, 2);
     });
 
     it("does not believe a stale peer alone, whatever itself knows of the cell", async () => {
@@ -107,7 +111,7 @@
         late.membership.others = () => [{ identity: cell.start("unused").self, state: MemberState.Left }];
         late.membership.livePeers = () => [{ ...late.self, processId: "peer-0" }];
         let isReady = false;
-        void late.keeper.adopt(never).then(() => isReady = true);
+        void late.configurationManager.adopt(never).then(() => isReady = true);
         await cell.clock.advance(1_000);
         assert.equal(isReady, false);
     });
--- a/packages/daisyturn/src/process/configuration/__tests__/configurationDifferential.test.ts
+++ b/packages/daisyturn/src/process/configuration/__tests__/configurationDifferential.test.ts
@@ -95,7 +95,7 @@
 ): Promise<NaiveAnswer> {
     for (let ask = firstProcess;; ask++) {
         const processId = processIds[ask % processIds.length] ?? "";
-        const answer = await processes.get(processId)!.keeper.publish(request);
+        const answer = await processes.get(processId)!.configurationManager.publish(request);
         if (answer.isOk) {
             return answer.value.generation;
         }
@@ -147,8 +147,8 @@
                             cell.kill(restarted);
                             const fresh = cell.start(restarted);
                             processes.set(restarted, fresh);
-                            await cell.complete(fresh.keeper.adopt(new AbortController().signal));
-                            assert.equal(fresh.keeper.current().generation, naive.generation);
+                            await cell.complete(fresh.configurationManager.adopt(new AbortController().signal));
+                            assert.equal(fresh.configurationManager.current().generation, naive.generation);
                         }
                         cell.store.script(...faults);
                         const asked = requests.map((request, index) => askUntilTold(cell, processes, index, request));
@@ -157,9 +157,9 @@
                         assert.ok(end, `no order gives ${answers.join(", ")}`);
                         accepted += end.generation - naive.generation;
                         naive = end;
-                        for (const { keeper } of processes.values()) {
-                            assert.equal(keeper.current().generation, naive.generation);
-                            assert.deepEqual(listItems(keeper.current().items), listItems(naive.items));
+                        for (const { configurationManager } of processes.values()) {
+                            assert.equal(configurationManager.current().generation, naive.generation);
+                            assert.deepEqual(listItems(configurationManager.current().items), listItems(naive.items));
                         }
                         assertNeverBack(...processes.values());
                     }
--- a/packages/daisyturn/src/process/configuration/__tests__/configurationFailures.test.ts
+++ b/packages/daisyturn/src/process/configuration/__tests__/configurationFailures.test.ts
@@ -19,14 +19,14 @@
     return createChangeRequest("north", `write-${name}`, [put(createProfile("north", name))], expectedGeneration);
 }
 
-async function publish(cell: ConfigurationCell, { keeper }: CellProcess, name: string) {
-    return await cell.complete(keeper.publish(createRequest(name)));
+async function publish(cell: ConfigurationCell, { configurationManager }: CellProcess, name: string) {
+    return await cell.complete(configurationManager.publish(createRequest(name)));
 }
 
 /** Runs the processes' anti-entropy for a while. */
 async function runFor(cell: ConfigurationCell, milliseconds: number, ...processes: readonly CellProcess[]) {
     const abort = new AbortController();
-    const running = processes.map(({ keeper }) => keeper.run(abort.signal));
+    const running = processes.map(({ configurationManager }) => configurationManager.run(abort.signal));
     await cell.clock.advance(milliseconds);
     abort.abort();
     await cell.complete(Promise.all(running));
@@ -36,7 +36,7 @@
 const probeMilliseconds = 6_000;
 
 const generationsOf = (...processes: readonly CellProcess[]) =>
-    processes.map(({ keeper }) => keeper.current().generation);
+    processes.map(({ configurationManager }) => configurationManager.current().generation);
 
 describe("the configuration under failures", () => {
     it("is in force everywhere also if the store goes down right after the commit", async () => {
@@ -63,14 +63,21 @@
         const told = await publish(cell, second, "one");
         assert.equal(told.unwrapOr(undefined)?.generation, 1);
         assert.deepEqual(generationsOf(first, second), [1, 1]);
-        const other = await cell.complete(second.keeper.publish({ ...createRequest("two"), writeId: "write-one" }));
+        const other = await cell.complete(
+            second.configurationManager.publish({ ...createRequest("two"), writeId: "write-one" }),
+        );
         assert.equal(other.isErr && other.error.reason, FailureReason.IdempotencyKeyReused);
     });
 
     it("never takes a transaction that arrives after others went ahead, or after its write id was cancelled", async () => {
         const cell = createConfigurationCell();
         const [first, second] = [cell.start("a"), cell.start("b")];
-        for (const goAhead of [() => publish(cell, second, "two"), () => second.keeper.cancel("north", "write-one")]) {
+        for (
+            const goAhead of [
+                () => publish(cell, second, "two"),
+                () => second.configurationManager.cancel("north", "write-one"),
+            ]
+        ) {
             cell.store.script(TableFaultKind.None, TableFaultKind.CommitLate);
             cell.store.setStandingFault(TableFaultKind.Down);
             const unknown = await publish(cell, first, "one");
@@ -126,11 +133,11 @@
         const near = ["a", "b", "c", "d", "e"].map(cell.start);
         cell.networks.isolate("far");
         cell.setState("far", MemberState.Dead);
-        await cell.complete(Promise.all(near.map(one => one.keeper.adopt(new AbortController().signal))));
+        await cell.complete(Promise.all(near.map(one => one.configurationManager.adopt(new AbortController().signal))));
         await publish(cell, publisher, "two");
         const abort = new AbortController();
         // Only one process looks at the store.
-        const running = near[0]!.keeper.run(abort.signal);
+        const running = near[0]!.configurationManager.run(abort.signal);
         await cell.clock.advance(10_000);
         assert.deepEqual(generationsOf(...near), [2, 2, 2, 2, 2]);
         abort.abort();
@@ -152,10 +159,10 @@
         const cell = createConfigurationCell();
         const [first] = ["a", "b"].map(cell.start);
         cell.networks.cutBoth("a", "b");
-        void first!.keeper.publish(createRequest("one"));
-        void first!.keeper.publish(createRequest("two"));
+        void first!.configurationManager.publish(createRequest("one"));
+        void first!.configurationManager.publish(createRequest("two"));
         await cell.clock.advance(100);
-        assert.equal(first!.keeper.current().generation, 2);
+        assert.equal(first!.configurationManager.current().generation, 2);
     });
 
     it("refuses changes and stays where it is if the store has lost generations", async () => {
@@ -186,8 +193,8 @@
         assert.deepEqual(keys.filter(key => key.startsWith("configuration/change/")), [8, 9, 10].map(changeKey));
         assert.equal(keys.filter(key => key.startsWith("configuration/write/")).length, 3);
         await runFor(cell, 5_000, second);
-        assert.equal(second.keeper.current().items.length, 10);
-        const history = (await cell.complete(first.keeper.history(50))).unwrapOr([]);
+        assert.equal(second.configurationManager.current().items.length, 10);
+        const history = (await cell.complete(first.configurationManager.history(50))).unwrapOr([]);
         assert.deepEqual(history.map(change => change.generation), [10, 9, 8]);
     });
 
@@ -199,17 +206,17 @@
         for (let part = 0; part < 70; part++) {
             const steps = accounts.slice(part * 90, part * 90 + 90).map(put);
             const request = createChangeRequest("north", `bulk-${part}`, steps);
-            assert.ok((await cell.complete(first.keeper.publish(request))).isOk);
+            assert.ok((await cell.complete(first.configurationManager.publish(request))).isOk);
         }
         cell.networks.healAll();
         cell.networks.delay("a", "b", 30);
         cell.cutFromStore("b");
-        const adopting = second.keeper.adopt(new AbortController().signal);
+        const adopting = second.configurationManager.adopt(new AbortController().signal);
         await cell.clock.advance(40);
         const removal = createChangeRequest("north", "remove", accounts.slice(0, 90).map(remove));
-        assert.ok((await cell.complete(first.keeper.publish(removal))).isOk);
+        assert.ok((await cell.complete(first.configurationManager.publish(removal))).isOk);
         await cell.complete(adopting);
-        const names = second.keeper.current().items.map(item => item.name).sort();
+        const names = second.configurationManager.current().items.map(item => item.name).sort();
         assert.deepEqual(names, accounts.slice(90).map(account => account.name).sort());
         assert.deepEqual(second.generations, [70, 71]);
         assert.ok(cell.networks.sent.filter(message => message.parameters["page"]).length > 5);
@@ -223,7 +230,7 @@
             await publish(cell, first, name);
         }
         cell.networks.healAll();
-        const changes = (await cell.complete(first.keeper.history(1))).unwrapOr([]);
+        const changes = (await cell.complete(first.configurationManager.history(1))).unwrapOr([]);
         first.network.handle(
             PeerMethod.PullConfiguration,
             () => ({ generation: 2, cellSize: 2, changes: changes.map(toJson) }),
@@ -255,15 +262,17 @@
         const cell = createConfigurationCell();
         const [first, second, paused] = ["a", "b", "c"].map(cell.start);
         await publish(cell, first!, "one");
-        const pin = second!.keeper.pin();
+        const pin = second!.configurationManager.pin();
         pin.use(createProfile("north", "one"));
-        second!.keeper.pin().use(createProfile("north", "other"));
+        second!.configurationManager.pin().use(createProfile("north", "other"));
         cell.networks.isolate("c");
         cell.setState("c", MemberState.Dead);
         const retire = createChangeRequest("north", "retire", [remove(createProfile("north", "one"))]);
-        await cell.complete(first!.keeper.publish(retire));
+        await cell.complete(first!.configurationManager.publish(retire));
         const report = async () =>
-            (await cell.complete(first!.keeper.retirementOf(createProfile("north", "one"), 2))).unwrapOr(undefined);
+            (await cell.complete(first!.configurationManager.retirementOf(createProfile("north", "one"), 2))).unwrapOr(
+                undefined,
+            );
         assert.deepEqual((await report())?.runningAt, [{ processId: "b", requests: 1 }]);
         pin.release();
         assert.deepEqual([(await report())?.isComplete, (await report())?.notConfirmedBy], [false, ["c"]]);
@@ -273,7 +282,7 @@
         assert.equal((await report())?.isComplete, true);
         // Made anew under the same name, it is in use again, but not as what was retired.
         await publish(cell, first!, "one-again");
-        second!.keeper.pin().use(createProfile("north", "one"));
+        second!.configurationManager.pin().use(createProfile("north", "one"));
         assert.equal((await report())?.isComplete, true);
     });
 });
--- a/packages/daisyturn/src/process/configuration/__tests__/configurationInterleavings.test.ts
+++ b/packages/daisyturn/src/process/configuration/__tests__/configurationInterleavings.test.ts
@@ -10,16 +10,16 @@
     createConfigurationCell,
     listAccepted,
 } from "../__fixtures__/configurationCell.js";
-import { ChangeState } from "../fleetConfigurationKeeper.js";
+import { ChangeState } from "../fleetConfigurationManager.js";
 
 const dossier = createProfile("north", "dossier");
 const publishDossier = createChangeRequest("north", "w-1", [put(dossier)]);
 const publishTimetable = createChangeRequest("south", "w-1", [put(createProfile("south", "timetable"))]);
 
 function assertSameVersion(...processes: readonly CellProcess[]): void {
-    const shown = processes.map(({ keeper }) => ({
-        generation: keeper.current().generation,
-        names: keeper.current().items.map(item => item.name).sort(),
+    const shown = processes.map(({ configurationManager }) => ({
+        generation: configurationManager.current().generation,
+        names: configurationManager.current().items.map(item => item.name).sort(),
     }));
     shown.forEach(one => assert.deepEqual(one, shown[0]));
 }
@@ -30,8 +30,8 @@
             const cell = createConfigurationCell({ onStoreStep: (id, name) => step(`${id} ${name}`) });
             const [one, other] = [cell.start("a"), cell.start("b")];
             const answers = await Promise.all([
-                one.keeper.publish(publishDossier),
-                other.keeper.publish(publishTimetable),
+                one.configurationManager.publish(publishDossier),
+                other.configurationManager.publish(publishTimetable),
             ]);
             assert.deepEqual(answers.map(answer => answer.isOk), [true, true]);
             assert.deepEqual(listAccepted(one, other), [1, 2]);
@@ -46,8 +46,8 @@
             const cell = createConfigurationCell({ onStoreStep: (id, name) => step(`${id} ${name}`) });
             const [one, other] = [cell.start("a"), cell.start("b")];
             const answers = await Promise.all([
-                one.keeper.publish(publishDossier),
-                other.keeper.publish(publishDossier),
+                one.configurationManager.publish(publishDossier),
+                other.configurationManager.publish(publishDossier),
             ]);
             assert.deepEqual(answers.map(answer => answer.unwrapOr(undefined)?.generation), [1, 1]);
             assert.deepEqual(listAccepted(one, other), [1]);
@@ -61,8 +61,8 @@
             const cell = createConfigurationCell({ onStoreStep: (id, name) => step(`${id} ${name}`) });
             const [one, other] = [cell.start("a"), cell.start("b")];
             const [published, cancelled] = await Promise.all([
-                one.keeper.publish(publishDossier),
-                other.keeper.cancel("north", "w-1"),
+                one.configurationManager.publish(publishDossier),
+                other.configurationManager.cancel("north", "w-1"),
             ]);
             const isAccepted = published.isOk;
             assert.equal(
@@ -70,7 +70,7 @@
                 isAccepted ? ChangeState.Accepted : ChangeState.Cancelled,
             );
             assert.equal(published.isErr && published.error.reason, isAccepted ? false : FailureReason.Conflict);
-            assert.equal(one.keeper.current().generation, isAccepted ? 1 : 0);
+            assert.equal(one.configurationManager.current().generation, isAccepted ? 1 : 0);
         });
         t.diagnostic(`${runs} interleavings`);
     });
@@ -88,16 +88,16 @@
                 },
             });
             const [one, other, third] = [cell.start("a"), cell.start("b"), cell.start("c")];
-            void one.keeper.publish(publishDossier);
+            void one.configurationManager.publish(publishDossier);
             await cell.clock.advance(10);
             cell.kill("a");
             const abort = new AbortController();
-            const running = [other, third].map(({ keeper }) => keeper.run(abort.signal));
+            const running = [other, third].map(({ configurationManager }) => configurationManager.run(abort.signal));
             await cell.clock.advance(6_000);
             const wasCommitted = cell.store.transactions.length > 0;
-            assert.equal(other.keeper.current().generation, wasCommitted ? 1 : 0);
+            assert.equal(other.configurationManager.current().generation, wasCommitted ? 1 : 0);
             assertSameVersion(other, third);
-            const again = await cell.complete(other.keeper.publish(publishDossier));
+            const again = await cell.complete(other.configurationManager.publish(publishDossier));
             assert.equal(again.unwrapOr(undefined)?.generation, 1);
             assert.equal(cell.store.transactions.length, 1);
             abort.abort();
@@ -111,9 +111,9 @@
         const sender = cell.start("a");
         for (const name of ["one", "two", "three"]) {
             const request = createChangeRequest("north", name, [put(createProfile("north", name))]);
-            await cell.complete(sender.keeper.publish(request));
+            await cell.complete(sender.configurationManager.publish(request));
         }
-        const changes = (await cell.complete(sender.keeper.history(3))).unwrapOr([]).toReversed();
+        const changes = (await cell.complete(sender.configurationManager.history(3))).unwrapOr([]).toReversed();
         const runs = await exploreInterleavings(async ({ choose }) => {
             const receiver = cell.start("b");
             const canPull = choose(2) === 1;
@@ -133,7 +133,7 @@
                 }
                 await cell.clock.advance(0);
             }
-            assert.equal(receiver.keeper.current().generation, expected);
+            assert.equal(receiver.configurationManager.current().generation, expected);
             assertNeverBack(receiver);
         });
         assert.equal(runs, 2 * 4 ** 4);
@@ -144,11 +144,11 @@
         const runs = await exploreInterleavings(async ({ step }) => {
             const cell = createConfigurationCell();
             const [operator, entry] = [cell.start("a"), cell.start("b")];
-            await cell.complete(operator.keeper.publish(publishDossier));
+            await cell.complete(operator.configurationManager.publish(publishDossier));
             let isRunning = false;
             const serve = async () => {
                 await step("arrive");
-                const pin = entry.keeper.pin();
+                const pin = entry.configurationManager.pin();
                 isRunning = pin.version.findProfile("north", "dossier") !== undefined;
                 await step("identify");
                 pin.use(dossier);
@@ -158,10 +158,10 @@
             };
             const retire = async () => {
                 await step("publish");
-                await operator.keeper.publish(createChangeRequest("north", "w-2", [remove(dossier)]));
+                await operator.configurationManager.publish(createChangeRequest("north", "w-2", [remove(dossier)]));
                 for (let ask = 0; ask < 3; ask++) {
                     await step("ask");
-                    const report = (await operator.keeper.retirementOf(dossier)).unwrapOr(undefined);
+                    const report = (await operator.configurationManager.retirementOf(dossier)).unwrapOr(undefined);
                     completions += report?.isComplete ? 1 : 0;
                     assert.ok(!(report?.isComplete && isRunning), "complete while a request runs");
                 }
--- a/packages/daisyturn/src/process/configuration/configurationKeeper.ts
+++ b/packages/daisyturn/src/process/configuration/configurationManager.ts
@@ -4,7 +4,7 @@
 import type { ConfigurationVersion } from "../../version/configurationVersion.js";
 
 /** Holds the configuration in force in this process and takes changes. */
-export interface ConfigurationKeeper {
+export interface ConfigurationManager {
     /** The version in force. Its generation never goes down. Before the first adoption: generation 0, no items. */
     current(): ConfigurationVersion;
     /** Adopts the newest version that the store or a peer has; resolves once one is adopted or `signal` is aborted. */
--- a/packages/daisyturn/src/process/configuration/createChangeAcceptor.ts
+++ b/packages/daisyturn/src/process/configuration/createChangeAcceptor.ts
@@ -17,7 +17,7 @@
 import type { ConfigurationTiming } from "./configurationTiming.js";
 import type { ConfigurationStore, StoreState } from "./createConfigurationStore.js";
 import type { InForce } from "./createInForce.js";
-import { type ChangeOutcome, ChangeState } from "./fleetConfigurationKeeper.js";
+import { type ChangeOutcome, ChangeState } from "./fleetConfigurationManager.js";
 
 /** Brings changes into the store, and tells what became of them. */
 export interface ChangeAcceptor {
--- a/packages/daisyturn/src/process/configuration/createConfigurationKeeper.ts
+++ b/packages/daisyturn/src/process/configuration/createConfigurationManager.ts
@@ -25,14 +25,14 @@
 import { spreadVersions } from "./exchange/spreadVersions.js";
 import type {
     ChangePreview,
-    FleetConfigurationKeeper,
+    FleetConfigurationManager,
     ProcessUsage,
     RetirementReport,
-} from "./fleetConfigurationKeeper.js";
+} from "./fleetConfigurationManager.js";
 import { createRetirementReport } from "./retirementReport.js";
 
 /** What the keeper is made of. */
-export interface ConfigurationKeeperOptions {
+export interface ConfigurationManagerOptions {
     readonly self: ProcessIdentity;
     readonly storeClient: StoreClient;
     readonly network: PeerNetwork;
@@ -45,7 +45,7 @@
 }
 
 /** Creates the keeper of one process and registers its peer handlers. */
-export function createConfigurationKeeper(options: ConfigurationKeeperOptions): FleetConfigurationKeeper {
+export function createConfigurationManager(options: ConfigurationManagerOptions): FleetConfigurationManager {
     const { clock, eventLog, membership, network, storeClient } = options;
     const timing = { ...defaultConfigurationTiming, ...options.timing };
     const inForce = createInForce(eventLog);
--- a/packages/daisyturn/src/process/configuration/fleetConfigurationKeeper.ts
+++ b/packages/daisyturn/src/process/configuration/fleetConfigurationManager.ts
@@ -4,7 +4,7 @@
 import type { ChangeRequest } from "../../version/configurationChange.js";
 import type { ItemIdentity } from "../../version/configurationItems.js";
 import type { GenerationUsage, VersionPin } from "../../version/createVersionUsage.js";
-import type { ConfigurationKeeper } from "./configurationKeeper.js";
+import type { ConfigurationManager } from "./configurationManager.js";
 
 /** What became of a change request. */
 export enum ChangeState {
@@ -52,7 +52,7 @@
 }
 
 /** The keeper with what only operators and the request path need of it. */
-export interface FleetConfigurationKeeper extends ConfigurationKeeper {
+export interface FleetConfigurationManager extends ConfigurationManager {
     /** Pins the version in force for a request; see `VersionUsage`. */
     pin(): VersionPin;
     /** Checks a change as `publish` would, without making it. */
--- a/packages/daisyturn/src/process/configuration/index.ts
+++ b/packages/daisyturn/src/process/configuration/index.ts
@@ -4,8 +4,8 @@
  * @module
  */
 
-export * from "./configurationKeeper.js";
+export * from "./configurationManager.js";
 export * from "./configurationRows.js";
 export * from "./configurationTiming.js";
-export * from "./createConfigurationKeeper.js";
-export * from "./fleetConfigurationKeeper.js";
+export * from "./createConfigurationManager.js";
+export * from "./fleetConfigurationManager.js";
--- a/packages/daisyturn/src/process/configuration/retirementReport.ts
+++ b/packages/daisyturn/src/process/configuration/retirementReport.ts
@@ -1,6 +1,6 @@
 import type { ItemIdentity } from "../../version/configurationItems.js";
 import type { PeerUsage } from "./exchange/createConfigurationPeers.js";
-import type { RetirementReport } from "./fleetConfigurationKeeper.js";
+import type { RetirementReport } from "./fleetConfigurationManager.js";
 
 /** Draws up from the processes' answers whether an item is retired completely. */
 export function createRetirementReport(
--- a/packages/daisyturn/src/process/forwarding/index.ts
+++ b/packages/daisyturn/src/process/forwarding/index.ts
@@ -26,7 +26,7 @@
 export * from "./stages/changeStages.js";
 export * from "./stages/planStage.js";
 export * from "./targets/createClosedTargets.js";
-export * from "./targets/createForwardingKeeper.js";
+export * from "./targets/createForwardingConfigurationManager.js";
 export * from "./targets/createTargetHealth.js";
 export * from "./targets/createTargetList.js";
 export * from "./targets/followTable.js";
--- a/packages/daisyturn/src/process/forwarding/stages/__tests__/changeStages.test.ts
+++ b/packages/daisyturn/src/process/forwarding/stages/__tests__/changeStages.test.ts
@@ -4,7 +4,7 @@
 import { err, ok } from "true-myth/result";
 import { EngineActivity, EngineOrders, OrderAnswer, type StageOrder } from "../../../../ports/engineOrders.js";
 import { EngineStage, type ListedTarget } from "../../../../ports/listedTarget.js";
-import type { Lease, LeaseKeeper } from "../../../lease/index.js";
+import type { Lease, LeaseManager } from "../../../lease/index.js";
 import { TargetEvidence } from "../../targets/createTargetHealth.js";
 import { createTargetViews } from "../../views/createTargetViews.js";
 import { changeStages } from "../changeStages.js";
@@ -83,7 +83,7 @@
         fencingRow: { key: "k", version: 1 },
     };
     let isRunning = false;
-    const leaseKeeper: LeaseKeeper = {
+    const leaseManager: LeaseManager = {
         current: () => isRunning ? lease : undefined,
         run: async signal => {
             isRunning = true;
@@ -101,7 +101,7 @@
         kvTokens: () => 1_000,
         ...views,
         orders: new RecordedOrders(),
-        leaseKeeper,
+        leaseManager,
         isPlanner: () => options.isPlanner ?? true,
         leaseMilliseconds: 3_000,
         closingMilliseconds: () => 300,
--- a/packages/daisyturn/src/process/forwarding/stages/changeStages.ts
+++ b/packages/daisyturn/src/process/forwarding/stages/changeStages.ts
@@ -1,7 +1,7 @@
 import { type Clock, EventKind, type EventLog } from "daisyturn-utils";
 import { type EngineOrders, OrderAnswer } from "../../../ports/engineOrders.js";
 import { EngineStage, type ListedTarget } from "../../../ports/listedTarget.js";
-import type { Lease, LeaseKeeper } from "../../lease/index.js";
+import type { Lease, LeaseManager } from "../../lease/index.js";
 import type { ClosedTargets } from "../targets/createClosedTargets.js";
 import type { TargetHealth } from "../targets/createTargetHealth.js";
 import type { TargetList } from "../targets/createTargetList.js";
@@ -23,7 +23,7 @@
     readonly demand: ReadingDemand;
     readonly closed: ClosedTargets;
     readonly orders: EngineOrders;
-    readonly leaseKeeper: LeaseKeeper;
+    readonly leaseManager: LeaseManager;
     /** Whether this process is the one to plan: of those that hear each other, one is enough. */
     readonly isPlanner: () => boolean;
     /** After its last order, a holder keeps the lease for so long, so that no other gives orders right after it. */
@@ -57,7 +57,7 @@
  * process at a time gives orders, under a lease, each with the lease's fencing number and the engine's order count.
  */
 export async function changeStages(options: ChangeStagesOptions, signal: AbortSignal): Promise<void> {
-    const { targets, loads, health, demand, closed, orders, leaseKeeper, clock, eventLog } = options;
+    const { targets, loads, health, demand, closed, orders, leaseManager, clock, eventLog } = options;
     const lostEngines = createLostEngines(options);
     const needs = new Map<string, { stage: EngineStage; looks: number; }>();
     const changing = new Map<string, number>();
@@ -70,7 +70,7 @@
         if (!keeping) {
             const stop = new AbortController();
             keeping = { stop };
-            void leaseKeeper.run(stop.signal);
+            void leaseManager.run(stop.signal);
         }
     };
 
@@ -125,7 +125,7 @@
             return;
         }
         keepLease();
-        const lease = leaseKeeper.current();
+        const lease = leaseManager.current();
         const target = chooseTarget(engines, stage);
         if (lease && target) {
             eventLog.record(EventKind.RolePlanned, { target: target.targetId, stage, ...view });
--- a/packages/daisyturn/src/process/forwarding/targets/createForwardingKeeper.ts
+++ b/packages/daisyturn/src/process/forwarding/targets/createForwardingConfigurationManager.ts
@@ -5,14 +5,14 @@
 import type { TableFollower } from "./followTable.js";
 
 /** Keeps the newest configuration that the operators have published. */
-export interface ForwardingKeeper extends TableFollower {
+export interface ForwardingConfigurationManager extends TableFollower {
     current(): RouteTable | undefined;
     /** Called each time another version is put in force. */
     onChanged(listener: (table: RouteTable) => void): void;
 }
 
-/** What {@link createForwardingKeeper} needs. */
-export interface ForwardingKeeperOptions {
+/** What {@link createForwardingConfigurationManager} needs. */
+export interface ForwardingConfigurationManagerOptions {
     /** Key of the row that holds the configuration. */
     readonly key: string;
     /** Throws where the text is no configuration. */
@@ -24,7 +24,9 @@
  * Creates the keeper. A version never gives way to a lower one, whatever the store shows after an outage; a row that
  * can't be read, or is missing, leaves the version in force as it is.
  */
-export function createForwardingKeeper(options: ForwardingKeeperOptions): ForwardingKeeper {
+export function createForwardingConfigurationManager(
+    options: ForwardingConfigurationManagerOptions,
+): ForwardingConfigurationManager {
     const { eventLog } = options;
     const listeners: ((table: RouteTable) => void)[] = [];
     let table: RouteTable | undefined;
--- a/packages/daisyturn/src/process/lease/__tests__/createLeaseKeeper.test.ts
+++ b/packages/daisyturn/src/process/lease/__tests__/createLeaseManager.test.ts
@@ -11,7 +11,7 @@
 import { createStoreClient } from "../../store/index.js";
 import { createDriftingClock } from "../__fixtures__/driftingClock.js";
 import { createRestorableTable } from "../__fixtures__/restorableTable.js";
-import { createLeaseKeeper } from "../createLeaseKeeper.js";
+import { createLeaseManager } from "../createLeaseManager.js";
 import type { Lease } from "../lease.js";
 import { fencingRowKey } from "../leaseRows.js";
 import { releaseTransaction, renewalTransaction, takeoverTransaction } from "../leaseTransactions.js";
@@ -24,7 +24,7 @@
 };
 
 /** A process that competes for the lease; its clock runs at `rate`. */
-function startKeeper(
+function startManager(
     clock: FakeClock,
     table: TableService,
     name: string,
@@ -47,7 +47,7 @@
         readsPerSecond: 1_000,
     });
     const ids = createIdSource(self.incarnation);
-    const keeper = createLeaseKeeper({
+    const leaseManager = createLeaseManager({
         name: "test",
         self,
         storeClient,
@@ -59,24 +59,24 @@
         ...times,
     });
     const leases: Lease[] = [];
-    keeper.onAcquired(lease => leases.push(lease));
+    leaseManager.onAcquired(lease => leases.push(lease));
     const stopper = new AbortController();
-    const running = keeper.run(stopper.signal);
-    return { host, keeper, leases, eventLog, drifting, stop: () => stopper.abort(), running };
+    const running = leaseManager.run(stopper.signal);
+    return { host, leaseManager, leases, eventLog, drifting, stop: () => stopper.abort(), running };
 }
 
-type Keeper = ReturnType<typeof startKeeper>;
+type Manager = ReturnType<typeof startManager>;
 
 /** Moves the clock on until one of them holds the lease; how long it took, to 50 ms. */
-async function awaitHolder(clock: FakeClock, keepers: readonly Keeper[], limit = 30_000): Promise<number> {
+async function awaitHolder(clock: FakeClock, managers: readonly Manager[], limit = 30_000): Promise<number> {
     const start = clock.monotonicNow();
-    while (!keepers.some(one => one.keeper.current()) && clock.monotonicNow() < start + limit) {
+    while (!managers.some(one => one.leaseManager.current()) && clock.monotonicNow() < start + limit) {
         await clock.advance(50);
     }
     return clock.monotonicNow() - start;
 }
 
-describe("createLeaseKeeper", () => {
+describe("createLeaseManager", () => {
     it("has one holder at a time and growing fencing numbers, with clocks 4 % off, slow and failing calls", async () => {
         const overlaps: string[] = [];
         let takeovers = 0;
@@ -84,12 +84,12 @@
             const clock = new FakeClock();
             const random = createSeededRandom(seed);
             const table = createMemoryTableService();
-            const keepers = [0.96, 1, 1.04].map((rate, index) =>
-                startKeeper(clock, table, `p${index}`, rate, seed + index, 1_500)
+            const managers = [0.96, 1, 1.04].map((rate, index) =>
+                startManager(clock, table, `p${index}`, rate, seed + index, 1_500)
             );
             const taken: Lease[] = [];
-            keepers.forEach(one =>
-                one.keeper.onAcquired(lease => {
+            managers.forEach(one =>
+                one.leaseManager.onAcquired(lease => {
                     const held = taken.filter(other => other.isHeld());
                     const isOld = taken.some(other => other.fencingNumber >= lease.fencingNumber);
                     if (held.length > 0 || isOld) {
@@ -100,14 +100,14 @@
             );
             for (let round = 0; round < 6; round++) {
                 await clock.advance(4_000 + random.integerBelow(3_000));
-                const { host } = keepers.find(one => one.keeper.current()) ?? keepers[random.integerBelow(3)]!;
+                const { host } = managers.find(one => one.leaseManager.current()) ?? managers[random.integerBelow(3)]!;
                 const faults = [CallFault.PauseBefore, CallFault.PauseAfter, CallFault.LoseAnswer, CallFault.LoseCall];
                 host.failCall(host.callCount() + 1 + random.integerBelow(3), faults[random.integerBelow(4)]!);
                 host.cutOff(CallKind.Store, random.fraction() < 0.5);
-                keepers.filter(one => one.host !== host).forEach(one => one.host.cutOff(CallKind.Store, false));
+                managers.filter(one => one.host !== host).forEach(one => one.host.cutOff(CallKind.Store, false));
             }
             takeovers += taken.length;
-            keepers.forEach(one => one.host.kill());
+            managers.forEach(one => one.host.kill());
         }
         assert.deepEqual(overlaps, []);
         assert.ok(takeovers > 400, `${takeovers} takeovers`);
@@ -121,13 +121,13 @@
             const clock = new FakeClock();
             const random = createSeededRandom(seed);
             const store = createRestorableTable();
-            const keepers = [0.96, 1, 1.04].map((rate, index) => {
+            const managers = [0.96, 1, 1.04].map((rate, index) => {
                 const storeEra = createStoreEraTracker();
-                return startKeeper(clock, store.connect(storeEra), `p${index}`, rate, seed + index, 800, storeEra);
+                return startManager(clock, store.connect(storeEra), `p${index}`, rate, seed + index, 800, storeEra);
             });
             const taken: Lease[] = [];
-            keepers.forEach(one =>
-                one.keeper.onAcquired(lease => {
+            managers.forEach(one =>
+                one.leaseManager.onAcquired(lease => {
                     const isHeldTwice = taken.some(other => other.isHeld());
                     const isOld = taken.some(other => other.fencingNumber >= lease.fencingNumber);
                     if (isHeldTwice || isOld) {
@@ -138,15 +138,15 @@
             );
             for (let round = 0; round < 8; round++) {
                 await clock.advance(2_000 + random.integerBelow(5_000));
-                const { host } = keepers.find(one => one.keeper.current()) ?? keepers[random.integerBelow(3)]!;
+                const { host } = managers.find(one => one.leaseManager.current()) ?? managers[random.integerBelow(3)]!;
                 host.cutOff(CallKind.Store, random.fraction() < 0.5);
-                keepers.filter(one => one.host !== host).forEach(one => one.host.cutOff(CallKind.Store, false));
+                managers.filter(one => one.host !== host).forEach(one => one.host.cutOff(CallKind.Store, false));
                 if (random.fraction() < 0.7) {
                     await store.rollBack(1 + random.integerBelow(8));
                 }
             }
             takeovers += taken.length;
-            keepers.forEach(one => one.host.kill());
+            managers.forEach(one => one.host.kill());
         }
         assert.deepEqual(overlaps, []);
         assert.ok(takeovers > 250, `${takeovers} takeovers`);
@@ -157,19 +157,19 @@
         const clock = new FakeClock();
         const store = createRestorableTable();
         const storeEra = createStoreEraTracker();
-        const one = startKeeper(clock, store.connect(storeEra), "p1", 1, 1, 1, storeEra);
+        const one = startManager(clock, store.connect(storeEra), "p1", 1, 1, 1, storeEra);
         await awaitHolder(clock, [one]);
         const [first] = one.leases;
         await store.rollBack(1_000);
         storeEra.observe(2);
-        assert.equal(one.keeper.current(), undefined);
+        assert.equal(one.leaseManager.current(), undefined);
         assert.equal(first?.isHeld(), false);
         const waited = await awaitHolder(clock, [one]);
         assert.ok(waited >= times.leaseMilliseconds, `taken after ${waited} ms`);
-        assert.ok((one.keeper.current()?.fencingNumber ?? 0) > (first?.fencingNumber ?? Infinity));
+        assert.ok((one.leaseManager.current()?.fencingNumber ?? 0) > (first?.fencingNumber ?? Infinity));
         one.stop();
         await clock.advance(1_000);
-        const next = startKeeper(clock, store.connect(createStoreEraTracker()), "p2", 1, 2, 1, storeEra);
+        const next = startManager(clock, store.connect(createStoreEraTracker()), "p2", 1, 2, 1, storeEra);
         assert.ok(
             await awaitHolder(clock, [next]) <= 1.5 * times.pollIntervalMilliseconds,
             "a lease released in the current era can be taken at once",
@@ -181,28 +181,28 @@
     it("passes on after a kill within the lease and two looks, after a release within one look", async () => {
         const clock = new FakeClock();
         const table = createMemoryTableService();
-        const keepers = [startKeeper(clock, table, "p1", 1, 1), startKeeper(clock, table, "p2", 1, 2)];
-        await awaitHolder(clock, keepers);
-        const first = keepers.find(one => one.keeper.current())!;
-        const second = keepers.find(one => one !== first)!;
+        const managers = [startManager(clock, table, "p1", 1, 1), startManager(clock, table, "p2", 1, 2)];
+        await awaitHolder(clock, managers);
+        const first = managers.find(one => one.leaseManager.current())!;
+        const second = managers.find(one => one !== first)!;
         first.host.kill();
         const afterKill = await awaitHolder(clock, [second]);
         assert.ok(afterKill <= times.leaseMilliseconds + 2 * times.pollIntervalMilliseconds, `${afterKill} ms`);
-        const third = startKeeper(clock, table, "p3", 1, 3);
+        const third = startManager(clock, table, "p3", 1, 3);
         await clock.advance(2_000);
         second.stop();
         const afterRelease = await awaitHolder(clock, [third]);
         assert.ok(afterRelease <= 1.5 * times.pollIntervalMilliseconds, `${afterRelease} ms`);
-        assert.equal(third.keeper.current()?.fencingNumber, 3);
+        assert.equal(third.leaseManager.current()?.fencingNumber, 3);
         third.host.kill();
     });
 
     it("counts its deadline from before it sent the renewal, however late the answer comes", async () => {
         const clock = new FakeClock();
         const faulty = createFaultyTableService(createMemoryTableService(), { clock });
-        const one = startKeeper(clock, faulty.tableService, "p1");
+        const one = startManager(clock, faulty.tableService, "p1");
         await awaitHolder(clock, [one]);
-        const lease = one.keeper.current()!;
+        const lease = one.leaseManager.current()!;
         const first = lease.deadline();
         const sentBefore = faulty.transactions.length;
         faulty.setStandingFault({ kind: TableFaultKind.Slow, delayMilliseconds: 700 });
@@ -219,7 +219,7 @@
     it("does not hold a lease whose takeover was not answered, and takes it anew when it finds its own row", async () => {
         const clock = new FakeClock();
         const faulty = createFaultyTableService(createMemoryTableService(), { clock });
-        const one = startKeeper(clock, faulty.tableService, "p1");
+        const one = startManager(clock, faulty.tableService, "p1");
         faulty.script(TableFaultKind.None, TableFaultKind.CommitLate);
         faulty.setStandingFault(TableFaultKind.Down);
         await clock.advance(3_000);
@@ -227,15 +227,15 @@
         await faulty.releaseLateCommits();
         faulty.setStandingFault(TableFaultKind.None);
         await awaitHolder(clock, [one]);
-        assert.equal(one.keeper.current()?.fencingNumber, 2);
+        assert.equal(one.leaseManager.current()?.fencingNumber, 2);
         one.host.kill();
     });
 
     it("is over when the wall clock has gone on while the monotonic one stood still, as in a suspended VM", async () => {
         const clock = new FakeClock();
-        const one = startKeeper(clock, createMemoryTableService(), "p1");
+        const one = startManager(clock, createMemoryTableService(), "p1");
         await awaitHolder(clock, [one]);
-        const lease = one.keeper.current()!;
+        const lease = one.leaseManager.current()!;
         clock.jumpWall(times.leaseMilliseconds);
         assert.equal(lease.isHeld(), false);
         clock.jumpWall(-times.leaseMilliseconds);
@@ -246,20 +246,20 @@
     it("gives the lease back only after what was begun under it has ended", async () => {
         const clock = new FakeClock();
         const table = createMemoryTableService();
-        const one = startKeeper(clock, table, "p1");
+        const one = startManager(clock, table, "p1");
         await awaitHolder(clock, [one]);
         let end = () => {};
-        one.keeper.beforeRelease(() => new Promise(resolve => end = resolve));
-        const lease = one.keeper.current()!;
+        one.leaseManager.beforeRelease(() => new Promise(resolve => end = resolve));
+        const lease = one.leaseManager.current()!;
         one.stop();
-        const two = startKeeper(clock, table, "p2");
+        const two = startManager(clock, table, "p2");
         await clock.advance(2_000);
         assert.equal(lease.isHeld(), false);
-        assert.equal(two.keeper.current(), undefined);
+        assert.equal(two.leaseManager.current(), undefined);
         assert.equal(one.eventLog.of(EventKind.LeaseReleased).length, 0);
         end();
         await awaitHolder(clock, [two], 2_000);
-        assert.equal(two.keeper.current()?.fencingNumber, 2);
+        assert.equal(two.leaseManager.current()?.fencingNumber, 2);
         two.host.kill();
     });
 });
--- a/packages/daisyturn/src/process/lease/createLeaseKeeper.ts
+++ b/packages/daisyturn/src/process/lease/createLeaseManager.ts
@@ -3,12 +3,12 @@
 import type { ProcessIdentity } from "../peers/index.js";
 import { type StoreClient, StorePriority } from "../store/index.js";
 import { createLeaseTenure, type LeaseTenure, readClocks } from "./createLeaseTenure.js";
-import type { Lease, LeaseKeeper } from "./lease.js";
+import type { Lease, LeaseManager } from "./lease.js";
 import { fencingRowKey, type FencingValue, parseFencingValue, renewalRowKey } from "./leaseRows.js";
 import { releaseTransaction, renewalTransaction, takeoverTransaction } from "./leaseTransactions.js";
 
 /** What a lease keeper is made of. */
-export interface LeaseKeeperOptions {
+export interface LeaseManagerOptions {
     readonly name: string;
     readonly self: ProcessIdentity;
     readonly storeClient: StoreClient;
@@ -55,7 +55,7 @@
 }
 
 /** Creates the keeper of one lease; it does nothing before `run`. */
-export function createLeaseKeeper(options: LeaseKeeperOptions): LeaseKeeper {
+export function createLeaseManager(options: LeaseManagerOptions): LeaseManager {
     const { name, self, storeClient, clock, random, ids, eventLog } = options;
     const leaseMilliseconds = options.leaseMilliseconds ?? defaultLeaseMilliseconds;
     const marginMilliseconds = options.marginMilliseconds ?? defaultMarginMilliseconds;
--- a/packages/daisyturn/src/process/lease/index.ts
+++ b/packages/daisyturn/src/process/lease/index.ts
@@ -4,7 +4,7 @@
  * @module
  */
 
-export * from "./createLeaseKeeper.js";
+export * from "./createLeaseManager.js";
 export * from "./lease.js";
 export * from "./leaseRows.js";
 export * from "./leaseTransactions.js";
--- a/packages/daisyturn/src/process/lease/lease.ts
+++ b/packages/daisyturn/src/process/lease/lease.ts
@@ -12,7 +12,7 @@
 }
 
 /** Takes, renews and gives back one lease. */
-export interface LeaseKeeper {
+export interface LeaseManager {
     /** The lease if this process holds it now. */
     current(): Lease | undefined;
     /** Competes for the lease and renews it until `signal` is aborted, then releases it. */
--- a/packages/daisyturn/src/process/orders/__fixtures__/runRoleChange.ts
+++ b/packages/daisyturn/src/process/orders/__fixtures__/runRoleChange.ts
@@ -37,7 +37,7 @@
 ): Promise<RoleChangeRun> {
     const world = createOrderWorld(options);
     await world.clock.advance(startMilliseconds);
-    const holder = world.processes.find(one => one.leaseKeeper.current())!;
+    const holder = world.processes.find(one => one.leaseManager.current())!;
     const other = world.processes.find(one => one !== holder)!;
     const request = { requestId: "req-1", engineId: "engine-1", kind: "change_role", role: EngineRole.Decode } as const;
     await other.commands.requestOrder(request as never);
--- a/packages/daisyturn/src/process/orders/__fixtures__/worldProcess.ts
+++ b/packages/daisyturn/src/process/orders/__fixtures__/worldProcess.ts
@@ -14,8 +14,8 @@
 import type { TableService } from "../../../ports/tableService.js";
 import { WeightStore } from "../../../ports/weightStore.js";
 import type { ConfigurationVersion } from "../../../version/configurationVersion.js";
-import type { ConfigurationKeeper } from "../../configuration/index.js";
-import { createLeaseKeeper, type LeaseKeeper } from "../../lease/index.js";
+import type { ConfigurationManager } from "../../configuration/index.js";
+import { createLeaseManager, type LeaseManager } from "../../lease/index.js";
 import { type Membership, MemberState, type ProcessIdentity } from "../../peers/index.js";
 import { createStoreClient } from "../../store/index.js";
 import { createTargetGate, type TargetGate } from "../../targets/index.js";
@@ -59,7 +59,7 @@
     readonly identity: ProcessIdentity;
     readonly host: ProcessHost;
     readonly eventLog: MemoryEventLog;
-    readonly leaseKeeper: LeaseKeeper;
+    readonly leaseManager: LeaseManager;
     readonly controller: Controller;
     readonly commands: OrderCommands;
     readonly gate: TargetGate;
@@ -82,7 +82,7 @@
     const ids = createIdSource(identity.incarnation);
     const peerNetwork = world.peers.join(identity);
     const membership = createWorldMembership(world, identity);
-    const configurationKeeper = createWorldConfiguration(world, identity.processId);
+    const configurationManager = createWorldConfiguration(world, identity.processId);
     const storeClient = createStoreClient({
         tableService: hostTable(host, world.table),
         clock,
@@ -91,7 +91,7 @@
         writesPerSecond: 1_000,
         readsPerSecond: 1_000,
     });
-    const leaseKeeper = createLeaseKeeper({
+    const leaseManager = createLeaseManager({
         name: testLeaseName,
         self: identity,
         storeClient,
@@ -107,25 +107,25 @@
         leaseName: testLeaseName,
         storeClient,
         membership,
-        configurationKeeper,
+        configurationManager,
         clock,
     });
     const gate = createTargetGate({
-        configurationKeeper,
+        configurationManager,
         peerNetwork,
         clock,
         isVmLeaving: () => false,
         isInService: () => true,
     });
-    const engine = hostEngine(host, world.engine, () => leaseKeeper.current() !== undefined);
+    const engine = hostEngine(host, world.engine, () => leaseManager.current() !== undefined);
     const controller = createController({
         self: identity,
-        leaseKeeper,
+        leaseManager,
         records,
         commands,
         peerNetwork,
         membership,
-        configurationKeeper,
+        configurationManager,
         targetDirectory: {
             engine: name => name === engine.engineId ? engine : undefined,
             plainService: () => undefined,
@@ -139,12 +139,12 @@
         settings: world.settings,
     });
     const stopper = new AbortController();
-    const running = Promise.all([leaseKeeper.run(stopper.signal), controller.run(stopper.signal)]);
+    const running = Promise.all([leaseManager.run(stopper.signal), controller.run(stopper.signal)]);
     const stop = async () => {
         stopper.abort();
         await running;
     };
-    return { identity, host, eventLog, leaseKeeper, controller, commands, gate, stop };
+    return { identity, host, eventLog, leaseManager, controller, commands, gate, stop };
 }
 
 function createWorldMembership(world: WorldSurroundings, self: ProcessIdentity): Membership {
@@ -158,7 +158,7 @@
     };
 }
 
-function createWorldConfiguration(world: WorldSurroundings, processName: string): ConfigurationKeeper {
+function createWorldConfiguration(world: WorldSurroundings, processName: string): ConfigurationManager {
     return {
         current: () => world.configurationAt(processName),
         adopt: () => Promise.resolve(),
--- a/packages/daisyturn/src/process/orders/__tests__/createOrderCommands.test.ts
+++ b/packages/daisyturn/src/process/orders/__tests__/createOrderCommands.test.ts
@@ -56,7 +56,7 @@
     it("shows what is withheld, and goes on after an operator has vouched for the end of the sender", async () => {
         const world = createOrderWorld({ checksFencingNumbers: false });
         await world.clock.advance(2_000);
-        const holder = world.processes.find(one => one.leaseKeeper.current())!;
+        const holder = world.processes.find(one => one.leaseManager.current())!;
         const other = world.processes.find(one => one !== holder)!;
         const early = await other.commands.vouch(vouchFor(holder.identity.incarnation));
         assert.equal(early.isErr && early.error.reason, FailureReason.NotFound);
@@ -78,7 +78,7 @@
     it("does not let a run that is alive be vouched for", async () => {
         const world = createOrderWorld({ checksFencingNumbers: false });
         await world.clock.advance(2_000);
-        const holder = world.processes.find(one => one.leaseKeeper.current())!;
+        const holder = world.processes.find(one => one.leaseManager.current())!;
         const other = world.processes.find(one => one !== holder)!;
         await other.commands.requestOrder(wish);
         holder.host.failNext(CallKind.EngineOrder, CallFault.LoseCall);
--- a/packages/daisyturn/src/process/orders/createController.ts
+++ b/packages/daisyturn/src/process/orders/createController.ts
@@ -1,8 +1,8 @@
 import { type Clock, EventKind, type EventLog, type IdSource } from "daisyturn-utils";
 import { type EngineRole, OrderKind } from "../../ports/engine.js";
 import type { WeightStore } from "../../ports/weightStore.js";
-import type { ConfigurationKeeper } from "../configuration/index.js";
-import type { LeaseKeeper } from "../lease/index.js";
+import type { ConfigurationManager } from "../configuration/index.js";
+import type { LeaseManager } from "../lease/index.js";
 import type { Membership, PeerNetwork, ProcessIdentity } from "../peers/index.js";
 import type { TargetDirectory, TargetGate } from "../targets/index.js";
 import type { ChangeUnderWay, Controller } from "./controller.js";
@@ -21,12 +21,12 @@
 /** What a controller is made of. */
 export interface ControllerOptions {
     readonly self: ProcessIdentity;
-    readonly leaseKeeper: LeaseKeeper;
+    readonly leaseManager: LeaseManager;
     readonly records: OrderRecords;
     readonly commands: OrderCommands;
     readonly peerNetwork: PeerNetwork;
     readonly membership: Membership;
-    readonly configurationKeeper: ConfigurationKeeper;
+    readonly configurationManager: ConfigurationManager;
     readonly targetDirectory: TargetDirectory;
     readonly targetGate: TargetGate;
     readonly weightStore: WeightStore;
@@ -41,7 +41,7 @@
 
 /** Creates the controller of one process; it does nothing before `run`. */
 export function createController(options: ControllerOptions): Controller {
-    const { leaseKeeper, records, clock, eventLog } = options;
+    const { leaseManager, records, clock, eventLog } = options;
     const settings = { ...defaultControllerSettings, ...options.settings };
     const vouched = new Set<string>();
     const loadsBegun = new Map<string | undefined, number>();
@@ -65,7 +65,7 @@
             void endTelling(tellingEnd);
         }, { once: true });
         while (!signal.aborted) {
-            const lease = leaseKeeper.current();
+            const lease = leaseManager.current();
             if (lease) {
                 tenureEnd = new AbortController();
                 work = workUnder(createControllerTenure(lease, tenureEnd.signal), tellingEnd.signal);
@@ -133,11 +133,11 @@
     const ledger = {
         begun: (partner: string | undefined) => loadsBegun.get(partner) ?? 0,
         weight: (partner: string | undefined) =>
-            partner === undefined ? 1 : options.configurationKeeper.current().shareWeight(partner),
+            partner === undefined ? 1 : options.configurationManager.current().shareWeight(partner),
     };
 
-    leaseKeeper.onLost(() => tenureEnd?.abort());
-    leaseKeeper.beforeRelease(() => work);
+    leaseManager.onLost(() => tenureEnd?.abort());
+    leaseManager.beforeRelease(() => work);
 
     return {
         run,
--- a/packages/daisyturn/src/process/orders/createOrderCommands.ts
+++ b/packages/daisyturn/src/process/orders/createOrderCommands.ts
@@ -1,7 +1,7 @@
 import { type Clock, type Failure, FailureReason, mayHaveRun, notRun } from "daisyturn-utils";
 import { Result } from "true-myth/result";
 import { RejectionCause, type TransactionAnswer, TransactionOutcome } from "../../ports/tableService.js";
-import type { ConfigurationKeeper } from "../configuration/index.js";
+import type { ConfigurationManager } from "../configuration/index.js";
 import { fencingRowKey, type FencingValue, parseFencingValue } from "../lease/index.js";
 import type { Membership } from "../peers/index.js";
 import { type StoreClient, StorePriority } from "../store/index.js";
@@ -64,7 +64,7 @@
     readonly leaseName: string;
     readonly storeClient: StoreClient;
     readonly membership: Membership;
-    readonly configurationKeeper: ConfigurationKeeper;
+    readonly configurationManager: ConfigurationManager;
     readonly clock: Clock;
     readonly callLimitMilliseconds?: number;
     /** How long a request may wait for the controller to begin with it. */
@@ -76,7 +76,7 @@
 
 /** Creates the commands of one process. */
 export function createOrderCommands(options: OrderCommandsOptions): OrderCommands {
-    const { records, clock, membership, configurationKeeper } = options;
+    const { records, clock, membership, configurationManager } = options;
     const callLimit = options.callLimitMilliseconds ?? defaultCallLimitMilliseconds;
     const beginLimit = options.beginLimitMilliseconds ?? defaultBeginLimitMilliseconds;
 
@@ -109,7 +109,7 @@
         if (isRequestOpen(present)) {
             return Result.err(conflict(`${describeOwner(present)} has an order for ${wish.engineId} under way`));
         }
-        const objection = judgeChangeGoal(wish, configurationKeeper.current());
+        const objection = judgeChangeGoal(wish, configurationManager.current());
         if (objection !== undefined) {
             return Result.err(conflict(objection));
         }
--- a/packages/daisyturn/src/process/orders/orderContext.ts
+++ b/packages/daisyturn/src/process/orders/orderContext.ts
@@ -1,6 +1,6 @@
 import type { Clock, EventLog, IdSource } from "daisyturn-utils";
 import type { WeightStore } from "../../ports/weightStore.js";
-import type { ConfigurationKeeper } from "../configuration/index.js";
+import type { ConfigurationManager } from "../configuration/index.js";
 import type { Membership, ProcessIdentity } from "../peers/index.js";
 import type { TargetDirectory } from "../targets/index.js";
 import type { ControllerTenure } from "./controllerTenure.js";
@@ -53,7 +53,7 @@
     readonly sender: OrderSender;
     readonly quiescer: EngineQuiescer;
     readonly membership: Membership;
-    readonly configurationKeeper: ConfigurationKeeper;
+    readonly configurationManager: ConfigurationManager;
     readonly targetDirectory: TargetDirectory;
     readonly weightStore: WeightStore;
     /** Whether an operator has vouched for the end of that process run. */
--- a/packages/daisyturn/src/process/orders/sending/createOrderSettler.ts
+++ b/packages/daisyturn/src/process/orders/sending/createOrderSettler.ts
@@ -150,7 +150,7 @@
             : isProven(record) && isPastWait(record, clock.monotonicNow());
 
     const checksFencingNumbers = (engineId: string) =>
-        context.configurationKeeper.current().findTarget(engineId)?.checksFencingNumbers === true;
+        context.configurationManager.current().findTarget(engineId)?.checksFencingNumbers === true;
 
     const isProven = (record: OrderRecord) => {
         const hasEnded = findFate(record) === OrderFate.MayBeOnTheWay
--- a/packages/daisyturn/src/process/orders/steps/createChangeDriver.ts
+++ b/packages/daisyturn/src/process/orders/steps/createChangeDriver.ts
@@ -65,7 +65,7 @@
             return StepResult.Wait;
         }
         const step = planNextStep(change, state, {
-            objection: judgeChangeGoal({ ...change, engineId: rows.engineId }, context.configurationKeeper.current()),
+            objection: judgeChangeGoal({ ...change, engineId: rows.engineId }, context.configurationManager.current()),
             areEntryVmsQuiet: quiescer.isQuiet(rows.engineId, change.requestId),
             isDrainOver: clock.wallNow() >= change.drainDeadline,
             isConfigurationCurrent: isConfigurationCurrent(context, rows),
--- a/packages/daisyturn/src/process/orders/steps/createRequestStarter.ts
+++ b/packages/daisyturn/src/process/orders/steps/createRequestStarter.ts
@@ -27,7 +27,7 @@
         if (!isConfigurationCurrent(context, rows)) {
             return StepResult.Wait;
         }
-        const objection = judgeChangeGoal(request, context.configurationKeeper.current());
+        const objection = judgeChangeGoal(request, context.configurationManager.current());
         if (objection !== undefined) {
             return refuse(tenure, rows, request, OrderRequestState.Refused, objection);
         }
--- a/packages/daisyturn/src/process/orders/steps/isConfigurationCurrent.ts
+++ b/packages/daisyturn/src/process/orders/steps/isConfigurationCurrent.ts
@@ -3,5 +3,5 @@
 
 /** Whether the configuration in force in this process is the newest that the fleet has accepted. */
 export function isConfigurationCurrent(context: OrderContext, rows: EngineRows): boolean {
-    return rows.headGeneration === context.configurationKeeper.current().generation;
+    return rows.headGeneration === context.configurationManager.current().generation;
 }
--- a/packages/daisyturn/src/process/roles/createRolePlanner.ts
+++ b/packages/daisyturn/src/process/roles/createRolePlanner.ts
@@ -1,7 +1,7 @@
 import { type Clock, type EventFields, EventKind, type EventLog } from "daisyturn-utils";
 import { EngineRole } from "../../ports/engine.js";
-import type { ConfigurationKeeper } from "../configuration/index.js";
-import type { LeaseKeeper } from "../lease/index.js";
+import type { ConfigurationManager } from "../configuration/index.js";
+import type { LeaseManager } from "../lease/index.js";
 import type { EngineLoad, LoadView } from "../load/index.js";
 import type { Controller } from "../orders/index.js";
 import { type ArrivalMeter, arrivalWindowMilliseconds } from "./arrivalMeter.js";
@@ -55,8 +55,8 @@
     readonly planning: RolePlanning;
     readonly meter: ArrivalMeter;
     readonly loadView: LoadView;
-    readonly keeper: ConfigurationKeeper;
-    readonly leaseKeeper: LeaseKeeper;
+    readonly configurationManager: ConfigurationManager;
+    readonly leaseManager: LeaseManager;
     readonly controller: Controller;
     readonly clock: Clock;
     readonly eventLog: EventLog;
@@ -72,12 +72,12 @@
         const changing = new Set(options.controller.changesUnderWay().map(change => change.engineId));
         const pools = listRolePools(
             options.loadView.loads(),
-            options.keeper.current(),
+            options.configurationManager.current(),
             engineId => changing.has(engineId),
         );
         const demands = pools.map(pool => computeDemand(pool, meter.rates()));
         planning.observe(pools, demands);
-        if (options.leaseKeeper.current()?.isHeld()) {
+        if (options.leaseManager.current()?.isHeld()) {
             await requestChanges(options, planning.plan(pools, demands));
         }
         await clock.sleepUntil(next, signal);
--- a/packages/daisyturn/src/process/routing/__fixtures__/createDecisionBench.ts
+++ b/packages/daisyturn/src/process/routing/__fixtures__/createDecisionBench.ts
@@ -22,7 +22,7 @@
 import { createProfile } from "../../../version/__fixtures__/items.js";
 import type { ConfigurationItem } from "../../../version/configurationItems.js";
 import { createConfigurationVersion } from "../../../version/createConfigurationVersion.js";
-import type { ConfigurationKeeper } from "../../configuration/index.js";
+import type { ConfigurationManager } from "../../configuration/index.js";
 import { createLoadView } from "../../load/index.js";
 import type { Membership, PeerNetwork, ProcessIdentity } from "../../peers/index.js";
 import type { TargetGate } from "../../targets/index.js";
@@ -120,7 +120,7 @@
     );
     const closed = new Set<string>();
     const dead = new Set<string>();
-    const keeper = createFixedKeeper(options.items ?? []);
+    const configurationManager = createFixedConfigurationManager(options.items ?? []);
     const identities = [...Array(options.processes ?? 1).keys()].map(index => createFakeIdentity(`p${index}`));
     const gate: TargetGate = {
         isOpen: name => !closed.has(name),
@@ -139,7 +139,7 @@
         const membership = createScriptedMembership(identities.filter(other => other !== self), dead);
         const eventLog = new MemoryEventLog();
         const random = options.random ?? createSeededRandom(index + 1);
-        const common = { network, membership, clock, eventLog, keeper, gate, random, targets };
+        const common = { network, membership, clock, eventLog, configurationManager, gate, random, targets };
         const loadView = createLoadView({ ...common, reportIntervalMilliseconds: reportInterval });
         const router = createRouter({ ...common, loadView, choice: options.choice });
         void loadView.run(stopper.signal);
@@ -166,7 +166,7 @@
     };
 }
 
-export function createFixedKeeper(items: readonly ConfigurationItem[]): ConfigurationKeeper {
+export function createFixedConfigurationManager(items: readonly ConfigurationItem[]): ConfigurationManager {
     const version = createConfigurationVersion(1, items);
     const unused = () => Promise.reject(new Error("fixed"));
     return {
--- a/packages/daisyturn/src/process/routing/createRouter.ts
+++ b/packages/daisyturn/src/process/routing/createRouter.ts
@@ -1,6 +1,6 @@
 import { type Clock, type EventLog, type Failure, FailureReason, notRun, type Random } from "daisyturn-utils";
 import { err, ok, type Result } from "true-myth/result";
-import type { ConfigurationKeeper } from "../configuration/index.js";
+import type { ConfigurationManager } from "../configuration/index.js";
 import { createEngineHealth } from "../health/index.js";
 import {
     type CacheMatch,
@@ -22,7 +22,7 @@
 export interface RouterOptions {
     readonly loadView: LoadView;
     readonly gate: TargetGate;
-    readonly keeper: ConfigurationKeeper;
+    readonly configurationManager: ConfigurationManager;
     readonly clock: Clock;
     readonly random: Random;
     readonly eventLog: EventLog;
@@ -65,7 +65,7 @@
 
 /** Creates the router of one process. */
 export function createRouter(options: RouterOptions): PlanningRouter {
-    const { loadView, gate, keeper, clock, eventLog } = options;
+    const { loadView, gate, configurationManager, clock, eventLog } = options;
     const choice = options.choice ?? new SampledChoice(options.random);
     const lengths = createOutputLengths();
     const transfer = createTransferRate();
@@ -87,7 +87,7 @@
 
     /** Engines to ask, in sets of falling preference: those that failed or are ejected only if nothing else is left. */
     const listTiers = (request: RoutingRequest): EngineLoad[][] => {
-        const able = loadView.loads().filter(load => canServe(load, request.profile, keeper));
+        const able = loadView.loads().filter(load => canServe(load, request.profile, configurationManager));
         const untried = able.filter(load => !request.avoid.includes(load.engineId));
         const steady = untried.filter(load => health.acceptsWork(load.engineId));
         return [steady, untried, able].filter(isComplete);
--- a/packages/daisyturn/src/process/routing/engineFilter.ts
+++ b/packages/daisyturn/src/process/routing/engineFilter.ts
@@ -1,15 +1,15 @@
 import { EnginePhase, EngineRole } from "../../ports/engine.js";
 import type { Profile } from "../../version/configurationItems.js";
-import type { ConfigurationKeeper } from "../configuration/index.js";
+import type { ConfigurationManager } from "../configuration/index.js";
 import type { EngineLoad } from "../load/index.js";
 
 /** Whether an engine can serve a profile, as far as its reports and its registration tell. */
-export function canServe(load: EngineLoad, profile: Profile, keeper: ConfigurationKeeper): boolean {
+export function canServe(load: EngineLoad, profile: Profile, configurationManager: ConfigurationManager): boolean {
     const state = load.state();
     if (load.phase() !== EnginePhase.Serving || state?.draining) {
         return false;
     }
-    const models = state?.models ?? keeper.current().findTarget(load.engineId)?.models;
+    const models = state?.models ?? configurationManager.current().findTarget(load.engineId)?.models;
     const hasModel = models === undefined || models.includes(profile.model);
     const hasAdapter = profile.adapter === undefined || state === undefined || state.adapters.includes(profile.adapter);
     return hasModel && hasAdapter;
--- a/packages/daisyturn/src/process/targets/__tests__/createTargetGate.test.ts
+++ b/packages/daisyturn/src/process/targets/__tests__/createTargetGate.test.ts
@@ -15,7 +15,7 @@
     const circumstances = { isInService: true, leaving: new Set<string>() };
     let version = createConfigurationVersion(1, [createTarget("nyamata", "engine-1")]);
     const gate = createTargetGate({
-        configurationKeeper: { current: () => version },
+        configurationManager: { current: () => version },
         peerNetwork: networks.join(createFakeIdentity("p2")),
         clock,
         isVmLeaving: target => circumstances.leaving.has(target.name),
--- a/packages/daisyturn/src/process/targets/createTargetDirectory.ts
+++ b/packages/daisyturn/src/process/targets/createTargetDirectory.ts
@@ -1,12 +1,12 @@
 import type { Engine } from "../../ports/engine.js";
 import type { PlainService } from "../../ports/plainService.js";
 import { type Target, TargetKind } from "../../version/configurationItems.js";
-import type { ConfigurationKeeper } from "../configuration/index.js";
+import type { ConfigurationManager } from "../configuration/index.js";
 import type { TargetDirectory } from "./targetDirectory.js";
 
 /** Makes the adapters that the directory hands out. */
 export interface TargetDirectoryOptions {
-    readonly keeper: ConfigurationKeeper;
+    readonly configurationManager: ConfigurationManager;
     readonly createEngine: (target: Target) => Engine;
     readonly createPlainService: (target: Target) => PlainService;
 }
@@ -25,7 +25,7 @@
     const serviceEntries = new Map<string, Entry<PlainService>>();
 
     const findTarget = (targetName: string, kind: TargetKind) => {
-        const target = options.keeper.current().findTarget(targetName);
+        const target = options.configurationManager.current().findTarget(targetName);
         return target?.targetKind === kind ? target : undefined;
     };
 
@@ -40,11 +40,11 @@
     };
 
     const engines = () =>
-        options.keeper.current().targets
+        options.configurationManager.current().targets
             .filter(target => target.targetKind === TargetKind.Engine)
             .map(target => ensureEntry(engineEntries, target, options.createEngine));
 
-    options.keeper.onVersion(version => {
+    options.configurationManager.onVersion(version => {
         forgetAbsent(engineEntries, name => version.findTarget(name) !== undefined);
         forgetAbsent(serviceEntries, name => version.findTarget(name) !== undefined);
     });
--- a/packages/daisyturn/src/process/targets/createTargetGate.ts
+++ b/packages/daisyturn/src/process/targets/createTargetGate.ts
@@ -1,13 +1,13 @@
 import type { Clock, JsonObject } from "daisyturn-utils";
 import type { Target } from "../../version/configurationItems.js";
-import type { ConfigurationKeeper } from "../configuration/index.js";
+import type { ConfigurationManager } from "../configuration/index.js";
 import { PeerMethod, type PeerNetwork } from "../peers/index.js";
 import { parseQuiesceDemand, parseReleaseNotice } from "./quiesceMessages.js";
 import type { TargetGate } from "./targetGate.js";
 
 /** What a target gate is made of. */
 export interface TargetGateOptions {
-    readonly configurationKeeper: Pick<ConfigurationKeeper, "current">;
+    readonly configurationManager: Pick<ConfigurationManager, "current">;
     readonly peerNetwork: PeerNetwork;
     readonly clock: Clock;
     /** Whether the VM of a target is on its way out, as far as the platform's list tells. */
@@ -21,7 +21,7 @@
 
 /** Creates the gate and answers the controller's demands on it. */
 export function createTargetGate(options: TargetGateOptions): TargetGate {
-    const { configurationKeeper, peerNetwork, clock } = options;
+    const { configurationManager, peerNetwork, clock } = options;
     /** Deadlines by change, by target. */
     const closings = new Map<string, Map<string, number>>();
     const counts = new Map<string, number>();
@@ -48,7 +48,7 @@
     };
 
     const isOpen = (targetName: string) => {
-        const version = configurationKeeper.current();
+        const version = configurationManager.current();
         const target = version.findTarget(targetName);
         return target !== undefined
             && options.isInService()
--- a/packages/daisyturn/src/request/__fixtures__/claimWorld.ts
+++ b/packages/daisyturn/src/request/__fixtures__/claimWorld.ts
@@ -9,8 +9,8 @@
 import { ClaimRowState, parseClaimRow } from "../../process/claims/index.js";
 import { type PeerHandler, type PeerMethod, PeerNetwork, type ProcessIdentity } from "../../process/peers/index.js";
 import type { StoreClient } from "../../process/store/index.js";
-import type { SendCall } from "../claims/claimKeeper.js";
-import { createClaimKeeper, type ProcessClaimKeeper } from "../claims/createClaimKeeper.js";
+import type { SendCall } from "../claims/claimManager.js";
+import { createClaimManager, type ProcessClaimManager } from "../claims/createClaimManager.js";
 import type { Choice, ExploredWorld } from "./exploreSchedules.js";
 import { createScheduledProcesses, type ScheduledProcess } from "./scheduledProcesses.js";
 
@@ -24,7 +24,7 @@
     readonly scheduled: ScheduledProcess;
     readonly identity: ProcessIdentity;
     readonly handlers: Map<PeerMethod, PeerHandler>;
-    keeper?: ProcessClaimKeeper;
+    claimManager?: ProcessClaimManager;
 }
 
 interface WorldAttempt {
@@ -168,7 +168,7 @@
         const identity = createFakeIdentity(processId);
         const process: WorldProcess = { scheduled: schedule.start(processId), identity, handlers: new Map() };
         processes.set(processId, process);
-        process.keeper = createClaimKeeper({
+        process.claimManager = createClaimManager({
             self: identity,
             storeClient: createStoreClient(process.scheduled),
             network: new WorldNetwork(process),
@@ -226,7 +226,10 @@
         const deadline = schedule.now() + length;
         const call = { callId: attempt.callId, method: "POST", path: "/", body, deadline };
         const names = { partner: "p", account: "a", service: "s", idempotencyKey: "k" };
-        process.keeper?.runOnce({ requestId: call.callId, ...names, call, deadline }, createSend(process.scheduled))
+        process.claimManager?.runOnce(
+            { requestId: call.callId, ...names, call, deadline },
+            createSend(process.scheduled),
+        )
             .then(
                 result => noteResult(attempt, result),
                 (error: unknown) => attempt.error = error,
--- a/packages/daisyturn/src/request/__fixtures__/createClaimBench.ts
+++ b/packages/daisyturn/src/request/__fixtures__/createClaimBench.ts
@@ -14,8 +14,8 @@
 import { createClaimPruner, formatClaimRowKey, parseClaimRow } from "../../process/claims/index.js";
 import type { Membership, ProcessIdentity } from "../../process/peers/index.js";
 import { createStoreClient } from "../../process/store/index.js";
-import type { ClaimRequest, SendCall } from "../claims/claimKeeper.js";
-import { createClaimKeeper, type ProcessClaimKeeper } from "../claims/createClaimKeeper.js";
+import type { ClaimRequest, SendCall } from "../claims/claimManager.js";
+import { createClaimManager, type ProcessClaimManager } from "../claims/createClaimManager.js";
 
 /** What the fake service answers to the first call that it runs. */
 export const firstAnswer: ServiceAnswer = { status: 201, contentType: "text/plain", body: "run 1" };
@@ -63,9 +63,9 @@
             readsPerSecond: 1_000,
         });
 
-    const startKeeper = (processId: string, incarnation?: string): ProcessClaimKeeper => {
+    const startManager = (processId: string, incarnation?: string): ProcessClaimManager => {
         const self = createFakeIdentity(processId, incarnation);
-        return createClaimKeeper({
+        return createClaimManager({
             self,
             network: networks.join(self),
             membership,
@@ -107,7 +107,7 @@
     const startPruner = (processId: string, ownClock: Clock = clock) =>
         createClaimPruner({
             storeClient: connectStore(),
-            keeper: startKeeper(processId),
+            claimManager: startManager(processId),
             membership,
             clock: ownClock,
             random: createSeededRandom(1),
@@ -115,7 +115,7 @@
             eventLog: new MemoryEventLog(),
         });
 
-    return { clock, table, networks, ran, send, startPruner, startKeeper, createFailingSend, endProcess, readRow };
+    return { clock, table, networks, ran, send, startPruner, startManager, createFailingSend, endProcess, readRow };
 }
 
 function createFakeMembership(ended: ReadonlySet<string>): Membership {
--- a/packages/daisyturn/src/request/__fixtures__/createNaiveClaimKeeper.ts
+++ b/packages/daisyturn/src/request/__fixtures__/createNaiveClaimManager.ts
@@ -1,7 +1,7 @@
 import { ExecutionVerdict, type Failure } from "daisyturn-utils";
 import Result from "true-myth/result";
 import type { ServiceAnswer } from "../../ports/plainService.js";
-import type { ClaimRequest, SendCall } from "../claims/claimKeeper.js";
+import type { ClaimRequest, SendCall } from "../claims/claimManager.js";
 import { failWithKeyReused, failWithOutcomeUnknown } from "../claims/claimVerdicts.js";
 
 interface NaiveClaim {
@@ -11,7 +11,7 @@
 }
 
 /** At most once in one process that never fails: a map and no store. What the real keeper is compared with. */
-export function createNaiveClaimKeeper() {
+export function createNaiveClaimManager() {
     const claims = new Map<string, NaiveClaim>();
 
     const runOnce = async (request: ClaimRequest, send: SendCall): Promise<Result<ServiceAnswer, Failure>> => {
--- a/packages/daisyturn/src/request/__tests__/claimDifferential.test.ts
+++ b/packages/daisyturn/src/request/__tests__/claimDifferential.test.ts
@@ -5,8 +5,8 @@
 import Result from "true-myth/result";
 import { TableFaultKind } from "../../ports/faultyTableService.js";
 import { createClaimBench, createClaimRequest } from "../__fixtures__/createClaimBench.js";
-import { createNaiveClaimKeeper } from "../__fixtures__/createNaiveClaimKeeper.js";
-import type { SendCall } from "../claims/claimKeeper.js";
+import { createNaiveClaimManager } from "../__fixtures__/createNaiveClaimManager.js";
+import type { SendCall } from "../claims/claimManager.js";
 
 enum SendOutcome {
     Answered = "answered",
@@ -44,14 +44,14 @@
     await fc.assert(
         fc.asyncProperty(fc.array(callArbitrary, { minLength: 1, maxLength: 12 }), async calls => {
             const bench = createClaimBench();
-            const keepers = new Map(["p", "q", "r"].map(name => [name, bench.startKeeper(name)]));
-            const naive = createNaiveClaimKeeper();
+            const claimManagers = new Map(["p", "q", "r"].map(name => [name, bench.startManager(name)]));
+            const naive = createNaiveClaimManager();
             const [realSend, naiveSend] = [createSend(), createSend()];
             for (const { process, key, body, outcome, fault } of calls) {
                 const request = createClaimRequest(bench.clock, { idempotencyKey: key, body });
                 const expected = await naive.runOnce(request, naiveSend.create(outcome));
                 bench.table.script(fault);
-                const running = keepers.get(process)?.runOnce(request, realSend.create(outcome));
+                const running = claimManagers.get(process)?.runOnce(request, realSend.create(outcome));
                 await bench.clock.advance(2_000);
                 assert.deepEqual(await running, expected);
             }
--- a/packages/daisyturn/src/request/claims/__tests__/createClaimKeeper.test.ts
+++ b/packages/daisyturn/src/request/claims/__tests__/createClaimManager.test.ts
@@ -8,7 +8,7 @@
 import { type ClaimRow, ClaimRowState, defaultClaimLimits } from "../../../process/claims/index.js";
 import { formatClaimRow, formatClaimRowKey, hashCall } from "../../../process/claims/index.js";
 import { createClaimBench, createClaimRequest, firstAnswer } from "../../__fixtures__/createClaimBench.js";
-import { ClaimState, type SendCall } from "../claimKeeper.js";
+import { ClaimState, type SendCall } from "../claimManager.js";
 
 const refusal = notRun(FailureReason.TargetRefused, "busy");
 const lost = mayHaveRun(FailureReason.TargetFailed, "reset");
@@ -28,25 +28,25 @@
     return { send, end };
 }
 
-describe("createClaimKeeper", () => {
+describe("createClaimManager", () => {
     it("sends once and replays the recorded answer at another process", async () => {
-        const { clock, startKeeper, send, ran, readRow } = createClaimBench();
-        const first = await startKeeper("p").runOnce(createClaimRequest(clock), send);
+        const { clock, startManager, send, ran, readRow } = createClaimBench();
+        const first = await startManager("p").runOnce(createClaimRequest(clock), send);
         await clock.advance(100);
         assert.equal((await readRow())?.state, ClaimRowState.Answered);
-        const second = await startKeeper("q").runOnce(createClaimRequest(clock), send);
+        const second = await startManager("q").runOnce(createClaimRequest(clock), send);
         assert.deepEqual([first, second], [Result.ok(firstAnswer), Result.ok(firstAnswer)]);
         assert.equal(ran.length, 1);
     });
 
     it("refuses the key with another body, also while the first call runs", async () => {
-        const { clock, startKeeper, send } = createClaimBench();
-        const keepers = [startKeeper("p"), startKeeper("q")];
+        const { clock, startManager, send } = createClaimBench();
+        const claimManagers = [startManager("p"), startManager("q")];
         const held = createHeldSend();
-        const running = keepers[0]?.runOnce(createClaimRequest(clock), held.send);
+        const running = claimManagers[0]?.runOnce(createClaimRequest(clock), held.send);
         await clock.advance(1);
-        for (const keeper of keepers) {
-            const other = await keeper.runOnce(createClaimRequest(clock, { body: "seat 5" }), send);
+        for (const claimManager of claimManagers) {
+            const other = await claimManager.runOnce(createClaimRequest(clock, { body: "seat 5" }), send);
             assert.equal(failureOf(other).reason, FailureReason.IdempotencyKeyReused);
             assert.equal(failureOf(other).verdict, ExecutionVerdict.NotRun);
         }
@@ -55,16 +55,16 @@
     });
 
     it("refuses a key that no row can have", async () => {
-        const { clock, startKeeper, send } = createClaimBench();
+        const { clock, startManager, send } = createClaimBench();
         for (const idempotencyKey of ["", "a b", "x".repeat(256), "\ud800"]) {
-            const result = await startKeeper("p").runOnce(createClaimRequest(clock, { idempotencyKey }), send);
+            const result = await startManager("p").runOnce(createClaimRequest(clock, { idempotencyKey }), send);
             assert.equal(failureOf(result).reason, FailureReason.BadRequest);
         }
     });
 
     it("gives a running call's answer to those who ask in the same process and in another", async () => {
-        const { clock, startKeeper, send, ran } = createClaimBench();
-        const [p, q] = [startKeeper("p"), startKeeper("q")];
+        const { clock, startManager, send, ran } = createClaimBench();
+        const [p, q] = [startManager("p"), startManager("q")];
         const held = createHeldSend();
         const all = [held.send, send].map(each => p.runOnce(createClaimRequest(clock), each));
         await clock.advance(1);
@@ -77,11 +77,13 @@
     });
 
     it("says that a call which runs beyond the asker's deadline is running, not that it did not run", async () => {
-        const { clock, startKeeper, send } = createClaimBench();
-        const [p, q] = [startKeeper("p"), startKeeper("q")];
+        const { clock, startManager, send } = createClaimBench();
+        const [p, q] = [startManager("p"), startManager("q")];
         void p.runOnce(createClaimRequest(clock), createHeldSend().send);
         await clock.advance(1);
-        const asked = [p, q].map(keeper => keeper.runOnce(createClaimRequest(clock, { deadline: 2_000 }), send));
+        const asked = [p, q].map(claimManager =>
+            claimManager.runOnce(createClaimRequest(clock, { deadline: 2_000 }), send)
+        );
         await clock.advance(5_000);
         for (const failure of (await Promise.all(asked)).map(failureOf)) {
             assert.equal(failure.reason, FailureReason.AlreadyRunning);
@@ -94,17 +96,17 @@
     });
 
     it("frees the key after a send that did not run", async () => {
-        const { clock, startKeeper, send, createFailingSend } = createClaimBench();
-        const first = await startKeeper("p").runOnce(createClaimRequest(clock), createFailingSend(refusal, false));
-        const second = await startKeeper("q").runOnce(createClaimRequest(clock, { body: "seat 5" }), send);
+        const { clock, startManager, send, createFailingSend } = createClaimBench();
+        const first = await startManager("p").runOnce(createClaimRequest(clock), createFailingSend(refusal, false));
+        const second = await startManager("q").runOnce(createClaimRequest(clock, { body: "seat 5" }), send);
         assert.deepEqual([first, second], [Result.err(refusal), Result.ok(firstAnswer)]);
     });
 
     it("never sends again after a send that may have run", async () => {
-        const { clock, startKeeper, send, createFailingSend, ran } = createClaimBench();
-        const first = await startKeeper("p").runOnce(createClaimRequest(clock), createFailingSend(lost, true));
+        const { clock, startManager, send, createFailingSend, ran } = createClaimBench();
+        const first = await startManager("p").runOnce(createClaimRequest(clock), createFailingSend(lost, true));
         await clock.advance(100);
-        const q = startKeeper("q");
+        const q = startManager("q");
         const second = await q.runOnce(createClaimRequest(clock), send);
         assert.deepEqual(first, Result.err(lost));
         assert.equal(failureOf(second).verdict, ExecutionVerdict.MayHaveRun);
@@ -113,8 +115,8 @@
     });
 
     it("treats a send that throws as one that may have run", async () => {
-        const { clock, startKeeper, readRow } = createClaimBench();
-        const result = await startKeeper("p").runOnce(
+        const { clock, startManager, readRow } = createClaimBench();
+        const result = await startManager("p").runOnce(
             createClaimRequest(clock),
             () => Promise.reject(new Error("bug")),
         );
@@ -124,9 +126,9 @@
     });
 
     it("refuses as not run while the store is down", async () => {
-        const { clock, table, startKeeper, send, ran } = createClaimBench();
+        const { clock, table, startManager, send, ran } = createClaimBench();
         table.setStandingFault(TableFaultKind.Down);
-        const running = startKeeper("p").runOnce(createClaimRequest(clock), send);
+        const running = startManager("p").runOnce(createClaimRequest(clock), send);
         await clock.advance(10_000);
         const failure = failureOf(await running);
         assert.equal(failure.verdict, ExecutionVerdict.NotRun);
@@ -136,17 +138,17 @@
     });
 
     it("goes on when the answer to the claim's write is lost after the commit", async () => {
-        const { clock, table, startKeeper, send, ran } = createClaimBench();
+        const { clock, table, startManager, send, ran } = createClaimBench();
         table.script(TableFaultKind.BreakAfterCommit);
-        const running = startKeeper("p").runOnce(createClaimRequest(clock), send);
+        const running = startManager("p").runOnce(createClaimRequest(clock), send);
         await clock.advance(1_000);
         assert.deepEqual(await running, Result.ok(firstAnswer));
         assert.equal(ran.length, 1);
     });
 
     it("does not send under a claim that commits too late, and frees the key", async () => {
-        const { clock, table, startKeeper, send, ran, readRow } = createClaimBench();
-        const p = startKeeper("p");
+        const { clock, table, startManager, send, ran, readRow } = createClaimBench();
+        const p = startManager("p");
         table.setStandingFault(TableFaultKind.CommitLate);
         const running = p.runOnce(createClaimRequest(clock), send);
         await clock.advance(10_000);
@@ -159,13 +161,13 @@
         await clock.advance(20_000);
         assert.equal((await readRow())?.state, ClaimRowState.Free);
         assert.equal(await p.drain(clock.monotonicNow() + 1), true);
-        assert.deepEqual(await startKeeper("q").runOnce(createClaimRequest(clock), send), Result.ok(firstAnswer));
+        assert.deepEqual(await startManager("q").runOnce(createClaimRequest(clock), send), Result.ok(firstAnswer));
         assert.equal(ran.length, 1);
     });
 
     it("does not say that a new try works before the key is free", async () => {
-        const { clock, table, startKeeper, createFailingSend, readRow } = createClaimBench();
-        const p = startKeeper("p");
+        const { clock, table, startManager, createFailingSend, readRow } = createClaimBench();
+        const p = startManager("p");
         table.script(TableFaultKind.None);
         table.setStandingFault(TableFaultKind.Down);
         const running = p.runOnce(createClaimRequest(clock), createFailingSend(refusal, false));
@@ -181,10 +183,10 @@
     });
 
     it("answers at once and records after an outage of the store", async () => {
-        const { clock, table, startKeeper, send, readRow } = createClaimBench();
+        const { clock, table, startManager, send, readRow } = createClaimBench();
         table.script(TableFaultKind.None);
         table.setStandingFault(TableFaultKind.Down);
-        const first = await startKeeper("p").runOnce(createClaimRequest(clock), send);
+        const first = await startManager("p").runOnce(createClaimRequest(clock), send);
         assert.deepEqual(first, Result.ok(firstAnswer));
         await clock.advance(60_000);
         assert.equal((await readRow())?.state, ClaimRowState.Claimed);
@@ -194,10 +196,10 @@
     });
 
     it("does not send once the send window has passed, as after a pause of the process", async () => {
-        const { clock, table, startKeeper, send, ran, readRow } = createClaimBench();
+        const { clock, table, startManager, send, ran, readRow } = createClaimBench();
         const delayMilliseconds = defaultClaimLimits.sendWindowMilliseconds;
         table.script({ kind: TableFaultKind.Slow, delayMilliseconds: 400 });
-        const p = startKeeper("p");
+        const p = startManager("p");
         const held = createHeldSend();
         const sendLater: SendCall = async (call, permit) => {
             await clock.sleepUntil(delayMilliseconds);
@@ -207,13 +209,13 @@
         await clock.advance(20_000);
         assert.deepEqual(await running, Result.err(refusal));
         assert.equal((await readRow())?.state, ClaimRowState.Free);
-        assert.deepEqual(await startKeeper("q").runOnce(createClaimRequest(clock), send), Result.ok(firstAnswer));
+        assert.deepEqual(await startManager("q").runOnce(createClaimRequest(clock), send), Result.ok(firstAnswer));
         assert.equal(ran.length, 1);
     });
 
     it("does not send after a pause that stopped the monotonic clock, as the suspension of a VM does", async () => {
-        const { clock, startKeeper, ran } = createClaimBench();
-        const result = await startKeeper("p").runOnce(createClaimRequest(clock), (...[, permit]) => {
+        const { clock, startManager, ran } = createClaimBench();
+        const result = await startManager("p").runOnce(createClaimRequest(clock), (...[, permit]) => {
             clock.jumpWall(defaultClaimLimits.sendWindowMilliseconds);
             return Promise.resolve(permit.mayStart() ? Result.ok(firstAnswer) : Result.err(refusal));
         });
@@ -222,12 +224,12 @@
     });
 
     it("settles the claim of a killed process as unknown, with proof and after the wait only", async () => {
-        const { clock, startKeeper, send, endProcess, networks, ran, readRow } = createClaimBench();
+        const { clock, startManager, send, endProcess, networks, ran, readRow } = createClaimBench();
         const p = createFakeIdentity("p");
-        void startKeeper("p").runOnce(createClaimRequest(clock), createHeldSend().send);
+        void startManager("p").runOnce(createClaimRequest(clock), createHeldSend().send);
         await clock.advance(1);
         networks.isolate("p");
-        const q = startKeeper("q");
+        const q = startManager("q");
         const ask = async () => {
             const asked = q.runOnce(createClaimRequest(clock, { deadline: clock.monotonicNow() + 1_000 }), send);
             await clock.advance(1_000);
@@ -244,11 +246,11 @@
     });
 
     it("waits before it settles, also with proof", async () => {
-        const { clock, startKeeper, send, endProcess } = createClaimBench();
-        void startKeeper("p").runOnce(createClaimRequest(clock), createHeldSend().send);
+        const { clock, startManager, send, endProcess } = createClaimBench();
+        void startManager("p").runOnce(createClaimRequest(clock), createHeldSend().send);
         await clock.advance(1);
         endProcess(createFakeIdentity("p"));
-        const asked = startKeeper("q").runOnce(createClaimRequest(clock, { deadline: 40_000 }), send);
+        const asked = startManager("q").runOnce(createClaimRequest(clock, { deadline: 40_000 }), send);
         let isAnswered = false;
         void asked.then(() => {
             isAnswered = true;
@@ -260,8 +262,8 @@
     });
 
     it("settles at once what its live owner does not know, as after a late copy of an old write", async () => {
-        const { clock, table, startKeeper, send, ran } = createClaimBench();
-        startKeeper("p");
+        const { clock, table, startManager, send, ran } = createClaimBench();
+        startManager("p");
         const request = createClaimRequest(clock);
         const row: ClaimRow = {
             state: ClaimRowState.Claimed,
@@ -272,18 +274,18 @@
         };
         const writes = [{ key: formatClaimRowKey(request), value: formatClaimRow(row) }];
         await table.tableService.transact({ writeId: "old", conditions: [], writes }, Infinity);
-        const result = await startKeeper("q").runOnce(request, send);
+        const result = await startManager("q").runOnce(request, send);
         assert.equal(failureOf(result).reason, FailureReason.OutcomeUnknown);
         assert.equal(ran.length, 0);
     });
 
     it("records the answer over the Unknown of a process that took the owner for ended", async () => {
-        const { clock, startKeeper, send, endProcess, readRow } = createClaimBench();
+        const { clock, startManager, send, endProcess, readRow } = createClaimBench();
         const held = createHeldSend();
-        const running = startKeeper("p").runOnce(createClaimRequest(clock), held.send);
+        const running = startManager("p").runOnce(createClaimRequest(clock), held.send);
         await clock.advance(1);
         endProcess(createFakeIdentity("p"));
-        const asked = startKeeper("q").runOnce(createClaimRequest(clock, { deadline: 40_000 }), send);
+        const asked = startManager("q").runOnce(createClaimRequest(clock, { deadline: 40_000 }), send);
         await clock.advance(20_000);
         assert.equal(failureOf(await asked).reason, FailureReason.OutcomeUnknown);
         held.end(Result.ok(firstAnswer));
@@ -293,14 +295,14 @@
     });
 
     it("keeps no answer that is too large, and says so", async () => {
-        const { clock, startKeeper, send } = createClaimBench();
+        const { clock, startManager, send } = createClaimBench();
         const large = { ...firstAnswer, body: "x".repeat(defaultClaimLimits.keptAnswerBytes + 1) };
-        const first = await startKeeper("p").runOnce(
+        const first = await startManager("p").runOnce(
             createClaimRequest(clock),
             () => Promise.resolve(Result.ok(large)),
         );
         await clock.advance(100);
-        const q = startKeeper("q");
+        const q = startManager("q");
         const second = await q.runOnce(createClaimRequest(clock), send);
         assert.deepEqual(first, Result.ok(large));
         assert.equal(failureOf(second).reason, FailureReason.BodyTooLarge);
@@ -309,13 +311,13 @@
     });
 
     it("looks up what was answered and what was never asked", async () => {
-        const { clock, startKeeper, send } = createClaimBench();
-        const p = startKeeper("p");
+        const { clock, startManager, send } = createClaimBench();
+        const p = startManager("p");
         assert.deepEqual(await p.lookUp("p", "a", "s", "key/1"), Result.ok({ state: ClaimState.Absent }));
         await p.runOnce(createClaimRequest(clock), send);
         const answered = Result.ok({ state: ClaimState.Answered, answer: firstAnswer });
         assert.deepEqual(await p.lookUp("p", "a", "s", "key/1"), answered);
         await clock.advance(100);
-        assert.deepEqual(await startKeeper("q").lookUp("p", "a", "s", "key/1"), answered);
+        assert.deepEqual(await startManager("q").lookUp("p", "a", "s", "key/1"), answered);
     });
 });
--- a/packages/daisyturn/src/request/claims/claimKeeper.ts
+++ b/packages/daisyturn/src/request/claims/claimManager.ts
@@ -49,7 +49,7 @@
 }
 
 /** Runs non-idempotent calls at most once. */
-export interface ClaimKeeper {
+export interface ClaimManager {
     /** Claims, sends, records; or replays the recorded answer. */
     runOnce(request: ClaimRequest, send: SendCall): Promise<Result<ServiceAnswer, Failure>>;
     lookUp(partner: string, account: string, service: string, key: string): Promise<Result<ClaimView, Failure>>;
--- a/packages/daisyturn/src/request/claims/claimVerdicts.ts
+++ b/packages/daisyturn/src/request/claims/claimVerdicts.ts
@@ -2,7 +2,7 @@
 import Result from "true-myth/result";
 import type { ServiceAnswer } from "../../ports/plainService.js";
 import { type ExaminedClaim, ExaminedKind } from "../../process/claims/index.js";
-import { ClaimState, type ClaimView } from "./claimKeeper.js";
+import { ClaimState, type ClaimView } from "./claimManager.js";
 
 /** The table service did not take the claim, for sure; the call was not sent. */
 export function failWithStoreDown(retryAt: number): Failure {
--- a/packages/daisyturn/src/request/claims/createClaimKeeper.ts
+++ b/packages/daisyturn/src/request/claims/createClaimManager.ts
@@ -30,7 +30,7 @@
 } from "../../process/claims/index.js";
 import type { Membership, PeerNetwork, ProcessIdentity } from "../../process/peers/index.js";
 import { type StoreClient, StorePriority } from "../../process/store/index.js";
-import type { ClaimKeeper, ClaimRequest, SendCall } from "./claimKeeper.js";
+import type { ClaimManager, ClaimRequest, SendCall } from "./claimManager.js";
 import { describeExamined, failWithDeadlinePassed, failWithKeyHeld, viewExamined } from "./claimVerdicts.js";
 import { type ClaimTaken, createClaimTaker, createSendPermit, retryAfterMilliseconds, TakeKind } from "./takeClaim.js";
 
@@ -38,7 +38,7 @@
 const lookUpLimitMilliseconds = 2_000;
 
 /** What the keeper works with. */
-export interface ClaimKeeperOptions {
+export interface ClaimManagerOptions {
     readonly self: ProcessIdentity;
     readonly storeClient: StoreClient;
     readonly network: PeerNetwork;
@@ -66,7 +66,7 @@
 }
 
 /** The keeper of a process, with what the process needs at its end. */
-export interface ProcessClaimKeeper extends ClaimKeeper, AbandonedClaims {
+export interface ProcessClaimManager extends ClaimManager, AbandonedClaims {
     /** Attempts whose rows do not say yet how they ended. */
     countUnsettled(): number;
     /** Waits until the rows of all attempts are settled; false if the deadline (monotonic) passed before. */
@@ -81,7 +81,7 @@
  * A key's row goes from one attempt to the next only by the word of the attempt's own process that it sent nothing
  * that ran. Everything else that can be found out of an attempt leaves the key used up.
  */
-export function createClaimKeeper(options: ClaimKeeperOptions): ProcessClaimKeeper {
+export function createClaimManager(options: ClaimManagerOptions): ProcessClaimManager {
     const { storeClient, clock, eventLog } = options;
     const limits: ClaimLimits = { ...defaultClaimLimits, ...options.limits };
     const ownClaims = createOwnClaims(options.ids);
--- a/packages/daisyturn/src/request/claims/takeClaim.ts
+++ b/packages/daisyturn/src/request/claims/takeClaim.ts
@@ -19,7 +19,7 @@
 } from "../../process/claims/index.js";
 import type { ProcessIdentity } from "../../process/peers/index.js";
 import { type StoreClient, StorePriority } from "../../process/store/index.js";
-import type { SendPermit } from "./claimKeeper.js";
+import type { SendPermit } from "./claimManager.js";
 import { describeExamined, failWithDeadlinePassed, failWithKeyHeld, failWithStoreDown } from "./claimVerdicts.js";
 
 /** How long a caller is asked to wait before it asks again. */
--- a/packages/daisyturn/src/request/forwarding/forwardingParts.ts
+++ b/packages/daisyturn/src/request/forwarding/forwardingParts.ts
@@ -6,7 +6,7 @@
     CallPlacement,
     ClosedTargets,
     EventPace,
-    ForwardingKeeper,
+    ForwardingConfigurationManager,
     ForwardingMetrics,
     LongReadings,
     Mechanism,
@@ -24,7 +24,7 @@
 
 /** The parts of the process that a forwarded call passes through. */
 export interface ForwardingParts {
-    readonly keeper: Pick<ForwardingKeeper, "current">;
+    readonly configurationManager: Pick<ForwardingConfigurationManager, "current">;
     readonly targets: TargetList;
     readonly loads: TargetLoads;
     readonly health: TargetHealth;
--- a/packages/daisyturn/src/request/forwarding/serveForwardedCall.ts
+++ b/packages/daisyturn/src/request/forwarding/serveForwardedCall.ts
@@ -58,7 +58,7 @@
     exchange: ForwardExchange,
     trace: RequestTrace,
 ): Result<{ run: CallRun; end: () => void; }, Failure> {
-    const table = parts.keeper.current();
+    const table = parts.configurationManager.current();
     if (!table) {
         const retryAt = parts.clock.wallNow() + noConfigurationRetryMilliseconds;
         return err(notRun(FailureReason.OutOfService, "This process knows no configuration yet.", retryAt));
--- a/packages/daisyturn/src/request/requestHead.ts
+++ b/packages/daisyturn/src/request/requestHead.ts
@@ -27,7 +27,7 @@
     exchange: CallerExchange,
     serve: (head: RequestHead) => Promise<Result<void, Failure>>,
 ): Promise<Result<void, Failure>> {
-    const pin = parts.keeper.pin();
+    const pin = parts.configurationManager.pin();
     try {
         const head = readRequestHead(parts, exchange, pin);
         return head.isOk ? await serve(head.value) : err(head.error);
--- a/packages/daisyturn/src/request/sendCall.ts
+++ b/packages/daisyturn/src/request/sendCall.ts
@@ -2,7 +2,7 @@
 import { err, ok, type Result } from "true-myth/result";
 import type { PlainService, ServiceAnswer, ServiceCall } from "../ports/plainService.js";
 import type { Service } from "../version/configurationItems.js";
-import type { SendPermit } from "./claims/claimKeeper.js";
+import type { SendPermit } from "./claims/claimManager.js";
 import type { RequestParts } from "./requestParts.js";
 import { createFailureHistory, isWorthAnotherTarget, maxAttempts, maySendAgain } from "./retryPolicy.js";
 
