--- a/packages/daisyturn/src/process/forwarding/coordination/__fixtures__/createFleet.ts
+++ b/packages/daisyturn/src/process/forwarding/coordination/__fixtures__/createFleet.ts
@@ -3,7 +3,7 @@
 import { EngineStage, type ListedTarget } from "../../../../ports/listedTarget.js";
 import { type PeerListing, PeerRegistry, type RegisteredPeer } from "../../../../ports/peerRegistry.js";
 import { engineService } from "../../__fixtures__/placementBench.js";
-import { createLongReadings } from "../../limits/createLongReadings.js";
+import { createLongPrefillTimes } from "../../limits/createLongPrefillTimes.js";
 import { createSizeFairness } from "../../limits/createSizeFairness.js";
 import { createCallPlacement } from "../../placement/createCallPlacement.js";
 import { decidePrompt } from "../../placement/decidePrompt.js";
@@ -80,14 +80,14 @@
             availabilityZone: self.availabilityZone,
             switchedOff,
         });
-        const longReadings = createLongReadings();
+        const longPrefillTimes = createLongPrefillTimes();
         const coordination = coordinate({
             self,
             registry: new SharedRegistry(),
             channel: new LocalChannel(),
             views,
             sizeFairness,
-            decideHere: request => decidePrompt({ placement, longReadings, switchedOff }, request),
+            decideHere: request => decidePrompt({ placement, longPrefillTimes, switchedOff }, request),
             findService: () => engineService,
             freshMilliseconds: () => freshMilliseconds,
             clock,
--- a/packages/daisyturn/src/process/forwarding/coordination/coordinate.ts
+++ b/packages/daisyturn/src/process/forwarding/coordination/coordinate.ts
@@ -66,7 +66,7 @@
 /** Creates the part of one process in its group. Nothing is sent before it runs. */
 export function coordinate(options: CoordinationOptions): Coordination {
     const { self, channel, views, sizeFairness, clock, eventLog, freshMilliseconds } = options;
-    const { loads, caches, demand, closed, paces, prefillRates, eventPace, targets, health } = views;
+    const { loads, caches, demand, closed, slowdowns, prefillRates, eventIntervals, targets, health } = views;
     const send = (to: PeerAddress, datagram: Buffer) => channel.send(to, datagram);
     const link = createCoordinatorLink({ self, clock, eventLog });
     const members = createMembers(clock);
@@ -140,9 +140,9 @@
         desk.noteTaken(message.from, message.placed);
         loads.recordPeer(message.from, message.work, message.pause);
         demand.recordPeer(message.from, message.demand, message.pause);
-        message.paces.forEach(paces.recordRemote);
+        message.paces.forEach(slowdowns.recordRemote);
         message.prefills.forEach(prefillRates.recordRemote);
-        message.pauses.forEach(eventPace.recordRemote);
+        message.pauses.forEach(eventIntervals.recordRemote);
         message.ended.forEach(sizeFairness.recordRemote);
         if (members.note(message.from, from)) {
             // A process that has just started, or lost its coordinator, learns at once that this one is there.
--- a/packages/daisyturn/src/process/forwarding/coordination/coordinatedDecisions.ts
+++ b/packages/daisyturn/src/process/forwarding/coordination/coordinatedDecisions.ts
@@ -1,6 +1,6 @@
 import type { ListedTarget } from "../../../ports/listedTarget.js";
 import { type DecisionRequest, type PromptDecision, PromptDecisions } from "../placement/decidePrompt.js";
-import type { CacheBeliefs } from "../views/createCacheBeliefs.js";
+import type { CacheEstimates } from "../views/createCacheEstimates.js";
 import type { CoordinatorLink } from "./createCoordinatorLink.js";
 import type { PlacementClient, PlacementQuestion } from "./createPlacementClient.js";
 import { readDecision } from "./createPlacementDesk.js";
@@ -12,7 +12,7 @@
     readonly client: PlacementClient;
     /** Decides by what this process knows. */
     readonly decideHere: (request: DecisionRequest) => PromptDecision | undefined;
-    readonly caches: CacheBeliefs;
+    readonly caches: CacheEstimates;
     readonly findTarget: (targetId: string) => ListedTarget | undefined;
     /** Targets of a service that this process does not trust. */
     readonly listDistrusted: (service: string) => readonly string[];
@@ -62,7 +62,7 @@
 
 /** What an engine is about to read, it keeps for the prompts that come next. */
 export function noteKept(
-    caches: Pick<CacheBeliefs, "record">,
+    caches: Pick<CacheEstimates, "record">,
     { demand: { service, prompt } }: DecisionRequest,
     decision: PromptDecision | undefined,
 ): void {
--- a/packages/daisyturn/src/process/forwarding/coordination/createLoadTeller.ts
+++ b/packages/daisyturn/src/process/forwarding/coordination/createLoadTeller.ts
@@ -11,7 +11,7 @@
     readonly selfId: string;
     readonly views: Pick<
         TargetViews,
-        "loads" | "health" | "caches" | "demand" | "closed" | "paces" | "prefillRates" | "eventPace"
+        "loads" | "health" | "caches" | "demand" | "closed" | "slowdowns" | "prefillRates" | "eventIntervals"
     >;
     readonly sizeFairness: SizeFairness;
     readonly link: Pick<CoordinatorLink, "listTold" | "current" | "isSilent">;
@@ -41,7 +41,7 @@
 /** Creates the teller of one process. */
 export function createLoadTeller(options: LoadTellerOptions): LoadTeller {
     const { selfId, views, sizeFairness, link, clock } = options;
-    const { loads, health, caches, demand, closed, paces, prefillRates, eventPace } = views;
+    const { loads, health, caches, demand, closed, slowdowns, prefillRates, eventIntervals } = views;
     const changed = createSignal();
     const untold = new Map<string, News>();
     const toldAt = new Map<string, number>();
@@ -56,9 +56,9 @@
     const takeNews = (): News => {
         const news: News = {
             kept,
-            paces: paces.drainUnsent(),
+            paces: slowdowns.drainUnsent(),
             prefills: prefillRates.drainUnsent(),
-            pauses: eventPace.drainUnsent(),
+            pauses: eventIntervals.drainUnsent(),
             ended: sizeFairness.drainUnsent(),
         };
         kept = [];
--- a/packages/daisyturn/src/process/forwarding/coordination/messages/loadMessage.ts
+++ b/packages/daisyturn/src/process/forwarding/coordination/messages/loadMessage.ts
@@ -1,10 +1,10 @@
 import type { EndedPrompt } from "../../limits/createSizeFairness.js";
 import type { ClosingList } from "../../targets/createClosedTargets.js";
-import type { PartPlacement } from "../../views/createCacheBeliefs.js";
-import type { PauseObservation } from "../../views/createEventPace.js";
-import type { PaceObservation } from "../../views/createPaceView.js";
+import type { PartPlacement } from "../../views/createCacheEstimates.js";
+import type { EventIntervalObservation } from "../../views/createEventIntervals.js";
+import type { ServiceDemand } from "../../views/createPrefillDemand.js";
 import type { PrefillObservation } from "../../views/createPrefillRates.js";
-import type { ServiceDemand } from "../../views/createReadingDemand.js";
+import type { DurationObservation } from "../../views/createSlowdownEstimates.js";
 import type { WorkUnderWay } from "../../views/workUnderWay.js";
 import { encodeClosingList, readClosingLists } from "./closingLists.js";
 import {
@@ -34,9 +34,9 @@
     /** Targets at which calls fail, at the sender or, if `isGroup`, at any process of its group. */
     readonly failing: readonly string[];
     /** What has been observed since the last message. */
-    readonly paces: readonly PaceObservation[];
+    readonly paces: readonly DurationObservation[];
     readonly prefills: readonly PrefillObservation[];
-    readonly pauses: readonly PauseObservation[];
+    readonly pauses: readonly EventIntervalObservation[];
     readonly ended: readonly EndedPrompt[];
 }
 
--- a/packages/daisyturn/src/process/forwarding/experiments/__tests__/mechanisms.test.ts
+++ b/packages/daisyturn/src/process/forwarding/experiments/__tests__/mechanisms.test.ts
@@ -49,9 +49,9 @@
         return placement.placePrompt({ ...demand, prompt })?.prefill?.fetchFrom !== undefined;
     }],
     [Mechanism.Pace, "an engine that was slow is expected to be slow", createBench => {
-        const { paces } = createBench();
-        paces.observe("i-0", 0, 100, 400);
-        return paces.factor("i-0") > 1;
+        const { slowdowns } = createBench();
+        slowdowns.observe("i-0", 0, 100, 400);
+        return slowdowns.factor("i-0") > 1;
     }],
     [Mechanism.PauseForecast, "a prompt is read at a decoding engine only if its answers bear it", createBench => {
         const { placement, loads } = createBench();
--- a/packages/daisyturn/src/process/forwarding/limits/__tests__/createLongReadings.test.ts
+++ b/packages/daisyturn/src/process/forwarding/limits/__tests__/createLongPrefillTimes.test.ts
@@ -1,9 +1,9 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { createLongReadings } from "../createLongReadings.js";
+import { createLongPrefillTimes } from "../createLongPrefillTimes.js";
 
 test("the long readings of a route cover all but the very longest, and follow what came last", () => {
-    const readings = createLongReadings();
+    const readings = createLongPrefillTimes();
     assert.equal(readings.find("ask"), 0);
     for (let milliseconds = 1; milliseconds <= 100; milliseconds++) {
         readings.record("ask", milliseconds);
@@ -17,7 +17,7 @@
 });
 
 test("a storm of routes does not grow the readings without end", () => {
-    const readings = createLongReadings();
+    const readings = createLongPrefillTimes();
     for (let number = 0; number < 1_000; number++) {
         readings.record(`route-${number}`, 5);
     }
--- a/packages/daisyturn/src/process/forwarding/limits/createLongReadings.ts
+++ b/packages/daisyturn/src/process/forwarding/limits/createLongPrefillTimes.ts
@@ -1,5 +1,5 @@
 /** How long the long prompts of each route take to read, from recent prompts, whether they were admitted or not. */
-export interface LongReadings {
+export interface LongPrefillTimes {
     /** @param milliseconds time to read a prompt at an engine that nothing slows */
     record(route: string, milliseconds: number): void;
     /** Milliseconds within which nearly all prompts of the route are read; 0 if none is known. */
@@ -13,7 +13,7 @@
 const mostRoutes = 64;
 
 /** Creates the readings that one process knows of. */
-export function createLongReadings(): LongReadings {
+export function createLongPrefillTimes(): LongPrefillTimes {
     const routes = new Map<string, number[]>();
     return {
         record: (route, milliseconds) => {
--- a/packages/daisyturn/src/process/forwarding/placement/__tests__/createCallPlacement.test.ts
+++ b/packages/daisyturn/src/process/forwarding/placement/__tests__/createCallPlacement.test.ts
@@ -98,10 +98,10 @@
     });
 
     it("forecasts by how slow an engine seems, and refuses by how fast it can be", () => {
-        const { placement, paces } = createPlacementBench(stages);
+        const { placement, slowdowns } = createPlacementBench(stages);
         const demand = createDemand(createLongPrompt("guide", "own"));
         const before = placement.placePrompt(demand);
-        stages.forEach((...[, index]) => paces.observe(`i-${index}`, 0, 100, 800));
+        stages.forEach((...[, index]) => slowdowns.observe(`i-${index}`, 0, 100, 800));
         const after = placement.placePrompt(demand);
         assert.ok(before && after && after.firstEvent > before.firstEvent * 1.5, JSON.stringify(after));
         assert.ok(Math.abs(after.soonestEvent - before.soonestEvent) < 1, JSON.stringify(after));
--- a/packages/daisyturn/src/process/forwarding/placement/__tests__/decidePrompt.test.ts
+++ b/packages/daisyturn/src/process/forwarding/placement/__tests__/decidePrompt.test.ts
@@ -1,7 +1,7 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import { createDemand, createLongPrompt, createPlacementBench } from "../../__fixtures__/placementBench.js";
-import { createLongReadings } from "../../limits/createLongReadings.js";
+import { createLongPrefillTimes } from "../../limits/createLongPrefillTimes.js";
 import type { CallPlacement, PromptDemand, PromptWay } from "../callPlacement.js";
 import { decidePrompt } from "../decidePrompt.js";
 
@@ -34,9 +34,9 @@
 }
 
 function decide(options: SceneOptions) {
-    const longReadings = createLongReadings();
-    options.otherReadings?.forEach(reading => longReadings.record("ask", reading));
-    const parts = { placement: createPlacement(options), longReadings, switchedOff: new Set<never>() };
+    const longPrefillTimes = createLongPrefillTimes();
+    options.otherReadings?.forEach(reading => longPrefillTimes.record("ask", reading));
+    const parts = { placement: createPlacement(options), longPrefillTimes, switchedOff: new Set<never>() };
     const decision = decidePrompt(parts, {
         route: "ask",
         demand: createDemand(createLongPrompt("shared", "own"), { mayDefer: options.mayDefer ?? true }),
--- a/packages/daisyturn/src/process/forwarding/placement/__tests__/placementDifferential.test.ts
+++ b/packages/daisyturn/src/process/forwarding/placement/__tests__/placementDifferential.test.ts
@@ -61,7 +61,7 @@
 
 /** Answers that are decoded there keep their pauses while the prompt is read. */
 function bearsReading(world: World, decoder: ListedTarget): boolean {
-    const interval = world.eventPace.interval(engineService.name);
+    const interval = world.eventIntervals.interval(engineService.name);
     return interval + readAt(world, decoder, world.prompt) * pauseReserve <= createDemand(world.prompt).pauseAim;
 }
 
--- a/packages/daisyturn/src/process/forwarding/placement/createStepCosts.ts
+++ b/packages/daisyturn/src/process/forwarding/placement/createStepCosts.ts
@@ -1,7 +1,7 @@
 import type { Random } from "daisyturn-utils";
 import { EngineStage, type ListedTarget } from "../../../ports/listedTarget.js";
 import { Mechanism } from "../experiments/mechanism.js";
-import type { EventPace } from "../views/createEventPace.js";
+import type { EventIntervals } from "../views/createEventIntervals.js";
 import type { TargetLoads } from "../views/createTargetLoads.js";
 import type { PlacedStep, PromptDemand } from "./callPlacement.js";
 import type { EngineGroups } from "./groupEngines.js";
@@ -26,7 +26,7 @@
 /** What {@link createStepCosts} needs. */
 export interface StepCostsOptions {
     readonly loads: TargetLoads;
-    readonly eventPace: EventPace;
+    readonly eventIntervals: EventIntervals;
     readonly random: Random;
     readonly availabilityZone: string;
     /** What an experiment takes out. */
@@ -74,7 +74,7 @@
 
 /** Creates the costs as one process sees them. */
 export function createStepCosts(options: StepCostsOptions): StepCosts {
-    const { loads, eventPace, random, availabilityZone, switchedOff } = options;
+    const { loads, eventIntervals, random, availabilityZone, switchedOff } = options;
     const hasZones = !switchedOff.has(Mechanism.ZonePreference);
     const hasPauseForecast = !switchedOff.has(Mechanism.PauseForecast);
 
@@ -116,7 +116,7 @@
             + decoders.indexOf(step.target) * readingOrderMilliseconds,
         bearsReading: ({ target, work }, { pauseAim, service }) => {
             const reading = loads.wait(target.targetId, true) + work;
-            return eventPace.interval(service.name) + reading * pauseReserve <= pauseAim || !hasPauseForecast;
+            return eventIntervals.interval(service.name) + reading * pauseReserve <= pauseAim || !hasPauseForecast;
         },
     };
 }
--- a/packages/daisyturn/src/process/forwarding/placement/createStepEstimates.ts
+++ b/packages/daisyturn/src/process/forwarding/placement/createStepEstimates.ts
@@ -1,9 +1,9 @@
 import { EngineStage, type ListedTarget } from "../../../ports/listedTarget.js";
 import type { EngineTraits } from "../../../version/forwarding/forwardingConfiguration.js";
 import { Mechanism } from "../experiments/mechanism.js";
-import type { CacheBeliefs } from "../views/createCacheBeliefs.js";
-import type { PaceView } from "../views/createPaceView.js";
+import type { CacheEstimates } from "../views/createCacheEstimates.js";
 import type { PrefillRates } from "../views/createPrefillRates.js";
+import type { SlowdownEstimates } from "../views/createSlowdownEstimates.js";
 import type { TargetLoads } from "../views/createTargetLoads.js";
 import { countTokens, type PlacedStep, type PromptDemand } from "./callPlacement.js";
 import { estimatePrefill, estimateTransfer } from "./estimatePrefill.js";
@@ -22,8 +22,8 @@
 /** What {@link createStepEstimates} needs. */
 export interface StepEstimatesOptions {
     readonly loads: TargetLoads;
-    readonly caches: CacheBeliefs;
-    readonly paces: PaceView;
+    readonly caches: CacheEstimates;
+    readonly slowdowns: SlowdownEstimates;
     readonly prefillRates: PrefillRates;
     /** What an experiment takes out. */
     readonly switchedOff: ReadonlySet<Mechanism>;
@@ -40,7 +40,7 @@
 
 /** Creates the estimates of one prompt at the engines of its service, from the views of one process. */
 export function createStepEstimates(
-    { loads, caches, paces, prefillRates, switchedOff }: StepEstimatesOptions,
+    { loads, caches, slowdowns, prefillRates, switchedOff }: StepEstimatesOptions,
     demand: PromptDemand,
     engines: readonly ListedTarget[],
 ): StepEstimates {
@@ -74,7 +74,7 @@
     const workWith = (engine: ListedTarget, keptTokens: number) => {
         const isShared = engine.stage === EngineStage.Decode;
         const leastWork = estimatePrefill(rate, prompt.promptTokens, keptTokens, isShared);
-        return { target: engine, keptTokens, leastWork, work: leastWork * paces.factor(engine.targetId) };
+        return { target: engine, keptTokens, leastWork, work: leastWork * slowdowns.factor(engine.targetId) };
     };
 
     const readHere = (engine: ListedTarget, wait: number): PlacedStep => ({
--- a/packages/daisyturn/src/process/forwarding/placement/decidePrompt.ts
+++ b/packages/daisyturn/src/process/forwarding/placement/decidePrompt.ts
@@ -1,5 +1,5 @@
 import { Mechanism } from "../experiments/mechanism.js";
-import type { LongReadings } from "../limits/createLongReadings.js";
+import type { LongPrefillTimes } from "../limits/createLongPrefillTimes.js";
 import type { CallPlacement, PromptDemand, PromptWay } from "./callPlacement.js";
 
 /** A prompt that asks for its way. */
@@ -37,7 +37,7 @@
 /** What {@link decidePrompt} needs. */
 export interface DecisionParts {
     readonly placement: CallPlacement;
-    readonly longReadings: LongReadings;
+    readonly longPrefillTimes: LongPrefillTimes;
     readonly switchedOff: ReadonlySet<Mechanism>;
 }
 
@@ -63,7 +63,7 @@
  * in its place would begin before its caller leaves. Otherwise the queue would grow until only short prompts fit.
  */
 export function decidePrompt(
-    { placement, longReadings, switchedOff }: DecisionParts,
+    { placement, longPrefillTimes, switchedOff }: DecisionParts,
     { route, demand, patience, isOwed, areLongestOwed }: DecisionRequest,
 ): PromptDecision | undefined {
     const way = placement.placePrompt(demand);
@@ -71,7 +71,7 @@
         return undefined;
     }
     const reading = findReading(way);
-    longReadings.record(route, reading);
+    longPrefillTimes.record(route, reading);
     const isFair = !switchedOff.has(Mechanism.SizeFairness);
     const latenessOf = ({ soonestEvent }: PromptWay) => soonestEvent - patience;
     if ((way.isDeferred || latenessOf(way) > 0) && isFair && isOwed()) {
@@ -81,7 +81,7 @@
         }
     }
     const reserve = way.isDeferred && isFair && areLongestOwed()
-        ? Math.min(longReadings.find(route), patience * mostReserveFraction) - reading
+        ? Math.min(longPrefillTimes.find(route), patience * mostReserveFraction) - reading
         : 0;
     return { way, isOwed: false, lateness: latenessOf(way) + Math.max(0, reserve) };
 }
--- a/packages/daisyturn/src/process/forwarding/placement/estimatePrefill.ts
+++ b/packages/daisyturn/src/process/forwarding/placement/estimatePrefill.ts
@@ -15,7 +15,7 @@
 
 /**
  * Time to read a prompt of which the first `keptTokens` are in the engine's cache, while nothing slows the engine.
- * What an engine really takes is learned as a factor on top (`createPaceView`).
+ * What an engine really takes is learned as a factor on top (`createSlowdownEstimates`).
  */
 export function estimatePrefill(
     rate: PrefillRate,
--- a/packages/daisyturn/src/process/forwarding/stages/changeStages.ts
+++ b/packages/daisyturn/src/process/forwarding/stages/changeStages.ts
@@ -5,7 +5,7 @@
 import type { ClosedTargets } from "../targets/createClosedTargets.js";
 import type { TargetHealth } from "../targets/createTargetHealth.js";
 import type { TargetList } from "../targets/createTargetList.js";
-import type { ReadingDemand } from "../views/createReadingDemand.js";
+import type { PrefillDemand } from "../views/createPrefillDemand.js";
 import type { TargetLoads } from "../views/createTargetLoads.js";
 import { createLostEngines } from "./createLostEngines.js";
 import { createRecentPeak, type RecentPeak } from "./createRecentPeak.js";
@@ -20,7 +20,7 @@
     readonly targets: TargetList;
     readonly loads: TargetLoads;
     readonly health: TargetHealth;
-    readonly demand: ReadingDemand;
+    readonly demand: PrefillDemand;
     readonly closed: ClosedTargets;
     readonly orders: EngineOrders;
     readonly leaseManager: LeaseManager;
--- a/packages/daisyturn/src/process/forwarding/views/__tests__/engineViews.test.ts
+++ b/packages/daisyturn/src/process/forwarding/views/__tests__/engineViews.test.ts
@@ -1,12 +1,12 @@
 import { FakeClock } from "daisyturn-utils";
 import assert from "node:assert/strict";
 import { describe, it } from "node:test";
-import { createEventPace } from "../createEventPace.js";
+import { createEventIntervals } from "../createEventIntervals.js";
 import { createPeerLoads } from "../createPeerLoads.js";
 
 describe("the pace of events", () => {
     it("falls quickly to what an engine can, and hardly rises with what held an answer up", () => {
-        const pace = createEventPace();
+        const pace = createEventIntervals();
         for (let answer = 0; answer < 20; answer++) {
             pace.observe("s", 30);
         }
@@ -16,7 +16,7 @@
     });
 
     it("says nothing of another service", () => {
-        const pace = createEventPace();
+        const pace = createEventIntervals();
         const before = pace.interval("t");
         pace.observe("s", 5);
         assert.equal(pace.interval("t"), before);
--- a/packages/daisyturn/src/process/forwarding/views/__tests__/targetViews.test.ts
+++ b/packages/daisyturn/src/process/forwarding/views/__tests__/targetViews.test.ts
@@ -3,7 +3,7 @@
 import { describe, it } from "node:test";
 import { createWindowedRetryBudget } from "../../limits/createWindowedRetryBudget.js";
 import { createTargetHealth, TargetEvidence } from "../../targets/createTargetHealth.js";
-import { createCacheBeliefs } from "../createCacheBeliefs.js";
+import { createCacheEstimates } from "../createCacheEstimates.js";
 import { createTargetLoads } from "../createTargetLoads.js";
 
 const targets = ["a", "b", "c", "d"].map(targetId => ({ targetId }));
@@ -116,7 +116,7 @@
     const part = (partId: string, tokens: number) => ({ partId, tokens });
 
     it("counts the parts at the start that are kept, without the request's own", () => {
-        const caches = createCacheBeliefs(new FakeClock());
+        const caches = createCacheEstimates(new FakeClock());
         caches.record("a", [part("x", 1_000), part("y", 500), part("own", 9)], 10_000);
         assert.equal(caches.keptTokens("a", [part("x", 1_000), part("y", 500), part("other", 9)]), 1_500);
         assert.equal(caches.keptTokens("a", [part("z", 1_000), part("y", 500), part("other", 9)]), 0);
@@ -126,7 +126,7 @@
 
     it("drops the parts used least recently beyond the engine's memory, and what is old", async () => {
         const clock = new FakeClock();
-        const caches = createCacheBeliefs(clock);
+        const caches = createCacheEstimates(clock);
         for (const partId of ["p", "q", "r"]) {
             caches.record("a", [part(partId, 3_000), part("own", 1)], 10_000);
         }
@@ -137,7 +137,7 @@
     });
 
     it("tells long parts to the peers once", () => {
-        const caches = createCacheBeliefs(new FakeClock());
+        const caches = createCacheEstimates(new FakeClock());
         const told: unknown[] = [];
         caches.onRecorded(placement => told.push(placement));
         caches.record("a", [part("long", 3_000), part("short", 10), part("own", 1)], 10_000);
--- a/packages/daisyturn/src/process/forwarding/views/findForgetTime.ts
+++ b/packages/daisyturn/src/process/forwarding/views/computeExpiry.ts
@@ -6,6 +6,6 @@
  * @param pause milliseconds until the peer tells it anew
  * @param least milliseconds for which it counts in any case
  */
-export function findForgetTime(now: number, pause: number, least: number): number {
+export function computeExpiry(now: number, pause: number, least: number): number {
     return now + Math.max(least, pause * rememberedPauses);
 }
--- a/packages/daisyturn/src/process/forwarding/views/createCacheBeliefs.ts
+++ b/packages/daisyturn/src/process/forwarding/views/createCacheEstimates.ts
@@ -5,7 +5,7 @@
 export type PartPlacement = readonly [targetId: string, partId: string, tokens: number];
 
 /** Which parts of prompts the engines are believed to keep, from where this process and its peers have placed them. */
-export interface CacheBeliefs {
+export interface CacheEstimates {
     /** Notes that an engine has read or fetched a prompt. */
     record(targetId: string, parts: readonly PromptPart[], capacityTokens: number): void;
     /** Takes in what a peer has placed. */
@@ -37,7 +37,7 @@
 }
 
 /** Creates the beliefs of one process. */
-export function createCacheBeliefs(clock: Clock): CacheBeliefs {
+export function createCacheEstimates(clock: Clock): CacheEstimates {
     const caches = new Map<string, EngineCache>();
     const listeners: ((placement: PartPlacement) => void)[] = [];
 
--- a/packages/daisyturn/src/process/forwarding/views/createEventPace.ts
+++ b/packages/daisyturn/src/process/forwarding/views/createEventIntervals.ts
@@ -1,16 +1,16 @@
 /** The mean pause of one answer that had several events: service, milliseconds. */
-export type PauseObservation = readonly [service: string, meanInterval: number];
+export type EventIntervalObservation = readonly [service: string, meanInterval: number];
 
 /** How far apart the events of answers come at the engines of a service, while nothing else holds them up. */
-export interface EventPace {
+export interface EventIntervals {
     /** Usual milliseconds between two events. */
     interval(service: string): number;
     /** Takes in the mean of one answer that had several events. */
     observe(service: string, meanInterval: number): void;
     /** Takes in what a peer has observed. */
-    recordRemote(observation: PauseObservation): void;
+    recordRemote(observation: EventIntervalObservation): void;
     /** Own observations since the last call, for the peers. */
-    drainUnsent(): readonly PauseObservation[];
+    drainUnsent(): readonly EventIntervalObservation[];
 }
 
 /** Observations kept for the peers; an answer's pause says about as much as that of the one before it. */
@@ -26,9 +26,9 @@
 const weightAbove = 0.03;
 
 /** Creates the view of one process. */
-export function createEventPace(): EventPace {
+export function createEventIntervals(): EventIntervals {
     const intervals = new Map<string, number>();
-    let untold: PauseObservation[] = [];
+    let untold: EventIntervalObservation[] = [];
     const learn = (service: string, meanInterval: number) => {
         const known = intervals.get(service) ?? startingInterval;
         const weight = meanInterval < known ? weightBelow : weightAbove;
--- a/packages/daisyturn/src/process/forwarding/views/createReadingDemand.ts
+++ b/packages/daisyturn/src/process/forwarding/views/createPrefillDemand.ts
@@ -1,11 +1,11 @@
 import { type Clock, createDecayingRate, type DecayingRate } from "daisyturn-utils";
-import { findForgetTime } from "./findForgetTime.js";
+import { computeExpiry } from "./computeExpiry.js";
 
 /** Milliseconds of reading a second, as an engine that only reads would need them. */
 export type ServiceDemand = readonly [service: string, millisecondsPerSecond: number];
 
 /** How much reading of prompts is asked of a service's engines, by all processes together. */
-export interface ReadingDemand {
+export interface PrefillDemand {
     record(service: string, milliseconds: number): void;
     listOwn(): readonly ServiceDemand[];
     /** That of this process and of those that have told theirs, other groups not counted. */
@@ -31,7 +31,7 @@
 }
 
 /** Creates the view of one process. */
-export function createReadingDemand(clock: Clock): ReadingDemand {
+export function createPrefillDemand(clock: Clock): PrefillDemand {
     const own = new Map<string, DecayingRate>();
     const peers = new Map<string, ToldDemand>();
     const groups = new Map<string, ToldDemand>();
@@ -43,7 +43,7 @@
         demand: readonly ServiceDemand[],
         pause: number,
     ) => {
-        const forgottenAt = findForgetTime(clock.monotonicNow(), pause, peerMemoryMilliseconds);
+        const forgottenAt = computeExpiry(clock.monotonicNow(), pause, peerMemoryMilliseconds);
         told.set(teller, { forgottenAt, demand: new Map(demand) });
     };
 
--- a/packages/daisyturn/src/process/forwarding/views/createPaceView.ts
+++ b/packages/daisyturn/src/process/forwarding/views/createSlowdownEstimates.ts
@@ -1,16 +1,16 @@
 /** How long a target took: the estimated milliseconds of waiting and of work, and the actual ones of both. */
-export type PaceObservation = readonly [targetId: string, waited: number, estimated: number, actual: number];
+export type DurationObservation = readonly [targetId: string, waited: number, estimated: number, actual: number];
 
 /** How much slower than estimated each target really is. */
-export interface PaceView {
+export interface SlowdownEstimates {
     /** Factor by which estimates for a target are to be multiplied. */
     factor(targetId: string): number;
     /** @param waited estimated milliseconds before the target turned to the call */
     observe(targetId: string, waited: number, estimated: number, actual: number): void;
     /** Takes in what a peer has observed. */
-    recordRemote(observation: PaceObservation): void;
+    recordRemote(observation: DurationObservation): void;
     /** Own observations since the last call, for the peers. */
-    drainUnsent(): readonly PaceObservation[];
+    drainUnsent(): readonly DurationObservation[];
     forget(targetId: string): void;
 }
 
@@ -24,12 +24,12 @@
 const mostUntold = 16;
 
 /** Creates the view of one process. */
-export function createPaceView(): PaceView {
+export function createSlowdownEstimates(): SlowdownEstimates {
     const factors = new Map<string, number>();
-    let untold: PaceObservation[] = [];
+    let untold: DurationObservation[] = [];
     const tellsOfPace = (waited: number, estimated: number) => estimated >= (waited + estimated) * leastOwnFraction;
 
-    const learn = ([targetId, waited, estimated, actual]: PaceObservation) => {
+    const learn = ([targetId, waited, estimated, actual]: DurationObservation) => {
         if (tellsOfPace(waited, estimated)) {
             const ratio = Math.min(largestFactor, Math.max(smallestFactor, actual / (waited + estimated)));
             const known = factors.get(targetId) ?? 1;
--- a/packages/daisyturn/src/process/forwarding/views/createTargetLoads.ts
+++ b/packages/daisyturn/src/process/forwarding/views/createTargetLoads.ts
@@ -1,7 +1,7 @@
 import type { Clock } from "daisyturn-utils";
 import type { ReportedLoad } from "../../../ports/forwardedCall.js";
+import { computeExpiry } from "./computeExpiry.js";
 import { createPeerLoads, type PeerLoad } from "./createPeerLoads.js";
-import { findForgetTime } from "./findForgetTime.js";
 import type { WorkUnderWay } from "./workUnderWay.js";
 
 /** Work that this process has placed at a target. */
@@ -169,12 +169,12 @@
             load.reportedAt = clock.monotonicNow();
         },
         recordPeer: (peerId, work, pause) => {
-            const forgottenAt = findForgetTime(clock.monotonicNow(), pause, peerMemoryMilliseconds);
+            const forgottenAt = computeExpiry(clock.monotonicNow(), pause, peerMemoryMilliseconds);
             peers.record(peerId, work, forgottenAt);
         },
         forgetPeer: peers.forget,
         recordGroup: (coordinatorId, work, pause) => {
-            const forgottenAt = findForgetTime(clock.monotonicNow(), pause, peerMemoryMilliseconds);
+            const forgottenAt = computeExpiry(clock.monotonicNow(), pause, peerMemoryMilliseconds);
             groups.record(coordinatorId, work, forgottenAt);
         },
         calls: targetId => {
--- a/packages/daisyturn/src/process/forwarding/views/createTargetViews.ts
+++ b/packages/daisyturn/src/process/forwarding/views/createTargetViews.ts
@@ -3,11 +3,11 @@
 import { type ClosedTargets, createClosedTargets } from "../targets/createClosedTargets.js";
 import { createTargetHealth, type TargetHealth } from "../targets/createTargetHealth.js";
 import { createTargetList, type TargetList, type TargetListOptions } from "../targets/createTargetList.js";
-import { type CacheBeliefs, createCacheBeliefs } from "./createCacheBeliefs.js";
-import { createEventPace, type EventPace } from "./createEventPace.js";
-import { createPaceView, type PaceView } from "./createPaceView.js";
+import { type CacheEstimates, createCacheEstimates } from "./createCacheEstimates.js";
+import { createEventIntervals, type EventIntervals } from "./createEventIntervals.js";
+import { createPrefillDemand, type PrefillDemand } from "./createPrefillDemand.js";
 import { createPrefillRates, type PrefillRates } from "./createPrefillRates.js";
-import { createReadingDemand, type ReadingDemand } from "./createReadingDemand.js";
+import { createSlowdownEstimates, type SlowdownEstimates } from "./createSlowdownEstimates.js";
 import { createTargetLoads, type TargetLoads } from "./createTargetLoads.js";
 
 /** All that one process believes of the targets. */
@@ -15,12 +15,12 @@
     readonly targets: TargetList;
     readonly loads: TargetLoads;
     readonly health: TargetHealth;
-    readonly caches: CacheBeliefs;
-    readonly paces: PaceView;
+    readonly caches: CacheEstimates;
+    readonly slowdowns: SlowdownEstimates;
     readonly prefillRates: PrefillRates;
-    readonly eventPace: EventPace;
+    readonly eventIntervals: EventIntervals;
     readonly closed: ClosedTargets;
-    readonly demand: ReadingDemand;
+    readonly demand: PrefillDemand;
 }
 
 const activityTimeoutMilliseconds = 300;
@@ -43,18 +43,18 @@
         return target && engineOrders ? await engineOrders.checkActivity(target, deadline) : EngineActivity.NoAnswer;
     };
     const health = createTargetHealth(clock, eventLog, askActivity);
-    const caches = createCacheBeliefs(clock);
-    const paces = createPaceView();
-    targets.onRemoved(targetId => [loads, health, caches, paces].forEach(view => view.forget(targetId)));
+    const caches = createCacheEstimates(clock);
+    const slowdowns = createSlowdownEstimates();
+    targets.onRemoved(targetId => [loads, health, caches, slowdowns].forEach(view => view.forget(targetId)));
     return {
         targets,
         loads,
         health,
         caches,
-        paces,
+        slowdowns,
         prefillRates: createPrefillRates(),
-        eventPace: createEventPace(),
+        eventIntervals: createEventIntervals(),
         closed: createClosedTargets(clock, eventLog),
-        demand: createReadingDemand(clock),
+        demand: createPrefillDemand(clock),
     };
 }
--- a/packages/daisyturn/src/request/forwarding/__fixtures__/playOverload.ts
+++ b/packages/daisyturn/src/request/forwarding/__fixtures__/playOverload.ts
@@ -3,7 +3,7 @@
 import { EngineStage } from "../../../ports/listedTarget.js";
 import { createPlacementBench, engineService } from "../../../process/forwarding/__fixtures__/placementBench.js";
 import {
-    createLongReadings,
+    createLongPrefillTimes,
     createSizeFairness,
     LocalDecisions,
     measureSize,
@@ -87,7 +87,7 @@
 /** One process before its engines. */
 function createPlayedProcess({ seed, switchedOff = new Set() }: Overload) {
     const { placement, loads, caches, clock } = createPlacementBench(stages, seed, switchedOff);
-    const decisions = new LocalDecisions({ placement, longReadings: createLongReadings(), switchedOff });
+    const decisions = new LocalDecisions({ placement, longPrefillTimes: createLongPrefillTimes(), switchedOff });
     const parts: AdmissionParts = { decisions, clock, switchedOff, availabilityZone: "zone-0" };
     const sizeFairness = createSizeFairness();
     const engines = createPlayedEngines();
--- a/packages/daisyturn/src/request/forwarding/forwardingParts.ts
+++ b/packages/daisyturn/src/request/forwarding/forwardingParts.ts
@@ -2,20 +2,20 @@
 import type { TargetConnections } from "../../connection/target/createTargetConnections.js";
 import type { TargetProtocol } from "../../ports/forwardedCall.js";
 import type {
-    CacheBeliefs,
+    CacheEstimates,
     CallPlacement,
     ClosedTargets,
-    EventPace,
+    EventIntervals,
     ForwardingConfigurationManager,
     ForwardingMetrics,
-    LongReadings,
+    LongPrefillTimes,
     Mechanism,
-    PaceView,
+    PrefillDemand,
     PrefillRates,
     PromptDecisions,
-    ReadingDemand,
     SizeCounts,
     SizeFairness,
+    SlowdownEstimates,
     TargetHealth,
     TargetList,
     TargetLoads,
@@ -28,11 +28,11 @@
     readonly targets: TargetList;
     readonly loads: TargetLoads;
     readonly health: TargetHealth;
-    readonly caches: CacheBeliefs;
-    readonly paces: PaceView;
+    readonly caches: CacheEstimates;
+    readonly slowdowns: SlowdownEstimates;
     readonly prefillRates: PrefillRates;
-    readonly eventPace: EventPace;
-    readonly demand: ReadingDemand;
+    readonly eventIntervals: EventIntervals;
+    readonly demand: PrefillDemand;
     readonly closed: ClosedTargets;
     readonly placement: CallPlacement;
     readonly decisions: PromptDecisions;
@@ -42,7 +42,7 @@
     readonly metrics: ForwardingMetrics;
     readonly sizeCounts: SizeCounts;
     readonly sizeFairness: SizeFairness;
-    readonly longReadings: LongReadings;
+    readonly longPrefillTimes: LongPrefillTimes;
     readonly availabilityZone: string;
     /** What an experiment takes out. */
     readonly switchedOff: ReadonlySet<Mechanism>;
--- a/packages/daisyturn/src/request/forwarding/runPromptCall.ts
+++ b/packages/daisyturn/src/request/forwarding/runPromptCall.ts
@@ -181,20 +181,20 @@
     parts.caches.record(target.targetId, prompt.parts, run.service.engine?.kvTokens ?? 0);
     const meanPause = run.exchange.meanPause();
     if (meanPause !== undefined) {
-        parts.eventPace.observe(run.service.name, meanPause);
+        parts.eventIntervals.observe(run.service.name, meanPause);
     }
     return concludeStream(run, relay, reply.value);
 }
 
 /** Learns from the time that an engine took to prefill, its queue included. */
 function notePrefill(
-    { paces, prefillRates }: ForwardingParts,
+    { slowdowns, prefillRates }: ForwardingParts,
     run: CallRun,
     { promptTokens }: PromptDescription,
     { target, wait, work, keptTokens }: PlacedStep,
     milliseconds: number,
 ): void {
-    paces.observe(target.targetId, wait, work, milliseconds);
+    slowdowns.observe(target.targetId, wait, work, milliseconds);
     if (wait <= work * mostWaitFraction) {
         const own = toUnsharedMilliseconds(milliseconds, target.stage === EngineStage.Decode);
         prefillRates.observe([run.service.name, promptTokens - keptTokens, keptTokens, Math.round(own)]);
