--- a/packages/daisyturn-standins/src/bench/naivePolicies.ts
+++ b/packages/daisyturn-standins/src/bench/naivePolicies.ts
@@ -64,7 +64,7 @@
 
     return {
         place,
-        findCheapestWay: () => undefined,
+        findCheapestOption: () => undefined,
         reserve: () => undefined,
         cancelReservation: () => undefined,
         onPlaced: () => undefined,
--- a/packages/daisyturn/src/process/admission/engineRoom.ts
+++ b/packages/daisyturn/src/process/admission/engineRoom.ts
@@ -104,7 +104,7 @@
     };
 
     const assess = (request: RoutingRequest) => {
-        const way = router.findCheapestWay(request);
+        const way = router.findCheapestOption(request);
         return way && assessWay(request, way);
     };
 
--- a/packages/daisyturn/src/process/forwarding/__fixtures__/placementBench.ts
+++ b/packages/daisyturn/src/process/forwarding/__fixtures__/placementBench.ts
@@ -4,7 +4,7 @@
 import type { ForwardService } from "../../../version/forwarding/forwardingConfiguration.js";
 import type { Mechanism } from "../experiments/mechanism.js";
 import { switchOffViews } from "../experiments/switchOffViews.js";
-import type { PromptDemand } from "../placement/callPlacement.js";
+import type { PromptRequirements } from "../placement/callPlacement.js";
 import { createCallPlacement } from "../placement/createCallPlacement.js";
 import { createTargetViews } from "../views/createTargetViews.js";
 
@@ -41,7 +41,7 @@
 }
 
 /** Asks for the placement of a prompt. */
-export function createDemand(prompt: PromptDescription, changes: Partial<PromptDemand> = {}): PromptDemand {
+export function createDemand(prompt: PromptDescription, changes: Partial<PromptRequirements> = {}): PromptRequirements {
     return {
         service: engineService,
         prompt,
--- a/packages/daisyturn/src/process/forwarding/coordination/__tests__/coordinate.test.ts
+++ b/packages/daisyturn/src/process/forwarding/coordination/__tests__/coordinate.test.ts
@@ -10,7 +10,7 @@
 
 function createRequest(prompt = createShortPrompt("own"), availabilityZone = "zone-0"): DecisionRequest {
     const demand = createDemand(prompt, { availabilityZone });
-    return { route: "ask", demand, patience: 2_000, isOwed: () => false, areLongestOwed: () => false };
+    return { route: "ask", demand, patience: 2_000, isUnderserved: () => false, areLongestUnderserved: () => false };
 }
 
 /** Lets a decision be made, and takes the way as a process does: its reading counts at once. */
@@ -19,10 +19,10 @@
     await clock.advance(50);
     const decision = await deciding;
     assert.ok(decision);
-    const heavy = decision.way.prefill ?? decision.way.decode;
+    const heavy = decision.placement.prefill ?? decision.placement.decode;
     const work = process.loads.begin(heavy.target.targetId, {
         work: heavy.work,
-        isDeferred: decision.way.isDeferred,
+        isDeferred: decision.placement.isDeferred,
         tokens: request.demand.prompt.promptTokens,
     });
     return { decision, engine: heavy.target.targetId, work };
@@ -77,7 +77,7 @@
             )
         );
         await fleet.clock.advance(50);
-        const readers = (await Promise.all(requests)).map(decision => decision?.way.prefill?.target.targetId);
+        const readers = (await Promise.all(requests)).map(decision => decision?.placement.prefill?.target.targetId);
         assert.ok(new Set(readers).size >= 5, readers.join(" "));
         await fleet.stop();
     });
@@ -89,7 +89,7 @@
         const member = fleet.processes.find(process => process !== coordinator);
         assert.ok(coordinator && member);
         const { engine, work, decision } = await place(fleet, member, createRequest(createLongPrompt("guide", "own")));
-        const reading = Math.round(decision.way.prefill?.work ?? 0);
+        const reading = Math.round(decision.placement.prefill?.work ?? 0);
         assert.ok(reading > 100);
         assert.equal(Math.round(coordinator.loads.wait(engine, false)), reading);
         await fleet.clock.advance(300);
--- a/packages/daisyturn/src/process/forwarding/coordination/__tests__/coordinatedDecisions.test.ts
+++ b/packages/daisyturn/src/process/forwarding/coordination/__tests__/coordinatedDecisions.test.ts
@@ -8,8 +8,8 @@
         route: "ask",
         demand: createDemand(createShortPrompt("own")),
         patience: 2_000,
-        isOwed: () => false,
-        areLongestOwed: () => false,
+        isUnderserved: () => false,
+        areLongestUnderserved: () => false,
     });
     await clock.advance(50);
     return await deciding;
--- a/packages/daisyturn/src/process/forwarding/coordination/__tests__/createPlacementDesk.test.ts
+++ b/packages/daisyturn/src/process/forwarding/coordination/__tests__/createPlacementDesk.test.ts
@@ -55,6 +55,6 @@
     for (let count = 0; count < 4; count++) {
         sizeFairness.begin(route, measureSize({ ...prompt, maxOutputTokens: longAnswerTokens })).end(false);
     }
-    assert.equal(ask(longAnswerTokens, sizeFairness).isOwed(), true);
-    assert.equal(ask(prompt.maxOutputTokens, sizeFairness).isOwed(), false);
+    assert.equal(ask(longAnswerTokens, sizeFairness).isUnderserved(), true);
+    assert.equal(ask(prompt.maxOutputTokens, sizeFairness).isUnderserved(), false);
 });
--- a/packages/daisyturn/src/process/forwarding/coordination/__tests__/sharedSizeFairness.test.ts
+++ b/packages/daisyturn/src/process/forwarding/coordination/__tests__/sharedSizeFairness.test.ts
@@ -21,8 +21,8 @@
         sizeFairness.begin(route, longTokens).end(false);
     }
     await fleet.clock.advance(1_500);
-    assert.equal(coordinator.sizeFairness.isOwed(route, longTokens), true);
-    assert.equal(coordinator.sizeFairness.isOwed(route, shortTokens), false);
-    assert.equal(member.sizeFairness.isOwed(route, longTokens), false, "a single process has too few prompts");
+    assert.equal(coordinator.sizeFairness.isUnderserved(route, longTokens), true);
+    assert.equal(coordinator.sizeFairness.isUnderserved(route, shortTokens), false);
+    assert.equal(member.sizeFairness.isUnderserved(route, longTokens), false, "a single process has too few prompts");
     await fleet.stop();
 });
--- a/packages/daisyturn/src/process/forwarding/coordination/coordinatedDecisions.ts
+++ b/packages/daisyturn/src/process/forwarding/coordination/coordinatedDecisions.ts
@@ -67,7 +67,7 @@
     decision: PromptDecision | undefined,
 ): void {
     if (decision && decision.lateness <= 0) {
-        const { prefill, decode } = decision.way;
+        const { prefill, decode } = decision.placement;
         const kvTokens = service.engine?.kvTokens ?? 0;
         [prefill, decode].forEach(step => step && caches.record(step.target.targetId, prompt.parts, kvTokens));
     }
--- a/packages/daisyturn/src/process/forwarding/coordination/createPlacementDesk.ts
+++ b/packages/daisyturn/src/process/forwarding/coordination/createPlacementDesk.ts
@@ -53,12 +53,12 @@
             mayDefer: true,
         },
         patience: ask.patience,
-        isOwed: () => sizeFairness.isOwed(ask.route, measureSize(ask.prompt)),
-        areLongestOwed: () => sizeFairness.areLongestOwed(ask.route),
+        isUnderserved: () => sizeFairness.isUnderserved(ask.route, measureSize(ask.prompt)),
+        areLongestUnderserved: () => sizeFairness.areLongestUnderserved(ask.route),
     });
 
     /** A prompt that will be refused is not under way. */
-    const give = (ask: PlacementAsk, { way, lateness }: PromptDecision, number: number) => {
+    const give = (ask: PlacementAsk, { placement: way, lateness }: PromptDecision, number: number) => {
         if (lateness > 0) {
             return;
         }
@@ -109,7 +109,7 @@
     number: number,
     decision: PromptDecision | undefined,
 ): PlacementAnswer {
-    const way = decision?.way;
+    const way = decision?.placement;
     return {
         from: coordinatorId,
         askId,
@@ -120,7 +120,7 @@
         soonestEvent: Math.round(way?.soonestEvent ?? 0),
         reading: Math.round(way?.reading ?? 0),
         isDeferred: way?.isDeferred ?? false,
-        isOwed: decision?.isOwed ?? false,
+        isOwed: decision?.isUnderserved ?? false,
         lateness: Math.round(decision?.lateness ?? 0),
     };
 }
@@ -155,5 +155,10 @@
     }
     const { firstEvent, soonestEvent, reading, isDeferred, isOwed } = answer;
     const way = { prefill, decode, firstEvent, soonestEvent, reading, isDeferred };
-    return { way, isOwed, lateness: answer.lateness ?? soonestEvent - patience, decidedBy: answer.from };
+    return {
+        placement: way,
+        isUnderserved: isOwed,
+        lateness: answer.lateness ?? soonestEvent - patience,
+        decidedBy: answer.from,
+    };
 }
--- a/packages/daisyturn/src/process/forwarding/limits/__tests__/createSizeFairness.test.ts
+++ b/packages/daisyturn/src/process/forwarding/limits/__tests__/createSizeFairness.test.ts
@@ -16,10 +16,10 @@
     it("owes the longest prompts service where they alone are refused", () => {
         const fairness = createSizeFairness();
         account(fairness, forty, [10_000]);
-        assert.equal(fairness.begin("route", 10_000).isOwed(), true);
-        assert.equal(fairness.begin("route", 50_000).isOwed(), true);
-        assert.equal(fairness.begin("route", 1_000).isOwed(), false);
-        assert.equal(fairness.begin("route", 6_000).isOwed(), false);
+        assert.equal(fairness.begin("route", 10_000).isUnderserved(), true);
+        assert.equal(fairness.begin("route", 50_000).isUnderserved(), true);
+        assert.equal(fairness.begin("route", 1_000).isUnderserved(), false);
+        assert.equal(fairness.begin("route", 6_000).isUnderserved(), false);
     });
 
     // Guards against the longest being served hardly more than half as often as all, which misses the promise now and then.
@@ -27,14 +27,14 @@
         const fairness = createSizeFairness();
         account(fairness, forty, []);
         account(fairness, [10_000, 10_000], [10_000]);
-        assert.equal(fairness.begin("route", 10_000).isOwed(), true);
+        assert.equal(fairness.begin("route", 10_000).isUnderserved(), true);
     });
 
     it("owes prompts of middle length nothing where the longest alone are refused", () => {
         const fairness = createSizeFairness();
         account(fairness, forty, [9_000, 10_000]);
-        assert.equal(fairness.begin("route", 10_000).isOwed(), true);
-        assert.equal(fairness.begin("route", 6_000).isOwed(), false);
+        assert.equal(fairness.begin("route", 10_000).isUnderserved(), true);
+        assert.equal(fairness.begin("route", 6_000).isUnderserved(), false);
     });
 
     it("owes nobody anything where all lengths are refused alike, or none", () => {
@@ -42,7 +42,7 @@
             tenLengths.forEach(tokens => {
                 const fairness = createSizeFairness();
                 account(fairness, forty, unserved);
-                assert.equal(fairness.begin("route", tokens).isOwed(), false);
+                assert.equal(fairness.begin("route", tokens).isUnderserved(), false);
             });
         }
     });
@@ -51,7 +51,7 @@
         const fairness = createSizeFairness();
         account(fairness, forty, []);
         account(fairness, [60_000], [60_000]);
-        assert.equal(fairness.begin("route", 60_000).isOwed(), false);
+        assert.equal(fairness.begin("route", 60_000).isUnderserved(), false);
     });
 
     it("is even once the longest are served again, and forgets what lies far back", () => {
@@ -59,7 +59,7 @@
         account(fairness, forty, [10_000]);
         account(fairness, forty, []);
         account(fairness, forty, []);
-        assert.equal(fairness.begin("route", 10_000).isOwed(), false);
+        assert.equal(fairness.begin("route", 10_000).isUnderserved(), false);
     });
 
     // Guards against starvation that goes unseen for as long as the longest prompts wait in vain.
@@ -69,14 +69,14 @@
         for (let count = 0; count < 20; count++) {
             fairness.begin("route", 10_000);
         }
-        assert.equal(fairness.begin("route", 10_000).isOwed(), true);
+        assert.equal(fairness.begin("route", 10_000).isUnderserved(), true);
     });
 
     it("keeps the account of each route by itself, and says nothing of a route that is hardly known", () => {
         const fairness = createSizeFairness();
         account(fairness, forty, [10_000], "other");
-        assert.equal(fairness.begin("route", 10_000).isOwed(), false);
+        assert.equal(fairness.begin("route", 10_000).isUnderserved(), false);
         account(fairness, [1_000, 1_000, 10_000], [10_000]);
-        assert.equal(fairness.begin("route", 10_000).isOwed(), false);
+        assert.equal(fairness.begin("route", 10_000).isUnderserved(), false);
     });
 });
--- a/packages/daisyturn/src/process/forwarding/limits/createSizeFairness.ts
+++ b/packages/daisyturn/src/process/forwarding/limits/createSizeFairness.ts
@@ -2,11 +2,11 @@
 export type EndedPrompt = readonly [route: string, size: number, isServed: boolean];
 
 /** A prompt that is under way. It counts in the account of its route once it has ended. */
-export interface AccountedPrompt {
+export interface TrackedPrompt {
     /** Whether prompts as long as this one were served so seldom of late that it should not be refused as well. */
-    isOwed(): boolean;
+    isUnderserved(): boolean;
     /** Whether the longest prompts of its route were served too seldom. */
-    areLongestOwed(): boolean;
+    areLongestUnderserved(): boolean;
     /** The prompt has ended; it was not served if it was refused or failed, or its caller left. */
     end(isServed: boolean): void;
 }
@@ -16,10 +16,10 @@
  * them under a lasting overload: the queue grows until what comes is refused, and settles where short prompts just fit.
  */
 export interface SizeFairness {
-    begin(route: string, size: number): AccountedPrompt;
+    begin(route: string, size: number): TrackedPrompt;
     /** The same for a prompt of another process. */
-    isOwed(route: string, size: number): boolean;
-    areLongestOwed(route: string): boolean;
+    isUnderserved(route: string, size: number): boolean;
+    areLongestUnderserved(route: string): boolean;
     /** Takes in prompts that ended at a peer. */
     recordRemote(ended: EndedPrompt): void;
     /** Own prompts that ended since the last call, for the peers. */
@@ -74,15 +74,15 @@
 
     return {
         begin: (route, size) => ({
-            isOwed: () => isOwed(size, find(route)),
-            areLongestOwed: () => areLongestOwed(find(route)),
+            isUnderserved: () => isUnderserved(size, find(route)),
+            areLongestUnderserved: () => areLongestUnderserved(find(route)),
             end: isServed => {
                 add(find(route), { size, isServed });
                 untold = [...untold, [route, size, isServed] as const].slice(-mostUntold);
             },
         }),
-        isOwed: (route, size) => isOwed(size, routes.get(route) ?? []),
-        areLongestOwed: route => areLongestOwed(routes.get(route) ?? []),
+        isUnderserved: (route, size) => isUnderserved(size, routes.get(route) ?? []),
+        areLongestUnderserved: route => areLongestUnderserved(routes.get(route) ?? []),
         recordRemote: ([route, size, isServed]) => add(find(route), { size, isServed }),
         drainUnsent: () => {
             const told = untold;
@@ -92,13 +92,13 @@
     };
 }
 
-function isOwed(size: number, others: readonly Entry[]): boolean {
+function isUnderserved(size: number, others: readonly Entry[]): boolean {
     const longer = others.filter(entry => entry.size > size).length;
     return longer <= others.length * owedFraction
         && findLongestShare(size, others) < leastFraction * findShareServed(others);
 }
 
-function areLongestOwed(others: readonly Entry[]): boolean {
+function areLongestUnderserved(others: readonly Entry[]): boolean {
     return findLongestShare(Infinity, others) < leastFraction * findShareServed(others);
 }
 
--- a/packages/daisyturn/src/process/forwarding/placement/callPlacement.ts
+++ b/packages/daisyturn/src/process/forwarding/placement/callPlacement.ts
@@ -19,7 +19,7 @@
 }
 
 /** How a prompt is served: read at one engine and decoded at another, or both at one. */
-export interface PromptWay {
+export interface PromptPlacement {
     readonly prefill?: PlacedStep;
     readonly decode: PlacedStep;
     /** Estimated milliseconds to the first event. */
@@ -36,7 +36,7 @@
 }
 
 /** A prompt that is to be placed. */
-export interface PromptDemand {
+export interface PromptRequirements {
     readonly service: ForwardService;
     readonly prompt: PromptDescription;
     readonly bodyBytes: number;
@@ -58,7 +58,7 @@
 export abstract class CallPlacement {
     abstract placePlain(service: string, avoid: ReadonlySet<string>): ListedTarget | undefined;
     /** The way that a prompt is to go; undefined if no engine can take it. */
-    abstract placePrompt(demand: PromptDemand): PromptWay | undefined;
+    abstract placePrompt(demand: PromptRequirements): PromptPlacement | undefined;
 }
 
 /** KV cache that a call holds until its end. */
--- a/packages/daisyturn/src/process/forwarding/placement/createCallPlacement.ts
+++ b/packages/daisyturn/src/process/forwarding/placement/createCallPlacement.ts
@@ -3,7 +3,7 @@
 import type { EngineTraits } from "../../../version/forwarding/forwardingConfiguration.js";
 import { Mechanism } from "../experiments/mechanism.js";
 import type { TargetViews } from "../views/createTargetViews.js";
-import { CallPlacement, type PlacedStep, type PromptDemand, type PromptWay } from "./callPlacement.js";
+import { CallPlacement, type PlacedStep, type PromptPlacement, type PromptRequirements } from "./callPlacement.js";
 import { createStepCosts } from "./createStepCosts.js";
 import { createStepEstimates, type StepEstimates } from "./createStepEstimates.js";
 import { sharedEngineFactor } from "./estimatePrefill.js";
@@ -92,7 +92,7 @@
         return split && (!whole || split.cost < whole.cost) ? split : whole;
     };
 
-    const placePrompt = (demand: PromptDemand): PromptWay | undefined => {
+    const placePrompt = (demand: PromptRequirements): PromptPlacement | undefined => {
         const usable = listUsable(demand.service.name, demand.avoid);
         const groups = groupEngines(usable, demand.prompt, demand.availabilityZone);
         const engines = isOn(Mechanism.Homes) ? groups : { ...groups, readerHome: undefined, decoderHome: undefined };
@@ -114,15 +114,15 @@
 
 /** One prompt before the engines that it may go to. */
 interface PromptCase {
-    readonly demand: PromptDemand;
+    readonly demand: PromptRequirements;
     readonly engines: EngineGroups;
     readonly estimates: StepEstimates;
 }
 
-type CostedWay = PromptWay & { readonly cost: number; };
+type CostedWay = PromptPlacement & { readonly cost: number; };
 
 /** When the first event comes if these steps follow each other. */
-function forecastEvent(steps: readonly PlacedStep[]): Pick<PromptWay, "firstEvent" | "soonestEvent"> {
+function forecastEvent(steps: readonly PlacedStep[]): Pick<PromptPlacement, "firstEvent" | "soonestEvent"> {
     const wait = steps.reduce((sum, step) => sum + step.wait, hopMilliseconds);
     return {
         firstEvent: steps.reduce((sum, step) => sum + step.work, wait),
--- a/packages/daisyturn/src/process/forwarding/placement/createLeastRunningPlacement.ts
+++ b/packages/daisyturn/src/process/forwarding/placement/createLeastRunningPlacement.ts
@@ -3,7 +3,7 @@
 import type { ClosedTargets } from "../targets/createClosedTargets.js";
 import type { TargetList } from "../targets/createTargetList.js";
 import type { TargetLoads } from "../views/createTargetLoads.js";
-import { CallPlacement, type PlacedStep, type PromptDemand, type PromptWay } from "./callPlacement.js";
+import { CallPlacement, type PlacedStep, type PromptPlacement, type PromptRequirements } from "./callPlacement.js";
 import { findLeast } from "./findLeast.js";
 import { groupEngines } from "./groupEngines.js";
 
@@ -42,7 +42,7 @@
             return findLeast(listUsable(service, avoid), callsAt);
         }
 
-        override placePrompt(demand: PromptDemand): PromptWay | undefined {
+        override placePrompt(demand: PromptRequirements): PromptPlacement | undefined {
             const { service, prompt, avoid, isWholeOnly, availabilityZone } = demand;
             const engines = listUsable(service.name, avoid);
             const decode = findLeast(engines.filter(engine => engine.stage !== EngineStage.Prefill), callsAt);
--- a/packages/daisyturn/src/process/forwarding/placement/createStepCosts.ts
+++ b/packages/daisyturn/src/process/forwarding/placement/createStepCosts.ts
@@ -3,7 +3,7 @@
 import { Mechanism } from "../experiments/mechanism.js";
 import type { EventIntervals } from "../views/createEventIntervals.js";
 import type { TargetLoads } from "../views/createTargetLoads.js";
-import type { PlacedStep, PromptDemand } from "./callPlacement.js";
+import type { PlacedStep, PromptRequirements } from "./callPlacement.js";
 import type { EngineGroups } from "./groupEngines.js";
 
 /** Tells one step of a prompt from another; what is the same at all engines is worked out once. */
@@ -14,13 +14,13 @@
     /** How full a plain target is, in parts of its slots. */
     plain(target: ListedTarget): number;
     /** Of reading a prompt at an engine that only reads. */
-    ofReading(demand: PromptDemand, engines: EngineGroups): StepCost;
+    ofReading(demand: PromptRequirements, engines: EngineGroups): StepCost;
     /** Of decoding what another engine has read. */
-    ofDecoding(demand: PromptDemand, engines: EngineGroups): StepCost;
+    ofDecoding(demand: PromptRequirements, engines: EngineGroups): StepCost;
     /** Of reading and decoding at one engine. */
-    ofBoth(demand: PromptDemand, engines: EngineGroups): StepCost;
+    ofBoth(demand: PromptRequirements, engines: EngineGroups): StepCost;
     /** Whether all answers of a decoding engine keep their pauses while it reads the prompt. */
-    bearsReading(step: PlacedStep, demand: PromptDemand): boolean;
+    bearsReading(step: PlacedStep, demand: PromptRequirements): boolean;
 }
 
 /** What {@link createStepCosts} needs. */
@@ -82,7 +82,7 @@
 
     const scatter = () => 1 + spread * (random.fraction() - 0.5);
 
-    const zoneCost = (engine: ListedTarget, { bodyBytes, availabilityZone: zone }: PromptDemand) =>
+    const zoneCost = (engine: ListedTarget, { bodyBytes, availabilityZone: zone }: PromptRequirements) =>
         isNear(engine, zone)
             ? 0
             : otherZoneMilliseconds + bodyBytes / bytesPerKilobyte * otherZoneMillisecondsPerKilobyte;
@@ -90,12 +90,12 @@
     const externalityOf = (engine: ListedTarget) =>
         engine.stage === EngineStage.Decode ? decodingExternality : externality;
 
-    const workCost = (step: PlacedStep, demand: PromptDemand) =>
+    const workCost = (step: PlacedStep, demand: PromptRequirements) =>
         (step.wait + step.work * (1 + externalityOf(step.target))) * scatter() + zoneCost(step.target, demand);
 
     const isStray = (step: PlacedStep, home: string | undefined) => home !== undefined && step.target.targetId !== home;
 
-    const pauseCost = ({ prompt, service }: PromptDemand, engine: ListedTarget) => {
+    const pauseCost = ({ prompt, service }: PromptRequirements, engine: ListedTarget) => {
         const hasPauses = prompt.expectedOutputTokens > (service.engine?.tokensPerEvent ?? 1);
         const reading = loads.wait(engine.targetId, true) * pauseFactor;
         return hasPauses && hasPauseForecast ? Math.min(mostPauseMilliseconds, reading) : 0;
--- a/packages/daisyturn/src/process/forwarding/placement/createStepEstimates.ts
+++ b/packages/daisyturn/src/process/forwarding/placement/createStepEstimates.ts
@@ -5,7 +5,7 @@
 import type { PrefillRates } from "../views/createPrefillRates.js";
 import type { SlowdownEstimates } from "../views/createSlowdownEstimates.js";
 import type { TargetLoads } from "../views/createTargetLoads.js";
-import { countTokens, type PlacedStep, type PromptDemand } from "./callPlacement.js";
+import { countTokens, type PlacedStep, type PromptRequirements } from "./callPlacement.js";
 import { estimatePrefill, estimateTransfer } from "./estimatePrefill.js";
 import { findLeast } from "./findLeast.js";
 import { findPrefixHolders, type PrefixHolder } from "./findPrefixHolders.js";
@@ -41,7 +41,7 @@
 /** Creates the estimates of one prompt at the engines of its service, from the views of one process. */
 export function createStepEstimates(
     { loads, caches, slowdowns, prefillRates, switchedOff }: StepEstimatesOptions,
-    demand: PromptDemand,
+    demand: PromptRequirements,
     engines: readonly ListedTarget[],
 ): StepEstimates {
     const { prompt, service } = demand;
--- a/packages/daisyturn/src/process/forwarding/placement/decidePrompt.ts
+++ b/packages/daisyturn/src/process/forwarding/placement/decidePrompt.ts
@@ -1,24 +1,24 @@
 import { Mechanism } from "../experiments/mechanism.js";
 import type { LongPrefillTimes } from "../limits/createLongPrefillTimes.js";
-import type { CallPlacement, PromptDemand, PromptWay } from "./callPlacement.js";
+import type { CallPlacement, PromptPlacement, PromptRequirements } from "./callPlacement.js";
 
 /** A prompt that asks for its way. */
 export interface DecisionRequest {
     readonly route: string;
-    readonly demand: PromptDemand;
+    readonly demand: PromptRequirements;
     /** Milliseconds until the caller leaves, unless its answer has begun by then. */
     readonly patience: number;
     /** Whether prompts as long as this one were served too seldom, as far as this process knows. */
-    readonly isOwed: () => boolean;
+    readonly isUnderserved: () => boolean;
     /** Whether the longest prompts of the route were served too seldom. */
-    readonly areLongestOwed: () => boolean;
+    readonly areLongestUnderserved: () => boolean;
 }
 
 /** Which way a prompt goes. */
 export interface PromptDecision {
-    readonly way: PromptWay;
+    readonly placement: PromptPlacement;
     /** Whether it goes among those that can be on time though it can't, since it is owed service. */
-    readonly isOwed: boolean;
+    readonly isUnderserved: boolean;
     /**
      * Milliseconds by which its answer, or while the longest prompts are owed service that of a long prompt in its place,
      * would begin after the caller has left; 0 or less if it begins before.
@@ -64,7 +64,7 @@
  */
 export function decidePrompt(
     { placement, longPrefillTimes, switchedOff }: DecisionParts,
-    { route, demand, patience, isOwed, areLongestOwed }: DecisionRequest,
+    { route, demand, patience, isUnderserved, areLongestUnderserved }: DecisionRequest,
 ): PromptDecision | undefined {
     const way = placement.placePrompt(demand);
     if (!way) {
@@ -73,20 +73,20 @@
     const reading = findReading(way);
     longPrefillTimes.record(route, reading);
     const isFair = !switchedOff.has(Mechanism.SizeFairness);
-    const latenessOf = ({ soonestEvent }: PromptWay) => soonestEvent - patience;
-    if ((way.isDeferred || latenessOf(way) > 0) && isFair && isOwed()) {
+    const latenessOf = ({ soonestEvent }: PromptPlacement) => soonestEvent - patience;
+    if ((way.isDeferred || latenessOf(way) > 0) && isFair && isUnderserved()) {
         const undeferred = placement.placePrompt({ ...demand, mayDefer: false });
         if (undeferred && latenessOf(undeferred) <= 0) {
-            return { way: undeferred, isOwed: true, lateness: latenessOf(undeferred) };
+            return { placement: undeferred, isUnderserved: true, lateness: latenessOf(undeferred) };
         }
     }
-    const reserve = way.isDeferred && isFair && areLongestOwed()
+    const reserve = way.isDeferred && isFair && areLongestUnderserved()
         ? Math.min(longPrefillTimes.find(route), patience * mostReserveFraction) - reading
         : 0;
-    return { way, isOwed: false, lateness: latenessOf(way) + Math.max(0, reserve) };
+    return { placement: way, isUnderserved: false, lateness: latenessOf(way) + Math.max(0, reserve) };
 }
 
 /** Milliseconds that the prompt is read for at an engine that nothing slows. */
-function findReading({ prefill, decode }: PromptWay): number {
+function findReading({ prefill, decode }: PromptPlacement): number {
     return (prefill ?? decode).leastWork;
 }
--- a/packages/daisyturn/src/process/routing/createRouter.ts
+++ b/packages/daisyturn/src/process/routing/createRouter.ts
@@ -15,7 +15,7 @@
 import { canServe, isComplete } from "./engineFilter.js";
 import { createOverdueWatch } from "./overdueWatch.js";
 import type { PlacementOption } from "./placementCost.js";
-import { listPlacementWays } from "./placementWays.js";
+import { listPlacementOptions } from "./placementOptions.js";
 import { type Placement, PlacementOutcome, type Router, type RoutingRequest } from "./router.js";
 
 /** What {@link createRouter} needs. */
@@ -33,7 +33,7 @@
 /** A router that can place a request ahead, for the admission. */
 export interface PlanningRouter extends Router {
     /** The cheapest way to serve the request now; none if no engine is open to it. */
-    findCheapestWay(request: RoutingRequest): PlacementOption | undefined;
+    findCheapestOption(request: RoutingRequest): PlacementOption | undefined;
     /**
      * Chooses among the ways that `hasRoom` allows, and counts the work from now on. `place` takes the reserved way if
      * it is still open. Undefined if no way is allowed.
@@ -113,7 +113,7 @@
     const pickWay = (request: RoutingRequest, pick: Pick): PickedWay | undefined => {
         const match = loadView.caches.match(request.promptBlocks);
         for (const engines of listTiers(request)) {
-            const ways = listPlacementWays(request, engines, match, transfer, options.random, clock.wallNow());
+            const ways = listPlacementOptions(request, engines, match, transfer, options.random, clock.wallNow());
             const option = pickOpen(ways, match, pick);
             if (option) {
                 return { option, match };
@@ -200,7 +200,7 @@
 
     return {
         place,
-        findCheapestWay: request => pickWay(expectOutput(request), findCheapest)?.option,
+        findCheapestOption: request => pickWay(expectOutput(request), findCheapest)?.option,
         reserve,
         cancelReservation,
         onPlaced: listener => listeners.push(listener),
--- a/packages/daisyturn/src/process/routing/placementWays.ts
+++ b/packages/daisyturn/src/process/routing/placementOptions.ts
@@ -17,7 +17,7 @@
 const fullPenalty = 10;
 
 /** Lists every way in which some engines could serve a request. */
-export function listPlacementWays(
+export function listPlacementOptions(
     request: RoutingRequest,
     engines: readonly EngineLoad[],
     match: CacheMatch,
--- a/packages/daisyturn/src/request/forwarding/admitPrompt.ts
+++ b/packages/daisyturn/src/request/forwarding/admitPrompt.ts
@@ -2,11 +2,11 @@
 import { err, ok, type Result } from "true-myth/result";
 import type { ForwardedCall, PromptDescription } from "../../ports/forwardedCall.js";
 import {
-    type AccountedPrompt,
     type DecisionRequest,
     Mechanism,
     type PromptDecision,
-    type PromptWay,
+    type PromptPlacement,
+    type TrackedPrompt,
 } from "../../process/forwarding/index.js";
 import { type CallRun, describeNoTarget } from "./callRun.js";
 import { findLeaveTime, type JudgedCall } from "./findLeaveTime.js";
@@ -24,7 +24,7 @@
 /** What one placement of a prompt goes by, beside the call itself. */
 export interface AdmissionTerms {
     readonly prompt: PromptDescription;
-    readonly account: AccountedPrompt;
+    readonly account: TrackedPrompt;
     /** Whether both parts have to be done by one engine. */
     readonly isWholeOnly: boolean;
     /** Whether the caller has had events already: then it is not refused by a forecast. */
@@ -40,13 +40,13 @@
     parts: AdmissionParts,
     run: AdmittedRun,
     terms: AdmissionTerms,
-): Promise<Result<PromptWay, Failure>> {
+): Promise<Result<PromptPlacement, Failure>> {
     const decision = await parts.decisions.decide(describeRequest(parts, run, terms));
     if (!decision) {
         return err(describeNoTarget(run, parts.clock));
     }
     recordPlacement(parts, run, decision);
-    const { way, lateness } = decision;
+    const { placement: way, lateness } = decision;
     if (lateness > 0 && !terms.hasBegun && !parts.switchedOff.has(Mechanism.RefusalByForecast)) {
         const retryAt = parts.clock.wallNow() + lateness;
         return err(notRun(FailureReason.DeadlineUnreachable, tooLateMessage, retryAt));
@@ -74,15 +74,15 @@
             availabilityZone: parts.availabilityZone,
         },
         patience: findLeaveTime(run) - now,
-        isOwed: account.isOwed,
-        areLongestOwed: account.areLongestOwed,
+        isUnderserved: account.isUnderserved,
+        areLongestUnderserved: account.areLongestUnderserved,
     };
 }
 
 function recordPlacement(
     { clock }: AdmissionParts,
     run: AdmittedRun,
-    { way, isOwed, decidedBy }: PromptDecision,
+    { placement: way, isUnderserved, decidedBy }: PromptDecision,
 ): void {
     const { prefill: reader, decode: decoder, firstEvent, soonestEvent, isDeferred } = way;
     const { arrivedAt } = run.call;
@@ -102,7 +102,7 @@
         firstEvent: Math.round(firstEvent),
         soonest: Math.round(soonestEvent),
         deferred: isDeferred,
-        owed: isOwed,
+        owed: isUnderserved,
         decidedBy,
     });
 }
--- a/packages/daisyturn/src/request/forwarding/runPromptCall.ts
+++ b/packages/daisyturn/src/request/forwarding/runPromptCall.ts
@@ -4,12 +4,12 @@
 import type { KvSource, PromptDescription } from "../../ports/forwardedCall.js";
 import { EngineStage, type ListedTarget } from "../../ports/listedTarget.js";
 import {
-    type AccountedPrompt,
     countTokens,
     measureSize,
     type PlacedStep,
-    type PromptWay,
+    type PromptPlacement,
     toUnsharedMilliseconds,
+    type TrackedPrompt,
 } from "../../process/forwarding/index.js";
 import { admitPrompt } from "./admitPrompt.js";
 import { type CallAnswer, concludeStream } from "./callAnswer.js";
@@ -50,7 +50,7 @@
     parts: ForwardingParts,
     run: CallRun,
     prompt: PromptDescription,
-    account: AccountedPrompt,
+    account: TrackedPrompt,
 ): Promise<Result<CallAnswer, Failure>> {
     const relay = createEventRelay(run.exchange);
     let prefills = 0;
@@ -88,7 +88,7 @@
     parts: ForwardingParts,
     run: CallRun,
     prompt: PromptDescription,
-    way: PromptWay,
+    way: PromptPlacement,
     relay: EventRelay,
 ): Promise<Result<CallAnswer, FailedStep>> {
     let kvSource: KvSource | undefined;
@@ -121,7 +121,7 @@
     parts: ForwardingParts,
     run: CallRun,
     prompt: PromptDescription,
-    way: PromptWay,
+    way: PromptPlacement,
     step: PlacedStep,
 ): Promise<Result<KvSource, Failure>> {
     const startedAt = parts.clock.monotonicNow();
@@ -148,7 +148,7 @@
     parts: ForwardingParts,
     run: CallRun,
     prompt: PromptDescription,
-    way: PromptWay,
+    way: PromptPlacement,
     kvSource: KvSource | undefined,
     relay: EventRelay,
 ): Promise<Result<CallAnswer, Failure>> {
@@ -230,7 +230,7 @@
 }
 
 /** Calls that will be late anyway go behind all that can still be on time. */
-function urgencyOf(run: CallRun, way: PromptWay): number {
+function urgencyOf(run: CallRun, way: PromptPlacement): number {
     const urgency = firstUrgency + Math.min(run.route.priority, mostPriorities - 1);
     return way.isDeferred ? urgency + mostPriorities : urgency;
 }
