--- a/packages/daisyturn-standins/src/measure/measureRoutingSpeed.ts
+++ b/packages/daisyturn-standins/src/measure/measureRoutingSpeed.ts
@@ -88,7 +88,7 @@
         decide(process, number);
         if (number % decisionsPerReport === 0) {
             takeReports(process);
-            process.loadView.exchange.tell();
+            process.loadView.exchange.publish();
         }
     }
 }
--- a/packages/daisyturn-standins/src/measure/policy/policyCell.ts
+++ b/packages/daisyturn-standins/src/measure/policy/policyCell.ts
@@ -147,7 +147,7 @@
         others: () => [],
         livePeers: () => others,
         hasEnded: () => false,
-        hearsMajority: () => true,
+        hasMajorityContact: () => true,
         onChange: () => undefined,
     };
 }
--- a/packages/daisyturn-standins/src/peers/runPeer.ts
+++ b/packages/daisyturn-standins/src/peers/runPeer.ts
@@ -48,7 +48,7 @@
     pauseLimitMilliseconds: 2 * Number(values.heartbeat),
 });
 const misjudgements = new Set<string>();
-membership.onMisjudged(misjudgement => misjudgements.add(misjudgement));
+membership.onFalselySuspected(misjudgement => misjudgements.add(misjudgement));
 
 function report(): PeerReport {
     collectGarbage();
--- a/packages/daisyturn/src/process/admission/accountLimits.ts
+++ b/packages/daisyturn/src/process/admission/accountLimits.ts
@@ -124,12 +124,12 @@
      * calls while most of the rate is unused.
      */
     const partOf = (record: AccountRecord, { requestsPerSecond }: CallerAccount, now: number) => {
-        if (!membership.hearsMajority()) {
+        if (!membership.hasMajorityContact()) {
             return 1 / (1 + countOthers(membership));
         }
         const own = record.demand.perSecond(now);
         const others = listLiveUses(record)
-            .reduce((sum, use) => sum + use.demand.perSecond(exchange.heardAt(use.processId, now)), 0);
+            .reduce((sum, use) => sum + use.demand.perSecond(exchange.lastReceivedAt(use.processId, now)), 0);
         if (own + others === 0) {
             return 1;
         }
@@ -155,7 +155,7 @@
 
     const hasFreeSlot = (record: AccountRecord, account: CallerAccount) => {
         const whole = account.concurrentRequests;
-        if (!membership.hearsMajority()) {
+        if (!membership.hasMajorityContact()) {
             return record.concurrent < Math.max(1, Math.floor(whole / (1 + countOthers(membership))));
         }
         const others = listLiveUses(record).reduce((sum, use) => sum + use.told.concurrent, 0);
--- a/packages/daisyturn/src/process/admission/partnerUse.ts
+++ b/packages/daisyturn/src/process/admission/partnerUse.ts
@@ -94,7 +94,7 @@
     const usedByPeersOf = (partner: string) => {
         const now = clock.monotonicNow();
         const rateOf = ([processId, record]: readonly [string, PeerRecord]) =>
-            record.rate.perSecond(exchange.heardAt(processId, now));
+            record.rate.perSecond(exchange.lastReceivedAt(processId, now));
         return listLive(partner).reduce((sum, entry) => sum + rateOf(entry), 0);
     };
 
--- a/packages/daisyturn/src/process/configuration/__fixtures__/configurationCell.ts
+++ b/packages/daisyturn/src/process/configuration/__fixtures__/configurationCell.ts
@@ -170,7 +170,7 @@
         others,
         livePeers,
         hasEnded: () => false,
-        hearsMajority: () => 2 * (livePeers().length + 1) > identities.size,
+        hasMajorityContact: () => 2 * (livePeers().length + 1) > identities.size,
         onChange: () => undefined,
     };
 }
--- a/packages/daisyturn/src/process/health/__tests__/createServiceGuard.test.ts
+++ b/packages/daisyturn/src/process/health/__tests__/createServiceGuard.test.ts
@@ -8,11 +8,11 @@
     const clock = new FakeClock();
     const ownClock = new PausableClock(clock);
     const eventLog = new MemoryEventLog();
-    const heard: { store?: number; majority?: number; isThoughtEnded: boolean; } = { isThoughtEnded: false };
+    const heard: { store?: number; majority?: number; isPresumedEnded: boolean; } = { isPresumedEnded: false };
     const guard = createServiceGuard({
         clock: ownClock,
         eventLog,
-        majority: { majorityHeardAt: () => heard.majority, isThoughtEnded: () => heard.isThoughtEnded },
+        majority: { majorityContactAt: () => heard.majority, isPresumedEnded: () => heard.isPresumedEnded },
         lastStoreAnswerAt: () => heard.store,
     });
     const changes: boolean[] = [];
@@ -83,9 +83,9 @@
 
     it("stays out of service once others have proof that this run has ended", async () => {
         const { clock, guard, heard } = createGuard();
-        heard.isThoughtEnded = true;
+        heard.isPresumedEnded = true;
         heard.store = 0;
         await clock.advance(1_000);
-        assert.equal(guard.reason(), OutOfServiceReason.ThoughtEnded);
+        assert.equal(guard.reason(), OutOfServiceReason.PresumedEnded);
     });
 });
--- a/packages/daisyturn/src/process/health/createServiceGuard.ts
+++ b/packages/daisyturn/src/process/health/createServiceGuard.ts
@@ -4,9 +4,9 @@
 /** What the guard needs to know of the other members. */
 export interface MajorityView {
     /** Latest time (monotonic) since which every member of some majority has been heard from; undefined if there is none. */
-    majorityHeardAt(): number | undefined;
+    majorityContactAt(): number | undefined;
     /** Whether others have proof that this run has ended. */
-    isThoughtEnded(): boolean;
+    isPresumedEnded(): boolean;
 }
 
 /** Settings of the guard. */
@@ -45,7 +45,7 @@
     /** Paused, and nothing heard since. */
     Paused = "paused",
     /** Others have proof that this run has ended; only a restart helps. */
-    ThoughtEnded = "thought_ended",
+    PresumedEnded = "thought_ended",
 }
 
 /** Keeps a process that may be out of date from taking new work. */
@@ -87,14 +87,14 @@
 
     /** When the store or a majority was last heard. */
     const readHeardAt = (): number | undefined => {
-        const times = [lastStoreAnswerAt(), majority.majorityHeardAt()].filter(time => time !== undefined);
+        const times = [lastStoreAnswerAt(), majority.majorityContactAt()].filter(time => time !== undefined);
         return times.length > 0 ? Math.max(...times) : undefined;
     };
 
     const findReason = (now: number): OutOfServiceReason | undefined => {
         const heardAt = readHeardAt();
-        if (majority.isThoughtEnded()) {
-            return OutOfServiceReason.ThoughtEnded;
+        if (majority.isPresumedEnded()) {
+            return OutOfServiceReason.PresumedEnded;
         }
         if (heardAt === undefined) {
             return OutOfServiceReason.Starting;
--- a/packages/daisyturn/src/process/load/peerInflow.ts
+++ b/packages/daisyturn/src/process/load/peerInflow.ts
@@ -30,7 +30,7 @@
 
     const untoldBy = (processId: string, now: number) => {
         const rate = rates.get(processId);
-        const silence = Math.min(longestGuessMilliseconds, now - exchange.heardAt(processId, now));
+        const silence = Math.min(longestGuessMilliseconds, now - exchange.lastReceivedAt(processId, now));
         return rate ? rate.perSecond(now) / 1_000 * silence : 0;
     };
 
--- a/packages/daisyturn/src/process/membership/__tests__/createMembership.test.ts
+++ b/packages/daisyturn/src/process/membership/__tests__/createMembership.test.ts
@@ -4,7 +4,7 @@
 import { createFakeIdentity } from "../../../__fixtures__/fakePeerNetwork.js";
 import { MemberState, PeerMethod } from "../../peers/index.js";
 import { type CellProcess, createFakeCell } from "../__fixtures__/cells.js";
-import { Misjudgement } from "../heartbeatMessage.js";
+import { FalseSuspicion } from "../heartbeatMessage.js";
 
 function liveIds(process: CellProcess): string[] {
     return process.membership.livePeers().map(peer => peer.processId).sort();
@@ -23,7 +23,7 @@
         const { p1, p5 } = await createCellOfFive();
         assert.deepEqual(liveIds(p1), ["p2", "p3", "p4", "p5"]);
         assert.deepEqual(liveIds(p5), ["p1", "p2", "p3", "p4"]);
-        assert.ok(p5.membership.hearsMajority());
+        assert.ok(p5.membership.hasMajorityContact());
     });
 
     it("suspects a killed process, then takes it for dead, but not for ended without proof", async () => {
@@ -89,18 +89,18 @@
             ["p3", "p4", "p5"].forEach(other => networks.cutBoth(one, other));
         }
         await clock.advance(10_000);
-        assert.deepEqual([liveIds(p1), p1.membership.hearsMajority()], [["p2"], false]);
-        assert.deepEqual([liveIds(p3), p3.membership.hearsMajority()], [["p4", "p5"], true]);
+        assert.deepEqual([liveIds(p1), p1.membership.hasMajorityContact()], [["p2"], false]);
+        assert.deepEqual([liveIds(p3), p3.membership.hasMajorityContact()], [["p4", "p5"], true]);
         networks.healAll();
         await clock.advance(3_000);
         assert.deepEqual([liveIds(p1).length, liveIds(p3).length], [4, 4]);
-        assert.ok(p1.membership.hearsMajority());
+        assert.ok(p1.membership.hasMajorityContact());
     });
 
     it("blames nobody for its own pause, and learns that it was taken for dead", async () => {
         const { clock, networks, p1, p2 } = await createCellOfFive();
-        const misjudgements = new Set<Misjudgement>();
-        p2.membership.onMisjudged(misjudgement => misjudgements.add(misjudgement));
+        const misjudgements = new Set<FalseSuspicion>();
+        p2.membership.onFalselySuspected(misjudgement => misjudgements.add(misjudgement));
         p2.clock.pause();
         networks.isolate("p2");
         await clock.advance(60_000);
@@ -109,9 +109,9 @@
         p2.clock.resume();
         await clock.advance(3_000);
         assert.equal(p1.stateOf("p2"), MemberState.Alive);
-        assert.deepEqual([...misjudgements], [Misjudgement.Dead]);
+        assert.deepEqual([...misjudgements], [FalseSuspicion.Dead]);
         assert.equal(p2.eventLog.of(EventKind.PeerSuspect).length, 0);
-        assert.equal(p2.membership.isThoughtEnded(), false);
+        assert.equal(p2.membership.isPresumedEnded(), false);
     });
 
     it("tells a run that was proved to have ended, so that it stops acting", async () => {
@@ -122,7 +122,7 @@
         assert.ok(p1.membership.hasEnded(p2.identity));
         networks.healAll();
         await clock.advance(3_000);
-        assert.ok(p2.membership.isThoughtEnded());
+        assert.ok(p2.membership.isPresumedEnded());
         assert.notEqual(p1.stateOf("p2"), MemberState.Alive);
     });
 
@@ -146,7 +146,7 @@
         await clock.advance(60_000);
         const member = p1.membership.others().find(other => other.identity.processId === "p2");
         assert.deepEqual(member, { identity: later.identity, state: MemberState.Alive });
-        assert.equal(later.membership.isThoughtEnded(), false);
+        assert.equal(later.membership.isPresumedEnded(), false);
     });
 
     it("takes a leave as proof, passes it on, and lets the process return", async () => {
@@ -186,10 +186,10 @@
         const { clock, vmList, start } = createFakeCell();
         const lonely = start(createFakeIdentity("p1"), { seeds: ["p1:1", "p2:1", "p3:1"] });
         await clock.advance(60_000);
-        assert.equal(lonely.membership.hearsMajority(), false);
+        assert.equal(lonely.membership.hasMajorityContact(), false);
         vmList.show("p1");
         await clock.advance(10_000);
-        assert.equal(lonely.membership.hearsMajority(), true);
+        assert.equal(lonely.membership.hasMajorityContact(), true);
     });
 
     it("finds members through the VM list", async () => {
--- a/packages/daisyturn/src/process/membership/createHeartbeats.ts
+++ b/packages/daisyturn/src/process/membership/createHeartbeats.ts
@@ -4,15 +4,15 @@
 import type { MemberRecord, MemberTable } from "./createMemberTable.js";
 import {
     EndProof,
+    FalseSuspicion,
     type HeartbeatMessage,
     heartbeatSchema,
     type MemberEntry,
-    Misjudgement,
 } from "./heartbeatMessage.js";
 import type { MembershipTiming } from "./membershipTiming.js";
 
 /** Told that others have misjudged this process, for instance while it was paused. */
-export type MisjudgementListener = (misjudgement: Misjudgement, by: ProcessIdentity) => void;
+export type FalseSuspicionListener = (misjudgement: FalseSuspicion, by: ProcessIdentity) => void;
 
 export interface HeartbeatsOptions {
     readonly network: PeerNetwork;
@@ -28,15 +28,15 @@
 export interface Heartbeats {
     send(record: MemberRecord): void;
     take(from: ProcessIdentity, parameters: JsonObject): void;
-    isThoughtEnded(): boolean;
-    onMisjudged(listener: MisjudgementListener): void;
+    isPresumedEnded(): boolean;
+    onFalselySuspected(listener: FalseSuspicionListener): void;
 }
 
 export function createHeartbeats(options: HeartbeatsOptions): Heartbeats {
     const { network, table, directory, digests, clock, timing, eventLog } = options;
-    const misjudgedListeners: MisjudgementListener[] = [];
+    const misjudgedListeners: FalseSuspicionListener[] = [];
     let membersToldAt = Number.NEGATIVE_INFINITY;
-    let isThoughtEnded = false;
+    let isPresumedEnded = false;
 
     const send = (record: MemberRecord) => {
         const { processId, incarnation } = record.identity;
@@ -72,23 +72,23 @@
         }
         message?.members?.forEach(entry => takeEntry(entry, from));
         record.viewDiffers = message?.view !== table.view();
-        digests.take(from, (message?.digests ?? {}) as Record<string, JsonObject>);
+        digests.receive(from, (message?.digests ?? {}) as Record<string, JsonObject>);
     };
 
     /** A run that is proved to have ended and still speaks must learn that others may act in its place. */
     const tellEnded = (from: ProcessIdentity) => {
         if (directory.hasEnded(from) && table.find(from.processId)?.state !== MemberState.Left) {
-            const misjudged = { incarnation: from.incarnation, as: Misjudgement.Ended };
+            const misjudged = { incarnation: from.incarnation, as: FalseSuspicion.Ended };
             const message: HeartbeatMessage = { view: table.view(), misjudged };
             network.notify(from.processId, PeerMethod.Heartbeat, toJson(message));
         }
     };
 
-    const takeMisjudgement = (misjudgement: Misjudgement, from: ProcessIdentity) => {
-        if (misjudgement === Misjudgement.Ended && isThoughtEnded) {
+    const takeMisjudgement = (misjudgement: FalseSuspicion, from: ProcessIdentity) => {
+        if (misjudgement === FalseSuspicion.Ended && isPresumedEnded) {
             return;
         }
-        isThoughtEnded ||= misjudgement === Misjudgement.Ended;
+        isPresumedEnded ||= misjudgement === FalseSuspicion.Ended;
         eventLog.record(EventKind.Misjudged, { peer: from.processId, reason: misjudgement });
         misjudgedListeners.forEach(listener => listener(misjudgement, from));
     };
@@ -108,14 +108,14 @@
     const takeEntryOnSelf = (identity: ProcessIdentity, ended: EndProof | undefined, from: ProcessIdentity) => {
         const { incarnation } = network.self;
         if (identity.incarnation > incarnation || ended && identity.incarnation === incarnation) {
-            takeMisjudgement(Misjudgement.Ended, from);
+            takeMisjudgement(FalseSuspicion.Ended, from);
         }
     };
 
     return {
         send,
         take,
-        isThoughtEnded: () => isThoughtEnded,
-        onMisjudged: listener => void misjudgedListeners.push(listener),
+        isPresumedEnded: () => isPresumedEnded,
+        onFalselySuspected: listener => void misjudgedListeners.push(listener),
     };
 }
--- a/packages/daisyturn/src/process/membership/createMemberTable.ts
+++ b/packages/daisyturn/src/process/membership/createMemberTable.ts
@@ -1,6 +1,6 @@
 import { type Clock, EventKind, type EventLog, hashText } from "daisyturn-utils";
 import { type Member, MemberState, type ProcessIdentity } from "../peers/index.js";
-import { EndProof, type MemberEntry, Misjudgement } from "./heartbeatMessage.js";
+import { EndProof, FalseSuspicion, type MemberEntry } from "./heartbeatMessage.js";
 import type { MembershipTiming } from "./membershipTiming.js";
 
 /** What this process knows of another; all times are monotonic. */
@@ -18,7 +18,7 @@
     /** When another process last said that it hears from the member. */
     vouchedAt: number | undefined;
     /** To be told with the next heartbeat. */
-    misjudgement: Misjudgement | undefined;
+    misjudgement: FalseSuspicion | undefined;
     /** Whether its last heartbeat showed other members than this process knows of. */
     viewDiffers: boolean;
     /** When the run was proved to have ended. */
@@ -162,15 +162,15 @@
     return `${identity.processId}/${identity.incarnation}`;
 }
 
-function chooseMisjudgement(record: MemberRecord): Misjudgement | undefined {
+function chooseMisjudgement(record: MemberRecord): FalseSuspicion | undefined {
     if (record.lastHeardAt === undefined) {
         return undefined;
     }
     switch (record.state) {
         case MemberState.Dead:
-            return Misjudgement.Dead;
+            return FalseSuspicion.Dead;
         case MemberState.Suspect:
-            return Misjudgement.Suspect;
+            return FalseSuspicion.Suspect;
         default:
             return undefined;
     }
--- a/packages/daisyturn/src/process/membership/createMembership.ts
+++ b/packages/daisyturn/src/process/membership/createMembership.ts
@@ -10,7 +10,7 @@
     PeerMethod,
     type ProcessIdentity,
 } from "../peers/index.js";
-import { createHeartbeats, type MisjudgementListener } from "./createHeartbeats.js";
+import { createHeartbeats, type FalseSuspicionListener } from "./createHeartbeats.js";
 import { createMemberDirectory } from "./createMemberDirectory.js";
 import { createMemberTable, type MemberRecord } from "./createMemberTable.js";
 import { createSeedList } from "./createSeedList.js";
@@ -42,10 +42,10 @@
      */
     run(signal: AbortSignal): Promise<void>;
     /** Latest time (monotonic) since which every member of some majority has been heard from; undefined if there is none. */
-    majorityHeardAt(): number | undefined;
+    majorityContactAt(): number | undefined;
     /** Whether another process has proof that this run has ended. Then it must not act any more, only stop. */
-    isThoughtEnded(): boolean;
-    onMisjudged(listener: MisjudgementListener): void;
+    isPresumedEnded(): boolean;
+    onFalselySuspected(listener: FalseSuspicionListener): void;
 }
 
 const defaultHeartbeatInterval = 1_000;
@@ -128,7 +128,7 @@
         table.present().forEach(record => network.notify(record.identity.processId, PeerMethod.Leave, {}));
     };
 
-    const majorityHeardAt = (): number | undefined => {
+    const majorityContactAt = (): number | undefined => {
         const known = table.present();
         const othersNeeded = Math.floor((known.length + seedList.countMissing() + 1) / 2);
         const heard = known.map(record => record.lastHeardAt).filter(at => at !== undefined);
@@ -136,8 +136,8 @@
         return othersNeeded === 0 ? clock.monotonicNow() : heard[othersNeeded - 1];
     };
 
-    const hearsMajority = () => {
-        const heardAt = majorityHeardAt();
+    const hasMajorityContact = () => {
+        const heardAt = majorityContactAt();
         return heardAt !== undefined && clock.monotonicNow() - heardAt <= timing.suspectLimit;
     };
 
@@ -157,11 +157,11 @@
         livePeers: () =>
             table.present().filter(record => record.state === MemberState.Alive).map(record => record.identity),
         hasEnded: directory.hasEnded,
-        hearsMajority,
-        majorityHeardAt,
-        isThoughtEnded: heartbeats.isThoughtEnded,
+        hasMajorityContact,
+        majorityContactAt,
+        isPresumedEnded: heartbeats.isPresumedEnded,
         onChange: table.onChange,
-        onMisjudged: heartbeats.onMisjudged,
+        onFalselySuspected: heartbeats.onFalselySuspected,
         contributeDigest: digests.contributeDigest,
         onDigest: digests.onDigest,
     };
--- a/packages/daisyturn/src/process/membership/heartbeatMessage.ts
+++ b/packages/daisyturn/src/process/membership/heartbeatMessage.ts
@@ -12,7 +12,7 @@
 }
 
 /** What the sender of a heartbeat thought of the receiver until it heard from it again. */
-export enum Misjudgement {
+export enum FalseSuspicion {
     Suspect = "suspect",
     Dead = "dead",
     /** The sender has proof that this run has ended and stays with it. */
@@ -36,7 +36,7 @@
     /** All members, sent when the views differ. */
     members: z.array(memberEntrySchema).max(maximumMembersPerMessage).optional(),
     /** Names the run, because a message for an earlier run may reach a later one under the same process id. */
-    misjudged: z.object({ incarnation: z.string(), as: z.enum(Misjudgement) }).optional(),
+    misjudged: z.object({ incarnation: z.string(), as: z.enum(FalseSuspicion) }).optional(),
     /** Contributions of other modules by name; only those that changed. */
     digests: z.record(z.string(), z.record(z.string(), z.unknown())).optional(),
 });
--- a/packages/daisyturn/src/process/orders/__fixtures__/worldProcess.ts
+++ b/packages/daisyturn/src/process/orders/__fixtures__/worldProcess.ts
@@ -153,7 +153,7 @@
         others: () => others().map(one => ({ identity: one.identity, state: MemberState.Alive })),
         livePeers: () => others().filter(one => !one.host.isDead() && !one.host.isPaused()).map(one => one.identity),
         hasEnded: identity => world.ended.has(identity.incarnation),
-        hearsMajority: () => true,
+        hasMajorityContact: () => true,
         onChange: () => undefined,
     };
 }
--- a/packages/daisyturn/src/process/peers/alone.ts
+++ b/packages/daisyturn/src/process/peers/alone.ts
@@ -7,7 +7,7 @@
     others: () => [],
     livePeers: () => [],
     hasEnded: () => false,
-    hearsMajority: () => true,
+    hasMajorityContact: () => true,
     onChange: () => undefined,
 };
 
--- a/packages/daisyturn/src/process/peers/createDigestExchange.ts
+++ b/packages/daisyturn/src/process/peers/createDigestExchange.ts
@@ -21,7 +21,7 @@
     collectFor(processId: string): Record<string, JsonObject> | undefined;
     /** Forgets what a peer has: it gets everything again. */
     forget(processId: string): void;
-    take(from: ProcessIdentity, digests: Readonly<Record<string, JsonObject>>): void;
+    receive(from: ProcessIdentity, digests: Readonly<Record<string, JsonObject>>): void;
 }
 
 /** Longest digest of one module, as JSON text. */
@@ -86,7 +86,7 @@
         onDigest: (name, handler) => void handlers.set(name, handler),
         collectFor,
         forget: processId => void sentTo.delete(processId),
-        take: (from, digests) => {
+        receive: (from, digests) => {
             Object.entries(digests).forEach(([name, digest]) => handlers.get(name)?.(from, digest));
         },
     };
--- a/packages/daisyturn/src/process/peers/loadExchange.ts
+++ b/packages/daisyturn/src/process/peers/loadExchange.ts
@@ -30,9 +30,9 @@
      * Monotonic time of a process's last round that arrived; `now` before the first. What is remembered of a peer is
      * to be taken at this time: it must not fade while it is unknown whether the peer has ended or is only cut off.
      */
-    heardAt(processId: string, now: number): number;
+    lastReceivedAt(processId: string, now: number): number;
     /** Sends one round now. */
-    tell(): void;
+    publish(): void;
     /** Sends rounds until `signal` is aborted. */
     run(signal: AbortSignal): Promise<void>;
 }
@@ -85,7 +85,7 @@
         return isEmpty ? undefined : { round, incarnation: network.self.incarnation, sections };
     };
 
-    const tell = () => {
+    const publish = () => {
         const message = collect();
         if (!message) {
             return;
@@ -119,7 +119,7 @@
     const run = async (signal: AbortSignal) => {
         for (let interval = 0; !signal.aborted; interval++) {
             if (interval % intervalsPerFullRound === 0 || [...parts.values()].some(part => part.isUrgent?.())) {
-                tell();
+                publish();
             }
             await clock.sleepUntil(clock.monotonicNow() + options.exchangeIntervalMilliseconds, signal);
         }
@@ -130,8 +130,8 @@
         register: part => {
             parts.set(part.section, part);
         },
-        heardAt: (processId, now) => heard.get(processId)?.at ?? now,
-        tell,
+        lastReceivedAt: (processId, now) => heard.get(processId)?.at ?? now,
+        publish,
         run,
     };
 }
--- a/packages/daisyturn/src/process/peers/peerNetwork.ts
+++ b/packages/daisyturn/src/process/peers/peerNetwork.ts
@@ -78,6 +78,6 @@
     /** Whether that run of the process is proved to have ended: a newer incarnation, its own leave, or the VM list. */
     hasEnded(identity: ProcessIdentity): boolean;
     /** Whether a majority of the known members, this one included, is heard from. */
-    hearsMajority(): boolean;
+    hasMajorityContact(): boolean;
     onChange(listener: (member: Member) => void): void;
 }
--- a/packages/daisyturn/src/process/routing/__fixtures__/createDecisionBench.ts
+++ b/packages/daisyturn/src/process/routing/__fixtures__/createDecisionBench.ts
@@ -159,7 +159,7 @@
         others: () => [],
         livePeers: () => others.filter(other => !dead.has(other.processId)),
         hasEnded: identity => dead.has(identity.processId),
-        hearsMajority() {
+        hasMajorityContact() {
             return this.majority;
         },
         onChange: () => undefined,
--- a/packages/daisyturn/src/request/__fixtures__/claimWorld.ts
+++ b/packages/daisyturn/src/request/__fixtures__/claimWorld.ts
@@ -176,7 +176,7 @@
                 others: () => [],
                 livePeers: () => [],
                 hasEnded: other => schedule.isGivenUp(other.processId),
-                hearsMajority: () => true,
+                hasMajorityContact: () => true,
                 onChange: () => undefined,
             },
             clock: process.scheduled.clock,
--- a/packages/daisyturn/src/request/__fixtures__/createClaimBench.ts
+++ b/packages/daisyturn/src/request/__fixtures__/createClaimBench.ts
@@ -123,7 +123,7 @@
         others: () => [],
         livePeers: () => [],
         hasEnded: identity => ended.has(identity.incarnation),
-        hearsMajority: () => true,
+        hasMajorityContact: () => true,
         onChange: () => undefined,
     };
 }
