--- a/packages/daisyturn-daemon/src/forwarding/createForwardingProcess.ts
+++ b/packages/daisyturn-daemon/src/forwarding/createForwardingProcess.ts
@@ -13,8 +13,6 @@
     createForwardServer,
     createOverloadGuard,
     decidePrompt,
-    followTable,
-    type FollowTiming,
     LocalDecisions,
     Mechanism,
     NoForwardingMetrics,
@@ -22,7 +20,9 @@
     type RegisteredPeer,
     reportSizeCounts,
     serveForwardedCall,
-    type TableFollower,
+    type TableObserver,
+    watchTable,
+    type WatchTiming,
 } from "daisyturn/forwarding";
 import { randomBytes, randomInt } from "node:crypto";
 import { setMaxListeners } from "node:events";
@@ -141,7 +141,7 @@
     const follow = () => {
         const ownWait = () => Math.max(shortestFeedWait, settings.contactMilliseconds - feedMarginMilliseconds);
         const readerWait = () => Math.max(shortestFeedWait, heedMilliseconds() * readerWaitFraction);
-        const timing: FollowTiming = {
+        const timing: WatchTiming = {
             waitMilliseconds: () => Math.min(ownWait(), coordination.isReader() ? readerWait() : Infinity),
             mergeMilliseconds: settings.drainMilliseconds * mergeFraction,
             rereadDelayMilliseconds: () => random.fraction() * rollbackJitterMilliseconds,
@@ -151,11 +151,11 @@
             await clock.sleepUntil(refreshAt, background.signal);
             coordination.refreshEntry();
         };
-        const follow = (name: string, feed: ChangeFeed, follower: TableFollower) =>
-            followTable({
+        const follow = (name: string, feed: ChangeFeed, follower: TableObserver) =>
+            watchTable({
                 name,
                 feed,
-                follower,
+                observer: follower,
                 timing,
                 clock,
                 eventLog,
--- a/packages/daisyturn/src/ports/http/operation.ts
+++ b/packages/daisyturn/src/ports/http/operation.ts
@@ -16,7 +16,7 @@
     cause(): StopCause | undefined;
     stop(cause: StopCause): void;
     /** Notes that the target was heard. */
-    heard(): void;
+    recordActivity(): void;
     /** Ends the timers; the signal stays as it is. */
     end(): void;
 }
@@ -73,7 +73,7 @@
         signal: stopper.signal,
         cause: () => stopCause,
         stop,
-        heard: () => {
+        recordActivity: () => {
             lastHeardAt = clock.monotonicNow();
         },
         end: () => {
--- a/packages/daisyturn/src/ports/http/readEngineStream.ts
+++ b/packages/daisyturn/src/ports/http/readEngineStream.ts
@@ -60,7 +60,7 @@
 async function* limitBytes(body: OpenedAnswer["body"], options: EngineStreamOptions): AsyncGenerator<Buffer> {
     let byteCount = 0;
     for await (const chunk of body as AsyncIterable<Buffer>) {
-        options.operation.heard();
+        options.operation.recordActivity();
         byteCount += chunk.length;
         if (byteCount > options.maxAnswerBytes) {
             throw new AnswerTooLargeError();
--- a/packages/daisyturn/src/ports/http/targetHttpClient.ts
+++ b/packages/daisyturn/src/ports/http/targetHttpClient.ts
@@ -63,7 +63,7 @@
                 signal: operation.signal,
                 opaque: progress,
             });
-            operation.heard();
+            operation.recordActivity();
             return Result.ok({ status: answer.statusCode, headers: answer.headers, body: answer.body });
         }
         catch (error) {
@@ -121,7 +121,7 @@
     let byteCount = 0;
     try {
         for await (const chunk of answer.body as AsyncIterable<Buffer>) {
-            operation.heard();
+            operation.recordActivity();
             byteCount += chunk.length;
             if (byteCount > maxBytes) {
                 return Result.err(mayHaveRun(FailureReason.BodyTooLarge, `The answer exceeds ${maxBytes} bytes.`));
--- a/packages/daisyturn/src/ports/listedTarget.ts
+++ b/packages/daisyturn/src/ports/listedTarget.ts
@@ -14,7 +14,7 @@
     /** The target's own name, which calls and orders carry and which it may keep over a restart. */
     readonly name: string;
     /** Wall time of its start, in milliseconds; absent where the target does not say. */
-    readonly bornAt?: number;
+    readonly startedAt?: number;
     readonly service: string;
     /** IP number and port. */
     readonly address: string;
--- a/packages/daisyturn/src/process/forwarding/coordination/__tests__/relayedTables.test.ts
+++ b/packages/daisyturn/src/process/forwarding/coordination/__tests__/relayedTables.test.ts
@@ -4,7 +4,7 @@
 import { err, ok, type Result } from "true-myth/result";
 import { ChangeFeed, type FeedPage, type FeedRow } from "../../../../ports/changeFeed.js";
 import type { StorePosition } from "../../../../ports/storePosition.js";
-import { followTable } from "../../targets/followTable.js";
+import { watchTable } from "../../targets/watchTable.js";
 import { createRelayedTables } from "../createRelayedTables.js";
 import { createTableReader } from "../createTableReader.js";
 
@@ -89,10 +89,10 @@
     const taken: string[] = [];
     const eventLog = new MemoryEventLog();
     const follow = (name: string, taking: string[], more: object) =>
-        void followTable({
+        void watchTable({
             name: "t",
             feed: store.feedFor(name),
-            follower: {
+            observer: {
                 replace: rows => rows.forEach(row => taking.push(`${row.key}=${row.text}`)),
                 change: (rows, failedAt) =>
                     rows.forEach(row =>
--- a/packages/daisyturn/src/process/forwarding/index.ts
+++ b/packages/daisyturn/src/process/forwarding/index.ts
@@ -29,7 +29,7 @@
 export * from "./targets/createForwardingConfigurationManager.js";
 export * from "./targets/createTargetHealth.js";
 export * from "./targets/createTargetList.js";
-export * from "./targets/followTable.js";
+export * from "./targets/watchTable.js";
 export * from "./views/createCacheEstimates.js";
 export * from "./views/createEventIntervals.js";
 export * from "./views/createPrefillDemand.js";
--- a/packages/daisyturn/src/process/forwarding/targets/__tests__/createTargetList.test.ts
+++ b/packages/daisyturn/src/process/forwarding/targets/__tests__/createTargetList.test.ts
@@ -14,11 +14,11 @@
     return { clock, eventLog, list, gone };
 }
 
-function row(name: string, isLeaving = false, bornAt?: number): FeedRow {
+function row(name: string, isLeaving = false, startedAt?: number): FeedRow {
     const target: ListedTarget = {
-        targetId: bornAt === undefined ? name : `${name}@${bornAt}`,
+        targetId: startedAt === undefined ? name : `${name}@${startedAt}`,
         name,
-        bornAt,
+        startedAt,
         service: "s",
         address: "10.0.0.1:80",
         availabilityZone: "z",
--- a/packages/daisyturn/src/process/forwarding/targets/__tests__/followTable.test.ts
+++ b/packages/daisyturn/src/process/forwarding/targets/__tests__/watchTable.test.ts
@@ -4,7 +4,7 @@
 import { err, ok, type Result } from "true-myth/result";
 import { ChangeFeed, type FeedPage, type FeedRow } from "../../../../ports/changeFeed.js";
 import type { StorePosition } from "../../../../ports/storePosition.js";
-import { followTable } from "../followTable.js";
+import { watchTable } from "../watchTable.js";
 
 const failure = mayHaveRun(FailureReason.StoreUnavailable, "away");
 
@@ -57,10 +57,10 @@
     const taken: string[] = [];
     const describe = (rows: readonly FeedRow[]) => rows.map(row => row.key).join(",");
     const stop = new AbortController();
-    const done = followTable({
+    const done = watchTable({
         name: "table",
         feed,
-        follower: {
+        observer: {
             replace: (rows, isAfterRollback) =>
                 void taken.push(`${isAfterRollback ? "restored" : "all"} ${describe(rows)}`),
             change: rows => void taken.push(`change ${describe(rows)}`),
--- a/packages/daisyturn/src/process/forwarding/targets/createForwardingConfigurationManager.ts
+++ b/packages/daisyturn/src/process/forwarding/targets/createForwardingConfigurationManager.ts
@@ -2,10 +2,10 @@
 import type { FeedRow } from "../../../ports/changeFeed.js";
 import { createRouteTable, type RouteTable } from "../../../version/forwarding/createRouteTable.js";
 import type { ForwardingConfiguration } from "../../../version/forwarding/forwardingConfiguration.js";
-import type { TableFollower } from "./followTable.js";
+import type { TableObserver } from "./watchTable.js";
 
 /** Keeps the newest configuration that the operators have published. */
-export interface ForwardingConfigurationManager extends TableFollower {
+export interface ForwardingConfigurationManager extends TableObserver {
     current(): RouteTable | undefined;
     /** Called each time another version is put in force. */
     onChanged(listener: (table: RouteTable) => void): void;
--- a/packages/daisyturn/src/process/forwarding/targets/createTargetList.ts
+++ b/packages/daisyturn/src/process/forwarding/targets/createTargetList.ts
@@ -1,10 +1,10 @@
 import { type Clock, EventKind, type EventLog } from "daisyturn-utils";
 import type { FeedRow } from "../../../ports/changeFeed.js";
 import type { ListedTarget } from "../../../ports/listedTarget.js";
-import type { TableFollower } from "./followTable.js";
+import type { TableObserver } from "./watchTable.js";
 
 /** The targets that the platform lists, as this process last saw them. */
-export interface TargetList extends TableFollower {
+export interface TargetList extends TableObserver {
     /** Targets of a service that take new work. */
     open(service: string): readonly ListedTarget[];
     /** Whether new work may still go to a target; asked again right before each send. */
@@ -100,7 +100,7 @@
     const take = (key: string, target: ListedTarget, isAfterRollback: boolean) => {
         unreadable.delete(key);
         const known = entries.get(key);
-        if (known && (known.bornAt ?? 0) > (target.bornAt ?? 0)) {
+        if (known && (known.startedAt ?? 0) > (target.startedAt ?? 0)) {
             // A late entry of the start before: it must not bring back what has ended.
             return;
         }
--- a/packages/daisyturn/src/process/forwarding/targets/followTable.ts
+++ b/packages/daisyturn/src/process/forwarding/targets/watchTable.ts
@@ -6,7 +6,7 @@
 import type { TableReader } from "../coordination/createTableReader.js";
 
 /** Takes what a followed table says. */
-export interface TableFollower {
+export interface TableObserver {
     /**
      * All rows as of one moment: what is missing is gone.
      * @param isAfterRollback whether the store has lost recent writes, so that rows may be older than the known ones
@@ -21,7 +21,7 @@
 }
 
 /** How a table is followed. Times are in milliseconds. */
-export interface FollowTiming {
+export interface WatchTiming {
     /**
      * How long one call waits for a change. It bounds how long a connection that has fallen silent stays unnoticed,
      * and each call has a price.
@@ -33,12 +33,12 @@
     readonly rereadDelayMilliseconds?: () => number;
 }
 
-/** What {@link followTable} needs. */
-export interface FollowTableOptions {
+/** What {@link watchTable} needs. */
+export interface WatchTableOptions {
     readonly name: string;
     readonly feed: ChangeFeed;
-    readonly follower: TableFollower;
-    readonly timing: FollowTiming;
+    readonly observer: TableObserver;
+    readonly timing: WatchTiming;
     readonly clock: Clock;
     readonly eventLog: EventLog;
     /** Told of each answer and each failure of the store, with the time the call took beyond its wait. */
@@ -66,8 +66,8 @@
 }
 
 /** Follows one table until the signal is aborted: reads it whole, then takes its changes, and anew after a loss. */
-export async function followTable(options: FollowTableOptions, signal: AbortSignal): Promise<void> {
-    const { feed, follower, timing, clock } = options;
+export async function watchTable(options: WatchTableOptions, signal: AbortSignal): Promise<void> {
+    const { feed, observer, timing, clock } = options;
     let position: StorePosition | undefined;
     let era: number | undefined;
     let rollback: Rollback | undefined;
@@ -82,7 +82,7 @@
     };
 
     const replaceRows = (page: FeedPage) => {
-        follower.replace(page.rows, rollback !== undefined);
+        observer.replace(page.rows, rollback !== undefined);
         if (rollback) {
             options.eventLog.record(EventKind.StoreRolledBack, {
                 table: options.name,
@@ -117,7 +117,7 @@
             replaceRows(page);
         }
         else if (page.rows.length > 0) {
-            follower.change(page.rows, page.storeFailedAt);
+            observer.change(page.rows, page.storeFailedAt);
         }
         return page.rows.length > 0 ? timing.mergeMilliseconds : 0;
     };
--- a/packages/daisyturn/src/process/store/judgeOutcome.ts
+++ b/packages/daisyturn/src/process/store/determineOutcome.ts
@@ -46,7 +46,7 @@
  * - All else stays unknown: the rows may have been overwritten since by somebody who saw the commit.
  * @param rows the rows under `evidenceKeys` as of one moment, after an answer to the last try; absent ones are left out
  */
-export function judgeOutcome(transaction: Transaction, rows: readonly Row[]): TransactionAnswer {
+export function determineOutcome(transaction: Transaction, rows: readonly Row[]): TransactionAnswer {
     const ownRow = findOwnRow(transaction, rows);
     if (ownRow) {
         return { outcome: TransactionOutcome.Committed, version: ownRow.version };
--- a/packages/daisyturn/src/process/store/settleTransaction.ts
+++ b/packages/daisyturn/src/process/store/settleTransaction.ts
@@ -8,7 +8,7 @@
     type TransactionAnswer,
     TransactionOutcome,
 } from "../../ports/tableService.js";
-import { canRepeat, evidenceKeys, findOwnRow, judgeOutcome } from "./judgeOutcome.js";
+import { canRepeat, determineOutcome, evidenceKeys, findOwnRow } from "./determineOutcome.js";
 import { Admission, OutageConduct, type StoreCall, type StoreChannel } from "./storeChannel.js";
 import type { StorePriority } from "./storeClient.js";
 import { createAbandonment, hasWriteMarker, writeMarkerKey } from "./writeMarker.js";
@@ -101,7 +101,7 @@
         const { transaction, priority, deadline } = pending;
         const rows = await options.readRows(evidenceKeys(transaction), priority, deadline);
         const answer = rows.isOk
-            ? judgeOutcome(transaction, rows.value)
+            ? determineOutcome(transaction, rows.value)
             : { outcome: TransactionOutcome.Unknown, conflicts };
         return record(transaction, answer);
     };
--- a/packages/daisyturn/src/request/claims/takeClaim.ts
+++ b/packages/daisyturn/src/request/claims/createClaimAcquirer.ts
@@ -28,14 +28,14 @@
 const pollMilliseconds = 500;
 
 /** Whether an attempt has got its row. */
-export enum TakeKind {
-    Taken = "taken",
-    NotTaken = "not_taken",
+export enum AcquireKind {
+    Acquired = "taken",
+    NotAcquired = "not_taken",
 }
 
 /** The row is this attempt's. */
-export interface ClaimTaken {
-    readonly kind: TakeKind.Taken;
+export interface AcquiredClaim {
+    readonly kind: AcquireKind.Acquired;
     readonly row: ClaimRow;
     readonly version: number;
     /** Monotonic time after which the call must not be sent. */
@@ -44,16 +44,16 @@
     readonly wallSendDeadline: number;
 }
 
-type SendDeadlines = Pick<ClaimTaken, "sendDeadline" | "wallSendDeadline">;
+type SendDeadlines = Pick<AcquiredClaim, "sendDeadline" | "wallSendDeadline">;
 
 /** The attempt is over; the caller gets the result. */
-export interface ClaimNotTaken {
-    readonly kind: TakeKind.NotTaken;
+export interface ClaimNotAcquired {
+    readonly kind: AcquireKind.NotAcquired;
     readonly result: Result<ServiceAnswer, Failure>;
 }
 
 /** What the taking of claims works with. */
-export interface ClaimTakerOptions {
+export interface ClaimAcquirerOptions {
     readonly self: ProcessIdentity;
     readonly storeClient: StoreClient;
     readonly writer: ClaimWriter;
@@ -65,9 +65,9 @@
 }
 
 /** Gets rows for attempts. */
-export interface ClaimTaker {
+export interface ClaimAcquirer {
     /** Waits for another's running call up to the deadline (monotonic). An attempt that is not taken has ended. */
-    take(own: OwnClaim, deadline: number): Promise<ClaimTaken | ClaimNotTaken>;
+    acquire(own: OwnClaim, deadline: number): Promise<AcquiredClaim | ClaimNotAcquired>;
 }
 
 /**
@@ -82,17 +82,17 @@
  * Leave to send under a claim. Both clocks are asked, and the earlier end counts: the monotonic clock of a VM may stand
  * still while its host suspends it, and the wall clock may be set back.
  */
-export function createSendPermit(clock: Clock, taken: ClaimTaken, requestDeadline: number): SendPermit {
+export function createSendPermit(clock: Clock, taken: AcquiredClaim, requestDeadline: number): SendPermit {
     const lastStart = Math.min(taken.sendDeadline, requestDeadline);
     return { mayStart: () => clock.monotonicNow() < lastStart && clock.wallNow() < taken.wallSendDeadline };
 }
 
 /** Creates the taker of one process. */
-export function createClaimTaker(options: ClaimTakerOptions): ClaimTaker {
+export function createClaimAcquirer(options: ClaimAcquirerOptions): ClaimAcquirer {
     const { storeClient, writer, recorder, examiner, clock, eventLog, limits } = options;
     const retryAt = () => clock.wallNow() + retryAfterMilliseconds;
 
-    const take = async (own: OwnClaim, deadline: number): Promise<ClaimTaken | ClaimNotTaken> => {
+    const acquire = async (own: OwnClaim, deadline: number): Promise<AcquiredClaim | ClaimNotAcquired> => {
         const row = createClaimedRow(own, options.self);
         let expectedVersion: number | undefined = absentVersion;
         while (clock.monotonicNow() < deadline) {
@@ -147,25 +147,25 @@
         return { kind: ExaminedKind.Free, version: absentVersion };
     };
 
-    const confirm = (row: ClaimRow, version: number, deadlines: SendDeadlines): ClaimTaken => {
+    const confirm = (row: ClaimRow, version: number, deadlines: SendDeadlines): AcquiredClaim => {
         eventLog.record(EventKind.ClaimTaken, { request: row.requestId, claim: row.claimId });
-        return { kind: TakeKind.Taken, row, version, ...deadlines };
+        return { kind: AcquireKind.Acquired, row, version, ...deadlines };
     };
 
     /** Ends an attempt none of whose writes can take effect. */
-    const giveUp = (own: OwnClaim, result: Result<ServiceAnswer, Failure>): ClaimNotTaken => {
+    const giveUp = (own: OwnClaim, result: Result<ServiceAnswer, Failure>): ClaimNotAcquired => {
         own.end(ClaimStage.NotSent);
         own.markSettled();
-        return { kind: TakeKind.NotTaken, result };
+        return { kind: AcquireKind.NotAcquired, result };
     };
 
     /** Ends an attempt that may have its row or get it yet; it won't use it. */
-    const giveUpUnsettled = (own: OwnClaim, row: ClaimRow, expectedVersion: number): ClaimNotTaken => {
+    const giveUpUnsettled = (own: OwnClaim, row: ClaimRow, expectedVersion: number): ClaimNotAcquired => {
         own.end(ClaimStage.NotSent);
         const freeRow = createFreeRow(row, clock.wallNow(), limits);
         void recorder.record(own, expectedVersion, freeRow);
-        return { kind: TakeKind.NotTaken, result: Result.err(failWithKeyHeld(retryAt())) };
+        return { kind: AcquireKind.NotAcquired, result: Result.err(failWithKeyHeld(retryAt())) };
     };
 
-    return { take };
+    return { acquire };
 }
--- a/packages/daisyturn/src/request/claims/createClaimManager.ts
+++ b/packages/daisyturn/src/request/claims/createClaimManager.ts
@@ -32,7 +32,13 @@
 import { type StoreClient, StorePriority } from "../../process/store/index.js";
 import type { ClaimManager, ClaimRequest, SendCall } from "./claimManager.js";
 import { describeExamined, failWithDeadlinePassed, failWithKeyHeld, viewExamined } from "./claimVerdicts.js";
-import { type ClaimTaken, createClaimTaker, createSendPermit, retryAfterMilliseconds, TakeKind } from "./takeClaim.js";
+import {
+    type AcquiredClaim,
+    AcquireKind,
+    createClaimAcquirer,
+    createSendPermit,
+    retryAfterMilliseconds,
+} from "./createClaimAcquirer.js";
 
 /** How long a look-up waits for the table service. */
 const lookUpLimitMilliseconds = 2_000;
@@ -88,7 +94,7 @@
     const writer = createClaimWriter(storeClient, options.ids);
     const recorder = createClaimRecorder({ ...options, writer });
     const examiner = createClaimExaminer({ ...options, ownClaims, writer, limits });
-    const taker = createClaimTaker({ ...options, writer, recorder, examiner, limits });
+    const taker = createClaimAcquirer({ ...options, writer, recorder, examiner, limits });
     answerInquiries(options.network, options.self, ownClaims, clock);
 
     const runOnce = async (request: ClaimRequest, send: SendCall): Promise<Result<ServiceAnswer, Failure>> => {
@@ -106,8 +112,8 @@
         }
         // No await since the row was found free: of two requests at once only one may get here.
         const own = ownClaims.open(rowKey, request.requestId, callHash);
-        const taken = await taker.take(own, request.deadline);
-        if (taken.kind === TakeKind.NotTaken) {
+        const taken = await taker.acquire(own, request.deadline);
+        if (taken.kind === AcquireKind.NotAcquired) {
             noteReplay(taken.result, request);
             return taken.result;
         }
@@ -134,7 +140,7 @@
         return examineOwnAttempt(own);
     };
 
-    const sendClaimed = async (own: OwnClaim, taken: ClaimTaken, request: ClaimRequest, send: SendCall) => {
+    const sendClaimed = async (own: OwnClaim, taken: AcquiredClaim, request: ClaimRequest, send: SendCall) => {
         const permit = createSendPermit(clock, taken, request.deadline);
         if (!permit.mayStart()) {
             return release(own, taken, request, failWithDeadlinePassed());
@@ -157,7 +163,7 @@
     };
 
     /** Frees the key of a call that did not run. The caller is told of a new try only once the key is free. */
-    const release = async (own: OwnClaim, taken: ClaimTaken, request: ClaimRequest, failure: Failure) => {
+    const release = async (own: OwnClaim, taken: AcquiredClaim, request: ClaimRequest, failure: Failure) => {
         own.end(ClaimStage.NotSent);
         const row = createFreeRow(taken.row, clock.wallNow(), limits);
         void recorder.record(own, taken.version, row);
--- a/packages/daisyturn/src/request/forwarding/serveForwardedCall.ts
+++ b/packages/daisyturn/src/request/forwarding/serveForwardedCall.ts
@@ -118,7 +118,7 @@
     const arrivedAt = run?.call.arrivedAt ?? parts.clock.monotonicNow();
     const milliseconds = (run?.exchange.firstByteAt() ?? parts.clock.monotonicNow()) - arrivedAt;
     const longestPause = run?.exchange.longestPause() ?? 0;
-    const outcome = judgeOutcome(run, milliseconds, failure, reply);
+    const outcome = determineOutcome(run, milliseconds, failure, reply);
     parts.metrics.recordCall(kind, outcome, milliseconds, longestPause);
     if (run?.call.prompt) {
         parts.sizeCounts.record(run.route.name, measureSize(run.call.prompt), isServed(outcome));
@@ -145,7 +145,7 @@
     return failure.reason === FailureReason.Cancelled ? EventKind.RequestCancelled : EventKind.RequestRefused;
 }
 
-function judgeOutcome(
+function determineOutcome(
     run: CallRun | undefined,
     milliseconds: number,
     failure: Failure | undefined,
