--- a/packages/daisyturn-daemon/src/entry/createCell.ts
+++ b/packages/daisyturn-daemon/src/entry/createCell.ts
@@ -129,7 +129,7 @@
         leaseName: cellLeaseName,
         storeClient,
         membership,
-        configurationManager: configurationManager,
+        configurationManager,
         clock,
     });
     const controller = createController({
@@ -139,7 +139,7 @@
         commands: orderCommands,
         peerNetwork: network,
         membership,
-        configurationManager: configurationManager,
+        configurationManager,
         targetDirectory: targets,
         targetGate: gate,
         weightStore: base.platform.weightStore,
--- a/packages/daisyturn-daemon/src/forwarding/createForwardingProcess.ts
+++ b/packages/daisyturn-daemon/src/forwarding/createForwardingProcess.ts
@@ -151,11 +151,11 @@
             await clock.sleepUntil(refreshAt, background.signal);
             coordination.refreshEntry();
         };
-        const follow = (name: string, feed: ChangeFeed, follower: TableObserver) =>
+        const follow = (name: string, feed: ChangeFeed, observer: TableObserver) =>
             watchTable({
                 name,
                 feed,
-                observer: follower,
+                observer,
                 timing,
                 clock,
                 eventLog,
