--- a/packages/daisyturn/src/process/forwarding/coordination/__fixtures__/createFleet.ts
+++ b/packages/daisyturn/src/process/forwarding/coordination/__fixtures__/createFleet.ts
@@ -25,7 +25,7 @@
 type Link = (from: RegisteredPeer, to: RegisteredPeer) => boolean;
 
 /** What a coordinator's word on a table holds for, in milliseconds. */
-export const freshMilliseconds = 1_500;
+export const maxStateAgeMilliseconds = 1_500;
 const portOffset = 7_000;
 
 /** Processes that hear each other after a millisecond, unless the test cuts them off, and engines in each zone. */
@@ -87,9 +87,9 @@
             channel: new LocalChannel(),
             views,
             sizeFairness,
-            decideHere: request => decidePrompt({ placement, longPrefillTimes, switchedOff }, request),
+            decideLocally: request => decidePrompt({ placement, longPrefillTimes, switchedOff }, request),
             findService: () => engineService,
-            freshMilliseconds: () => freshMilliseconds,
+            maxStateAgeMilliseconds: () => maxStateAgeMilliseconds,
             clock,
             eventLog,
         });
--- a/packages/daisyturn/src/process/forwarding/coordination/__tests__/coordinate.test.ts
+++ b/packages/daisyturn/src/process/forwarding/coordination/__tests__/coordinate.test.ts
@@ -103,12 +103,12 @@
     it("closes engines that are about to change at all processes at once", async () => {
         const fleet = createFleet(60, 3);
         await fleet.clock.advance(6_000);
-        const first = fleet.processes.find(({ coordination }) => coordination.isFirst());
+        const first = fleet.processes.find(({ coordination }) => coordination.isFleetCoordinator());
         assert.ok(first);
         first.closed.close("engine", fleet.clock.monotonicNow() + 8_000);
         await fleet.clock.advance(50);
         assert.ok(fleet.processes.every(({ closed }) => closed.isClosed("engine")));
-        assert.ok(first.coordination.closingPause() < 400);
+        assert.ok(first.coordination.closingReportInterval() < 400);
         first.closed.reopen("engine");
         await fleet.clock.advance(8_500);
         assert.ok(fleet.processes.every(({ closed }) => !closed.isClosed("engine")));
@@ -120,7 +120,7 @@
         it(`reopens an engine at all ${count} processes when the process that closed it reopens it`, async () => {
             const fleet = createFleet(count, zones);
             await fleet.clock.advance(6_000);
-            const first = fleet.processes.find(({ coordination }) => coordination.isFirst());
+            const first = fleet.processes.find(({ coordination }) => coordination.isFleetCoordinator());
             assert.ok(first);
             first.closed.close("engine", fleet.clock.monotonicNow() + 8_000);
             first.closed.close("other", fleet.clock.monotonicNow() + 8_000);
@@ -141,7 +141,7 @@
     it("reopens an engine at processes that missed the first message about it", async () => {
         const fleet = createFleet(60, 3);
         await fleet.clock.advance(6_000);
-        const first = fleet.processes.find(({ coordination }) => coordination.isFirst());
+        const first = fleet.processes.find(({ coordination }) => coordination.isFleetCoordinator());
         assert.ok(first);
         first.closed.close("engine", fleet.clock.monotonicNow() + 8_000);
         await fleet.clock.advance(1_000);
@@ -160,7 +160,7 @@
         for (const [count, zones] of [[9, 4], [60, 3]] as const) {
             const fleet = createFleet(count, zones);
             await fleet.clock.advance(6_000);
-            const planner = fleet.processes.find(({ coordination }) => coordination.isFirst());
+            const planner = fleet.processes.find(({ coordination }) => coordination.isFleetCoordinator());
             const member = fleet.processes.findLast(({ self, coordination }) =>
                 self.availabilityZone !== planner?.self.availabilityZone && !coordination.isCoordinator()
             );
@@ -196,7 +196,7 @@
     it("has one process in the whole fleet that plans", async () => {
         const fleet = createFleet(60, 3);
         await fleet.clock.advance(6_000);
-        assert.equal(fleet.processes.filter(({ coordination }) => coordination.isFirst()).length, 1);
+        assert.equal(fleet.processes.filter(({ coordination }) => coordination.isFleetCoordinator()).length, 1);
         await fleet.stop();
     });
 });
--- a/packages/daisyturn/src/process/forwarding/coordination/__tests__/createPlacementDesk.test.ts
+++ b/packages/daisyturn/src/process/forwarding/coordination/__tests__/createPlacementServer.test.ts
@@ -6,7 +6,7 @@
 import { measureSize } from "../../limits/measureSize.js";
 import type { DecisionRequest } from "../../placement/decidePrompt.js";
 import { createTargetLoads } from "../../views/createTargetLoads.js";
-import { createPlacementDesk } from "../createPlacementDesk.js";
+import { createPlacementServer } from "../createPlacementServer.js";
 
 const route = "chat";
 const longAnswerTokens = 500;
@@ -15,7 +15,7 @@
 function ask(maxOutputTokens: number, sizeFairness = createSizeFairness()): DecisionRequest {
     const clock = new FakeClock();
     const requests: DecisionRequest[] = [];
-    const desk = createPlacementDesk({
+    const desk = createPlacementServer({
         coordinatorId: "entry-1",
         decide: request => {
             requests.push(request);
--- a/packages/daisyturn/src/process/forwarding/coordination/__tests__/relayedTables.test.ts
+++ b/packages/daisyturn/src/process/forwarding/coordination/__tests__/relayedTables.test.ts
@@ -8,7 +8,7 @@
 import { createRelayedTables } from "../createRelayedTables.js";
 import { createTableReader } from "../createTableReader.js";
 
-const freshMilliseconds = 1_500;
+const maxStateAgeMilliseconds = 1_500;
 const stateMilliseconds = 250;
 const readerWaitMilliseconds = 1_000;
 const bound = 2_000;
@@ -82,7 +82,7 @@
     const reader = createTableReader(clock);
     const tables = createRelayedTables({
         clock,
-        freshMilliseconds: () => freshMilliseconds,
+        maxStateAgeMilliseconds: () => maxStateAgeMilliseconds,
         isReader: () => isMemberReader,
     });
     const link = { passesStates: true, passesRows: true };
@@ -104,12 +104,12 @@
             eventLog,
             ...more,
         }, stop.signal);
-    reader.onRows(message => link.passesRows && tables.noteRows({ ...message, from: "coordinator" }));
+    reader.onRows(message => link.passesRows && tables.applyRows({ ...message, from: "coordinator" }));
     const tellStates = async () => {
         while (!stop.signal.aborted) {
             if (link.passesStates) {
                 const state = { from: "coordinator", isAnswering: true, closed: [], candidates: [] };
-                tables.noteState({ ...state, tables: reader.listStates() });
+                tables.applyState({ ...state, tables: reader.listStates() });
             }
             await clock.sleepUntil(clock.monotonicNow() + stateMilliseconds, stop.signal);
         }
@@ -181,8 +181,9 @@
         await clock.advance(3_000);
         // The coordinator still speaks, but what it knows grows old.
         link.passesRows = false;
-        reader.listStates = () => [{ table: "t", era: 1, changedVersion: 5, version: 5, age: freshMilliseconds + 1 }];
-        await clock.advance(freshMilliseconds + stateMilliseconds);
+        reader.listStates =
+            () => [{ table: "t", era: 1, changedVersion: 5, version: 5, age: maxStateAgeMilliseconds + 1 }];
+        await clock.advance(maxStateAgeMilliseconds + stateMilliseconds);
         store.put("a", "1");
         await clock.advance(200);
         assert.deepEqual(taken, ["a=1"]);
@@ -193,7 +194,7 @@
         const { clock, store, reader, taken, stop } = createPair();
         store.put("a", "1");
         await clock.advance(3_000);
-        reader.noteFailure("t");
+        reader.recordFailure("t");
         store.put("a", undefined);
         await clock.advance(300);
         assert.equal(taken.at(-1), "a=undefined failed");
--- a/packages/daisyturn/src/process/forwarding/coordination/coordinate.ts
+++ b/packages/daisyturn/src/process/forwarding/coordination/coordinate.ts
@@ -5,22 +5,22 @@
 import type { SizeFairness } from "../limits/createSizeFairness.js";
 import type { DecisionRequest, PromptDecision, PromptDecisions } from "../placement/decidePrompt.js";
 import type { TargetViews } from "../views/createTargetViews.js";
-import { CoordinatedDecisions, noteKept } from "./coordinatedDecisions.js";
+import { CoordinatedDecisions, recordRetained } from "./coordinatedDecisions.js";
 import { createCoordinatorLink } from "./createCoordinatorLink.js";
-import { createGroupTeller, groupMilliseconds } from "./createGroupTeller.js";
-import { createLoadTeller } from "./createLoadTeller.js";
+import { createGroupLoadPublisher, groupReportMilliseconds } from "./createGroupLoadPublisher.js";
+import { createLoadPublisher } from "./createLoadPublisher.js";
 import { createMembers } from "./createMembers.js";
 import { createPlacementClient } from "./createPlacementClient.js";
-import { createPlacementDesk } from "./createPlacementDesk.js";
+import { createPlacementServer } from "./createPlacementServer.js";
 import { createRelayedTables, type RelayedTable } from "./createRelayedTables.js";
-import { createStateTeller } from "./createStateTeller.js";
+import { createStatePublisher } from "./createStatePublisher.js";
 import { createTableReader, type TableReader } from "./createTableReader.js";
-import { type EntryRefreshRequest, followPeers } from "./followPeers.js";
 import { type LoadMessage, readLoadMessage } from "./messages/loadMessage.js";
 import { type Notification, parseNotification } from "./messages/notification.js";
-import { encodePlacementAnswer, readPlacementAnswer, readPlacementAsk } from "./messages/placementMessages.js";
+import { encodePlacementAnswer, readPlacementAnswer, readPlacementRequest } from "./messages/placementMessages.js";
 import { type CoordinatorState, readCoordinatorState, readRowsMessage } from "./messages/tableMessages.js";
 import type { DatagramChannel, PeerAddress } from "./peerChannel.js";
+import { type EntryRefreshRequest, watchPeers } from "./watchPeers.js";
 
 /** What {@link coordinate} needs. */
 export interface CoordinationOptions {
@@ -30,10 +30,10 @@
     readonly views: TargetViews;
     readonly sizeFairness: SizeFairness;
     /** Decides by what this process knows. */
-    readonly decideHere: (request: DecisionRequest) => PromptDecision | undefined;
+    readonly decideLocally: (request: DecisionRequest) => PromptDecision | undefined;
     readonly findService: (name: string) => ForwardService | undefined;
     /** Longest time since the store has answered a coordinator for which its word on a table holds, in milliseconds. */
-    readonly freshMilliseconds: () => number;
+    readonly maxStateAgeMilliseconds: () => number;
     readonly clock: Clock;
     readonly eventLog: EventLog;
 }
@@ -48,11 +48,11 @@
     /** Whether this process is to read the store itself, since others go by its word. */
     isReader(): boolean;
     /** Longest pause between two messages to any coordinator while an engine is kept closed, in milliseconds. */
-    closingPause(): number;
+    closingReportInterval(): number;
     /** Whether this process places prompts for its group, as far as it knows. */
     isCoordinator(): boolean;
     /** Whether this process coordinates its group, and no coordinator of another one has a name that sorts before its own. */
-    isFirst(): boolean;
+    isFleetCoordinator(): boolean;
     run(signal: AbortSignal): void;
     /** Requests that this process's registry entry be rewritten because the store may have lost it. */
     refreshEntry(): void;
@@ -61,35 +61,35 @@
 }
 
 /** A coordinator of another group that was not heard for so long has ended. */
-const heardMilliseconds = 2_500;
+const otherCoordinatorMilliseconds = 2_500;
 
 /** Creates the part of one process in its group. Nothing is sent before it runs. */
 export function coordinate(options: CoordinationOptions): Coordination {
-    const { self, channel, views, sizeFairness, clock, eventLog, freshMilliseconds } = options;
+    const { self, channel, views, sizeFairness, clock, eventLog, maxStateAgeMilliseconds } = options;
     const { loads, caches, demand, closed, slowdowns, prefillRates, eventIntervals, targets, health } = views;
     const send = (to: PeerAddress, datagram: Buffer) => channel.send(to, datagram);
     const link = createCoordinatorLink({ self, clock, eventLog });
     const members = createMembers(clock);
     const reader = createTableReader(clock);
-    const tables = createRelayedTables({ clock, freshMilliseconds, isReader: link.isCandidate });
+    const tables = createRelayedTables({ clock, maxStateAgeMilliseconds, isReader: link.isCandidate });
     const client = createPlacementClient({ selfId: self.peerId, send, link, clock });
-    const loadTeller = createLoadTeller({
+    const loadPublisher = createLoadPublisher({
         selfId: self.peerId,
         views,
         sizeFairness,
         link,
-        lastTaken: client.lastTaken,
+        lastReceived: client.lastReceived,
         send,
         clock,
     });
-    const groupTeller = createGroupTeller({ selfId: self.peerId, views, link, send, clock });
-    const stateTeller = createStateTeller({
+    const groupLoadPublisher = createGroupLoadPublisher({ selfId: self.peerId, views, link, send, clock });
+    const statePublisher = createStatePublisher({
         selfId: self.peerId,
         members,
         link,
         reader,
         closed,
-        freshMilliseconds,
+        maxStateAgeMilliseconds,
         send,
         clock,
     });
@@ -98,11 +98,11 @@
 
     const refreshRequest: EntryRefreshRequest = { requested: createSignal(), isPending: false };
 
-    const desk = createPlacementDesk({
+    const placementServer = createPlacementServer({
         coordinatorId: self.peerId,
         decide: request => {
-            const decision = options.decideHere(request);
-            noteKept(caches, request, decision);
+            const decision = options.decideLocally(request);
+            recordRetained(caches, request, decision);
             return decision;
         },
         findService: options.findService,
@@ -121,13 +121,13 @@
         selfId: self.peerId,
         link,
         client,
-        decideHere: options.decideHere,
+        decideLocally: options.decideLocally,
         caches,
         findTarget: targets.find,
         listDistrusted,
     });
 
-    const takeLoad = (message: LoadMessage, from: PeerAddress) => {
+    const applyLoad = (message: LoadMessage, from: PeerAddress) => {
         closed.applyRemote(message.closed);
         health.recordFailing(message.failing, message.isGroup);
         message.kept.forEach(([targetId, partId, tokens]) => caches.recordRemote(targetId, partId, tokens));
@@ -137,49 +137,49 @@
             demand.recordGroup(message.from, message.demand, message.pause);
             return;
         }
-        desk.noteTaken(message.from, message.placed);
+        placementServer.acknowledge(message.from, message.placed);
         loads.recordPeer(message.from, message.work, message.pause);
         demand.recordPeer(message.from, message.demand, message.pause);
         message.paces.forEach(slowdowns.recordRemote);
         message.prefills.forEach(prefillRates.recordRemote);
         message.pauses.forEach(eventIntervals.recordRemote);
         message.ended.forEach(sizeFairness.recordRemote);
-        if (members.note(message.from, from)) {
+        if (members.record(message.from, from)) {
             // A process that has just started, or lost its coordinator, learns at once that this one is there.
-            stateTeller.tell(from);
+            statePublisher.tell(from);
         }
     };
 
     const applyState = (state: CoordinatorState) => {
-        link.noteHeard(state.from, state.isAnswering);
+        link.recordContact(state.from, state.isAnswering);
         link.addPeers(state.candidates);
         closed.applyRemote(state.closed);
-        tables.noteState(state);
+        tables.applyState(state);
     };
 
     /** What the store says is taken from processes that are registered there, at their own address. */
     const isRegistered = (peerId: string, { host }: PeerAddress) => link.find(peerId)?.host === host;
 
-    const take = (notification: Notification, from: PeerAddress) => {
-        const ask = readPlacementAsk(notification);
+    const handleNotification = (notification: Notification, from: PeerAddress) => {
+        const ask = readPlacementRequest(notification);
         const answer = readPlacementAnswer(notification);
         const load = readLoadMessage(notification);
         const state = readCoordinatorState(notification);
         const rows = readRowsMessage(notification);
         if (ask) {
-            send(from, encodePlacementAnswer(desk.answer(ask)));
+            send(from, encodePlacementAnswer(placementServer.answer(ask)));
         }
         if (answer) {
-            client.noteAnswer(answer);
+            client.receiveAnswer(answer);
         }
         if (load && load.from !== self.peerId) {
-            takeLoad(load, from);
+            applyLoad(load, from);
         }
         if (state && isRegistered(state.from, from)) {
             applyState(state);
         }
         if (rows && isRegistered(rows.from, from)) {
-            tables.noteRows(rows);
+            tables.applyRows(rows);
         }
     };
 
@@ -188,7 +188,7 @@
     channel.onDatagram((datagram, from) => {
         const notification = parseNotification(datagram);
         if (notification) {
-            take(notification, from);
+            handleNotification(notification, from);
         }
     });
 
@@ -197,23 +197,23 @@
         relayedTable: tables.find,
         tableReader: reader,
         isReader: link.isCandidate,
-        closingPause: () => groupMilliseconds,
+        closingReportInterval: () => groupReportMilliseconds,
         isCoordinator,
-        isFirst: () => {
-            const oldest = clock.monotonicNow() - heardMilliseconds;
+        isFleetCoordinator: () => {
+            const oldest = clock.monotonicNow() - otherCoordinatorMilliseconds;
             return isCoordinator()
                 && [...otherCoordinators].every(([peerId, at]) => at < oldest || peerId > self.peerId);
         },
         run: signal => {
-            void followPeers({ self, registry: options.registry, link, refreshRequest, clock, eventLog }, signal);
-            void loadTeller.run(signal);
-            void groupTeller.run(signal);
-            void stateTeller.run(signal);
+            void watchPeers({ self, registry: options.registry, link, refreshRequest, clock, eventLog }, signal);
+            void loadPublisher.run(signal);
+            void groupLoadPublisher.run(signal);
+            void statePublisher.run(signal);
         },
         refreshEntry: () => {
             refreshRequest.isPending = true;
             refreshRequest.requested.raise();
         },
-        stopAnswering: stateTeller.stopAnswering,
+        stopAnswering: statePublisher.stopAnswering,
     };
 }
--- a/packages/daisyturn/src/process/forwarding/coordination/coordinatedDecisions.ts
+++ b/packages/daisyturn/src/process/forwarding/coordination/coordinatedDecisions.ts
@@ -2,8 +2,8 @@
 import { type DecisionRequest, type PromptDecision, PromptDecisions } from "../placement/decidePrompt.js";
 import type { CacheEstimates } from "../views/createCacheEstimates.js";
 import type { CoordinatorLink } from "./createCoordinatorLink.js";
-import type { PlacementClient, PlacementQuestion } from "./createPlacementClient.js";
-import { readDecision } from "./createPlacementDesk.js";
+import type { PlacementClient, PlacementQuery } from "./createPlacementClient.js";
+import { readDecision } from "./createPlacementServer.js";
 
 /** What {@link CoordinatedDecisions} needs. */
 export interface CoordinatedDecisionsOptions {
@@ -11,7 +11,7 @@
     readonly link: Pick<CoordinatorLink, "current">;
     readonly client: PlacementClient;
     /** Decides by what this process knows. */
-    readonly decideHere: (request: DecisionRequest) => PromptDecision | undefined;
+    readonly decideLocally: (request: DecisionRequest) => PromptDecision | undefined;
     readonly caches: CacheEstimates;
     readonly findTarget: (targetId: string) => ListedTarget | undefined;
     /** Targets of a service that this process does not trust. */
@@ -28,22 +28,22 @@
         const { selfId, link, client, findTarget } = this.options;
         const coordinator = link.current();
         if (coordinator && coordinator.peerId !== selfId) {
-            const answer = await client.ask(coordinator, this.describeQuestion(request));
+            const answer = await client.ask(coordinator, this.describeQuery(request));
             const decision = answer && readDecision(answer, request.patience, findTarget);
             if (decision) {
                 return decision;
             }
         }
-        return this.decideHere(request);
+        return this.decideLocally(request);
     }
 
-    private decideHere(request: DecisionRequest): PromptDecision | undefined {
-        const decision = this.options.decideHere(request);
-        noteKept(this.options.caches, request, decision);
+    private decideLocally(request: DecisionRequest): PromptDecision | undefined {
+        const decision = this.options.decideLocally(request);
+        recordRetained(this.options.caches, request, decision);
         return decision && { ...decision, decidedBy: this.options.selfId };
     }
 
-    private describeQuestion({ route, demand, patience }: DecisionRequest): PlacementQuestion {
+    private describeQuery({ route, demand, patience }: DecisionRequest): PlacementQuery {
         const { service, prompt, bodyBytes, avoid, isWholeOnly, aim, pauseAim, availabilityZone } = demand;
         return {
             availabilityZone,
@@ -61,7 +61,7 @@
 }
 
 /** What an engine is about to read, it keeps for the prompts that come next. */
-export function noteKept(
+export function recordRetained(
     caches: Pick<CacheEstimates, "record">,
     { demand: { service, prompt } }: DecisionRequest,
     decision: PromptDecision | undefined,
--- a/packages/daisyturn/src/process/forwarding/coordination/createCoordinatorLink.ts
+++ b/packages/daisyturn/src/process/forwarding/coordination/createCoordinatorLink.ts
@@ -9,7 +9,7 @@
     /** Adds processes that a coordinator has named. */
     addPeers(peers: readonly RegisteredPeer[]): void;
     /** Those to be told what this process has under way: the first ones that answer, and those that may. */
-    listTold(): readonly RegisteredPeer[];
+    listReportReceivers(): readonly RegisteredPeer[];
     /** The process that places prompts for this one, which may be this one itself; undefined while none is known to. */
     current(): RegisteredPeer | undefined;
     /** A process that is known. */
@@ -17,7 +17,7 @@
     /** Whether a process was told and has not answered. */
     isSilent(peer: RegisteredPeer): boolean;
     /** Whether any coordinator other than this process is heard. */
-    isHeard(): boolean;
+    hasContact(): boolean;
     /** Whether this process is one of the first two: the coordinator, or the one that takes over from it. */
     isCandidate(): boolean;
     /** The processes that come first in the group. */
@@ -25,10 +25,10 @@
     /** For each other group, the processes that come first in it. */
     listOtherCandidates(): readonly RegisteredPeer[];
     /** Notes a coordinator's word, and whether it may be asked. */
-    noteHeard(peerId: string, isAnswering: boolean): void;
-    noteAnswer(peerId: string): void;
+    recordContact(peerId: string, isAnswering: boolean): void;
+    recordAnswer(peerId: string): void;
     /** Notes a question that was not answered in time. */
-    noteTimeout(peerId: string): void;
+    recordTimeout(peerId: string): void;
 }
 
 /** What {@link createCoordinatorLink} needs. */
@@ -41,17 +41,17 @@
 /** A coordinator tells of itself several times in this time. */
 const silentMilliseconds = 1_300;
 /** One that was never heard is given less: at a start many may be dead. */
-const firstWordMilliseconds = 500;
+const firstContactMilliseconds = 500;
 /** A coordinator that lets questions time out is left alone for a while, and so is one that answers late. */
 const timeoutsForSuspicion = 2;
 const suspicionMilliseconds = 1_000;
-const toldCoordinators = 2;
-const namedCandidates = 4;
+const coordinatorsPerGroup = 2;
+const announcedCandidates = 4;
 
 interface CoordinatorHealth {
-    heardAt: number;
+    lastContactAt: number;
     /** Monotonic time of the first message to it that it has not answered. */
-    toldSince: number | undefined;
+    unansweredSince: number | undefined;
     isAnswering: boolean;
     timeouts: number;
     suspectUntil: number;
@@ -68,8 +68,8 @@
         let known = health.get(peerId);
         if (!known) {
             known = {
-                heardAt: -Infinity,
-                toldSince: undefined,
+                lastContactAt: -Infinity,
+                unansweredSince: undefined,
                 isAnswering: false,
                 timeouts: 0,
                 suspectUntil: -Infinity,
@@ -81,17 +81,19 @@
 
     const isSelf = (peer: RegisteredPeer) => peer.peerId === self.peerId;
 
-    const isHeardOf = (peer: RegisteredPeer) => clock.monotonicNow() - find(peer.peerId).heardAt <= silentMilliseconds;
+    const hasContactWith = (peer: RegisteredPeer) =>
+        clock.monotonicNow() - find(peer.peerId).lastContactAt <= silentMilliseconds;
 
     const isSilent = (peer: RegisteredPeer) => {
-        const { toldSince, heardAt } = find(peer.peerId);
-        const patience = heardAt > -Infinity ? silentMilliseconds : firstWordMilliseconds;
-        return !isHeardOf(peer) && toldSince !== undefined && clock.monotonicNow() - toldSince > patience;
+        const { unansweredSince, lastContactAt } = find(peer.peerId);
+        const patience = lastContactAt > -Infinity ? silentMilliseconds : firstContactMilliseconds;
+        return !hasContactWith(peer) && unansweredSince !== undefined
+            && clock.monotonicNow() - unansweredSince > patience;
     };
 
-    const isAskable = (peer: RegisteredPeer) => {
+    const acceptsRequests = (peer: RegisteredPeer) => {
         const { isAnswering, suspectUntil } = find(peer.peerId);
-        return isHeardOf(peer) && isAnswering && suspectUntil <= clock.monotonicNow();
+        return hasContactWith(peer) && isAnswering && suspectUntil <= clock.monotonicNow();
     };
 
     const setPeers = (found: readonly RegisteredPeer[]) => {
@@ -99,25 +101,25 @@
         ranking = rankCoordinators(selectGroup(peers, self.availabilityZone));
     };
 
-    const listTold = () => {
-        const told: RegisteredPeer[] = [];
+    const listReportReceivers = () => {
+        const receivers: RegisteredPeer[] = [];
         // Twice as many are tried once those before them are silent: many may have ended at once.
-        let wanted = toldCoordinators;
+        let wanted = coordinatorsPerGroup;
         for (const peer of ranking) {
             if (wanted <= 0) {
                 break;
             }
             wanted += isSilent(peer) ? 1 : -1;
             if (!isSelf(peer)) {
-                find(peer.peerId).toldSince ??= clock.monotonicNow();
-                told.push(peer);
+                find(peer.peerId).unansweredSince ??= clock.monotonicNow();
+                receivers.push(peer);
             }
         }
-        return told;
+        return receivers;
     };
 
     const current = () => {
-        const found = ranking.find(peer => isSelf(peer) || isAskable(peer));
+        const found = ranking.find(peer => isSelf(peer) || acceptsRequests(peer));
         if (found?.peerId !== currentId) {
             currentId = found?.peerId;
             eventLog.record(EventKind.CoordinatorChosen, { peer: currentId });
@@ -134,34 +136,34 @@
                 setPeers([...peers, ...found.filter(peer => !known.has(peer.peerId))]);
             }
         },
-        listTold,
+        listReportReceivers,
         current,
         find: peerId => peers.find(peer => peer.peerId === peerId),
         isSilent,
-        isHeard: () => ranking.some(peer => !isSelf(peer) && isHeardOf(peer)),
+        hasContact: () => ranking.some(peer => !isSelf(peer) && hasContactWith(peer)),
         isCandidate: () => {
             const ahead = ranking.filter(peer => isSelf(peer) || !isSilent(peer));
-            return ahead.slice(0, toldCoordinators).some(isSelf);
+            return ahead.slice(0, coordinatorsPerGroup).some(isSelf);
         },
-        listCandidates: () => ranking.slice(0, namedCandidates),
+        listCandidates: () => ranking.slice(0, announcedCandidates),
         listOtherCandidates: () => {
             const own = new Set(ranking.map(peer => peer.peerId));
             const others = peers.filter(peer => !own.has(peer.peerId));
             const zones = new Set(others.map(peer => peer.availabilityZone));
             return [...zones].flatMap(zone =>
-                rankCoordinators(others.filter(peer => peer.availabilityZone === zone)).slice(0, toldCoordinators)
+                rankCoordinators(others.filter(peer => peer.availabilityZone === zone)).slice(0, coordinatorsPerGroup)
             );
         },
-        noteHeard: (peerId, isAnswering) => {
+        recordContact: (peerId, isAnswering) => {
             const known = find(peerId);
-            known.heardAt = clock.monotonicNow();
-            known.toldSince = undefined;
+            known.lastContactAt = clock.monotonicNow();
+            known.unansweredSince = undefined;
             known.isAnswering = isAnswering;
         },
-        noteAnswer: peerId => {
+        recordAnswer: peerId => {
             find(peerId).timeouts = 0;
         },
-        noteTimeout: peerId => {
+        recordTimeout: peerId => {
             const known = find(peerId);
             known.timeouts += 1;
             if (known.timeouts >= timeoutsForSuspicion) {
--- a/packages/daisyturn/src/process/forwarding/coordination/createGroupTeller.ts
+++ b/packages/daisyturn/src/process/forwarding/coordination/createGroupLoadPublisher.ts
@@ -4,8 +4,8 @@
 import { encodeLoadMessage, type LoadMessage } from "./messages/loadMessage.js";
 import type { PeerAddress } from "./peerChannel.js";
 
-/** What {@link createGroupTeller} needs. */
-export interface GroupTellerOptions {
+/** What {@link createGroupLoadPublisher} needs. */
+export interface GroupLoadPublisherOptions {
     readonly selfId: string;
     readonly views: Pick<TargetViews, "loads" | "health" | "caches" | "demand" | "closed">;
     readonly link: Pick<CoordinatorLink, "listOtherCandidates" | "current">;
@@ -14,18 +14,20 @@
 }
 
 /** Tells the coordinators of other groups what this one's group has under way. */
-export interface GroupTeller {
+export interface GroupLoadPublisher {
     run(signal: AbortSignal): Promise<void>;
 }
 
 /** Pause between two messages; bytes between availability zones are paid for. */
-export const groupMilliseconds = 200;
+export const groupReportMilliseconds = 200;
 const idleMilliseconds = 1_000;
 /** Longest list of placements told at once; of more, the last ones say most. */
 const mostPlacements = 20;
 
 /** Creates the teller of one process, which tells only while it coordinates its group. */
-export function createGroupTeller({ selfId, views, link, send, clock }: GroupTellerOptions): GroupTeller {
+export function createGroupLoadPublisher(
+    { selfId, views, link, send, clock }: GroupLoadPublisherOptions,
+): GroupLoadPublisher {
     const { loads, health, caches, demand, closed } = views;
     let kept: LoadMessage["kept"][number][] = [];
     const news = createSignal();
@@ -72,7 +74,7 @@
                 if (mayTell) {
                     tell();
                 }
-                const pause = mayTell ? groupMilliseconds : idleMilliseconds;
+                const pause = mayTell ? groupReportMilliseconds : idleMilliseconds;
                 await news.wait(clock, clock.monotonicNow() + pause, signal);
             }
         },
--- a/packages/daisyturn/src/process/forwarding/coordination/createLoadTeller.ts
+++ b/packages/daisyturn/src/process/forwarding/coordination/createLoadPublisher.ts
@@ -6,23 +6,23 @@
 import { encodeLoadMessage, type LoadMessage } from "./messages/loadMessage.js";
 import type { PeerAddress } from "./peerChannel.js";
 
-/** What {@link createLoadTeller} needs. */
-export interface LoadTellerOptions {
+/** What {@link createLoadPublisher} needs. */
+export interface LoadPublisherOptions {
     readonly selfId: string;
     readonly views: Pick<
         TargetViews,
         "loads" | "health" | "caches" | "demand" | "closed" | "slowdowns" | "prefillRates" | "eventIntervals"
     >;
     readonly sizeFairness: SizeFairness;
-    readonly link: Pick<CoordinatorLink, "listTold" | "current" | "isSilent">;
+    readonly link: Pick<CoordinatorLink, "listReportReceivers" | "current" | "isSilent">;
     /** Number of the last placement that was taken from a coordinator. */
-    readonly lastTaken: (peerId: string) => number;
+    readonly lastReceived: (peerId: string) => number;
     readonly send: (to: PeerAddress, datagram: Buffer) => void;
     readonly clock: Clock;
 }
 
 /** Tells the coordinators what this process has under way and what it has observed. */
-export interface LoadTeller {
+export interface LoadPublisher {
     run(signal: AbortSignal): Promise<void>;
 }
 
@@ -39,7 +39,7 @@
 const noNews: News = { kept: [], paces: [], prefills: [], pauses: [], ended: [] };
 
 /** Creates the teller of one process. */
-export function createLoadTeller(options: LoadTellerOptions): LoadTeller {
+export function createLoadPublisher(options: LoadPublisherOptions): LoadPublisher {
     const { selfId, views, sizeFairness, link, clock } = options;
     const { loads, health, caches, demand, closed, slowdowns, prefillRates, eventIntervals } = views;
     const changed = createSignal();
@@ -85,7 +85,7 @@
                 from: selfId,
                 pause: idleMilliseconds,
                 isGroup: false,
-                placed: options.lastTaken(peer.peerId),
+                placed: options.lastReceived(peer.peerId),
                 work: loads.listOwn(),
                 demand: demand.listOwn().map(([service, rate]) => [service, Math.round(rate)] as const),
                 closed: closed.listOwn(),
@@ -98,7 +98,7 @@
     const tellAll = () => {
         hasChanged = false;
         const news = takeNews();
-        const told = link.listTold();
+        const told = link.listReportReceivers();
         told.forEach(peer => untold.set(peer.peerId, joinNews(untold.get(peer.peerId) ?? noNews, news)));
         told.filter(isDue).forEach(tell);
     };
--- a/packages/daisyturn/src/process/forwarding/coordination/createMembers.ts
+++ b/packages/daisyturn/src/process/forwarding/coordination/createMembers.ts
@@ -4,21 +4,21 @@
 /** The processes that tell this one what they have under way, since they take it for a coordinator. */
 export interface Members {
     /** Notes that a process has told it. @returns whether it had not before, or not for long */
-    note(peerId: string, address: PeerAddress): boolean;
+    record(peerId: string, address: PeerAddress): boolean;
     list(): readonly PeerAddress[];
     /** Whether all of them have had the time to tell it. */
     isComplete(): boolean;
 }
 
 /** Processes tell several times in this time, also while nothing changes. */
-const memberMilliseconds = 3_200;
+const memberExpiryMilliseconds = 3_200;
 /** Within this time after the first one, all have told. */
 const completeMilliseconds = 1_300;
 
 interface Member {
     readonly address: PeerAddress;
     /** Monotonic time. */
-    readonly heardAt: number;
+    readonly lastContactAt: number;
 }
 
 /** Creates the members as one process hears them. */
@@ -27,24 +27,24 @@
     /** Monotonic time since which there have always been some. */
     let since: number | undefined;
 
-    const dropOld = () => {
-        const oldest = clock.monotonicNow() - memberMilliseconds;
-        members.forEach(({ heardAt }, peerId) => heardAt < oldest && members.delete(peerId));
+    const removeExpired = () => {
+        const oldest = clock.monotonicNow() - memberExpiryMilliseconds;
+        members.forEach(({ lastContactAt }, peerId) => lastContactAt < oldest && members.delete(peerId));
         if (members.size === 0) {
             since = undefined;
         }
     };
 
     return {
-        note: (peerId, address) => {
-            dropOld();
+        record: (peerId, address) => {
+            removeExpired();
             const isNew = !members.has(peerId);
-            members.set(peerId, { address, heardAt: clock.monotonicNow() });
+            members.set(peerId, { address, lastContactAt: clock.monotonicNow() });
             since ??= clock.monotonicNow();
             return isNew;
         },
         list: () => {
-            dropOld();
+            removeExpired();
             return [...members.values()].map(({ address }) => address);
         },
         isComplete: () => since !== undefined && clock.monotonicNow() - since >= completeMilliseconds,
--- a/packages/daisyturn/src/process/forwarding/coordination/createPlacementDesk.ts
+++ b/packages/daisyturn/src/process/forwarding/coordination/createPlacementServer.ts
@@ -6,17 +6,17 @@
 import { countTokens, type PlacedStep } from "../placement/callPlacement.js";
 import type { DecisionRequest, PromptDecision } from "../placement/decidePrompt.js";
 import type { TargetLoads } from "../views/createTargetLoads.js";
-import type { PlacementAnswer, PlacementAsk, PlacementStep } from "./messages/placementMessages.js";
+import type { PlacementAnswer, PlacementRequest, PlacementStep } from "./messages/placementMessages.js";
 
 /** Places prompts for the processes of a group. */
-export interface PlacementDesk {
-    answer(ask: PlacementAsk): PlacementAnswer;
+export interface PlacementServer {
+    answer(ask: PlacementRequest): PlacementAnswer;
     /** A process has told what it has under way, with the placements up to this number in it. */
-    noteTaken(peerId: string, number: number): void;
+    acknowledge(peerId: string, number: number): void;
 }
 
-/** What {@link createPlacementDesk} needs. */
-export interface PlacementDeskOptions {
+/** What {@link createPlacementServer} needs. */
+export interface PlacementServerOptions {
     readonly coordinatorId: string;
     readonly decide: (request: DecisionRequest) => PromptDecision | undefined;
     readonly findService: (name: string) => ForwardService | undefined;
@@ -39,12 +39,12 @@
  * Creates the desk of one coordinator. What it has placed counts as under way from that moment on, until the process that
  * took it tells of it: so two prompts that come within the same millisecond see each other.
  */
-export function createPlacementDesk(options: PlacementDeskOptions): PlacementDesk {
+export function createPlacementServer(options: PlacementServerOptions): PlacementServer {
     const { coordinatorId, loads, sizeFairness, clock } = options;
     const given = new Map<string, GivenPlacement[]>();
     let numbers = 0;
 
-    const describeRequest = (ask: PlacementAsk): DecisionRequest => ({
+    const describeRequest = (ask: PlacementRequest): DecisionRequest => ({
         route: ask.route,
         demand: {
             ...ask,
@@ -58,7 +58,7 @@
     });
 
     /** A prompt that will be refused is not under way. */
-    const give = (ask: PlacementAsk, { placement: way, lateness }: PromptDecision, number: number) => {
+    const give = (ask: PlacementRequest, { placement: way, lateness }: PromptDecision, number: number) => {
         if (lateness > 0) {
             return;
         }
@@ -99,13 +99,13 @@
             }
             return describeAnswer(coordinatorId, ask, numbers, decision);
         },
-        noteTaken: drop,
+        acknowledge: drop,
     };
 }
 
 function describeAnswer(
     coordinatorId: string,
-    { askId }: PlacementAsk,
+    { askId }: PlacementRequest,
     number: number,
     decision: PromptDecision | undefined,
 ): PlacementAnswer {
--- a/packages/daisyturn/src/process/forwarding/coordination/createRelayedTables.ts
+++ b/packages/daisyturn/src/process/forwarding/coordination/createRelayedTables.ts
@@ -27,15 +27,15 @@
 /** The tables that coordinators pass on to one process. */
 export interface RelayedTables {
     find(table: string): RelayedTable;
-    noteState(state: CoordinatorState): void;
-    noteRows(message: RowsMessage): void;
+    applyState(state: CoordinatorState): void;
+    applyRows(message: RowsMessage): void;
 }
 
 /** What {@link createRelayedTables} needs. */
 export interface RelayedTablesOptions {
     readonly clock: Clock;
     /** Longest time since the store has answered a coordinator for which its word holds, in milliseconds. */
-    readonly freshMilliseconds: () => number;
+    readonly maxStateAgeMilliseconds: () => number;
     /** Whether this process asks the store itself in any case, since others go by its word. */
     readonly isReader: () => boolean;
 }
@@ -43,27 +43,27 @@
 /** Rows that are missing may be on their way; after this the store is asked for them. */
 const missingMilliseconds = 60;
 /** Messages kept that can't be taken yet. */
-const mostMessages = 16;
+const maxMessages = 16;
 
-interface Vouch extends TableState {
+interface StateReport extends TableState {
     /** Monotonic time at which the store last answered the coordinator. */
-    readonly knownAt: number;
+    readonly storeAnsweredAt: number;
 }
 
 /** Creates the tables of one process. */
 export function createRelayedTables(options: RelayedTablesOptions): RelayedTables {
     const { clock } = options;
-    const vouches = new Map<string, Map<string, Vouch>>();
+    const reportsByTable = new Map<string, Map<string, StateReport>>();
     const messages = new Map<string, (RowsMessage & { readonly at: number; })[]>();
     const news = createSignal();
 
     /** Finds the most recent state report of a table within the latest era. */
-    const findVouch = (table: string): Vouch | undefined => {
-        const found = [...vouches.get(table)?.values() ?? []];
-        return found.sort((left, right) => right.era - left.era || right.knownAt - left.knownAt)[0];
+    const findLatestReport = (table: string): StateReport | undefined => {
+        const found = [...reportsByTable.get(table)?.values() ?? []];
+        return found.sort((left, right) => right.era - left.era || right.storeAnsweredAt - left.storeAnsweredAt)[0];
     };
 
-    const takeRows = (table: string, { era, version }: StorePosition): RelayedPage | undefined => {
+    const dequeueRows = (table: string, { era, version }: StorePosition): RelayedPage | undefined => {
         const isAhead = (message: RowsMessage) => message.era > era || message.era === era && message.version > version;
         const fitting = messages.get(table)?.find(message =>
             message.era === era && message.afterVersion <= version && message.version > version
@@ -87,12 +87,12 @@
         const { era, version } = after;
         let missingSince: number | undefined;
         while (!signal.aborted && isWaiting()) {
-            const rows = takeRows(table, after);
+            const rows = dequeueRows(table, after);
             if (rows) {
                 return rows;
             }
-            const vouch = findVouch(table);
-            const staleAt = (vouch?.knownAt ?? -Infinity) + options.freshMilliseconds();
+            const vouch = findLatestReport(table);
+            const staleAt = (vouch?.storeAnsweredAt ?? -Infinity) + options.maxStateAgeMilliseconds();
             const now = clock.monotonicNow();
             if (!vouch || staleAt <= now || vouch.era < era) {
                 return undefined;
@@ -119,17 +119,17 @@
             next: (after, signal) => next(table, after, signal, () => !options.isReader()),
             nextUntil: (after, until, signal) => next(table, after, signal, () => clock.monotonicNow() < until, until),
         }),
-        noteState: ({ from, tables }) => {
+        applyState: ({ from, tables }) => {
             for (const state of tables) {
-                const byCoordinator = vouches.get(state.table) ?? new Map<string, Vouch>();
-                vouches.set(state.table, byCoordinator);
-                byCoordinator.set(from, { ...state, knownAt: clock.monotonicNow() - state.age });
+                const byCoordinator = reportsByTable.get(state.table) ?? new Map<string, StateReport>();
+                reportsByTable.set(state.table, byCoordinator);
+                byCoordinator.set(from, { ...state, storeAnsweredAt: clock.monotonicNow() - state.age });
             }
             news.raise();
         },
-        noteRows: message => {
+        applyRows: message => {
             const kept = [...messages.get(message.table) ?? [], { ...message, at: clock.monotonicNow() }];
-            messages.set(message.table, kept.slice(-mostMessages));
+            messages.set(message.table, kept.slice(-maxMessages));
             news.raise();
         },
     };
--- a/packages/daisyturn/src/process/forwarding/coordination/createStateTeller.ts
+++ b/packages/daisyturn/src/process/forwarding/coordination/createStatePublisher.ts
@@ -6,21 +6,21 @@
 import { encodeCoordinatorState, encodeRowsMessage } from "./messages/tableMessages.js";
 import type { PeerAddress } from "./peerChannel.js";
 
-/** What {@link createStateTeller} needs. */
-export interface StateTellerOptions {
+/** What {@link createStatePublisher} needs. */
+export interface StatePublisherOptions {
     readonly selfId: string;
     readonly members: Members;
     readonly link: Pick<CoordinatorLink, "isCandidate" | "listCandidates">;
     readonly reader: TableReader;
     readonly closed: ClosedTargets;
     /** Longest time for which a coordinator's word on a table holds, in milliseconds. */
-    readonly freshMilliseconds: () => number;
+    readonly maxStateAgeMilliseconds: () => number;
     readonly send: (to: PeerAddress, datagram: Buffer) => void;
     readonly clock: Clock;
 }
 
 /** Tells the processes that take this one for a coordinator that it is there, and what it reads in the store. */
-export interface StateTeller {
+export interface StatePublisher {
     /** Tells one process, at once. */
     tell(member: PeerAddress): void;
     /** Tells all that they had better ask another process. */
@@ -37,7 +37,7 @@
 const mostRowsBytes = 16_384;
 
 /** Creates the teller of one process. */
-export function createStateTeller(options: StateTellerOptions): StateTeller {
+export function createStatePublisher(options: StatePublisherOptions): StatePublisher {
     const { selfId, members, link, reader, closed, send, clock } = options;
     const news = createSignal();
     let isStopping = false;
@@ -52,7 +52,7 @@
             candidates: link.listCandidates(),
         });
 
-    const tellAll = () => {
+    const publishAll = () => {
         const present = members.list();
         if (present.length > 0) {
             const state = describe();
@@ -63,7 +63,7 @@
     const pause = () =>
         closed.hasOwnClosings()
             ? closingMilliseconds
-            : Math.min(longestPauseMilliseconds, options.freshMilliseconds() / statesPerFreshTime);
+            : Math.min(longestPauseMilliseconds, options.maxStateAgeMilliseconds() / statesPerFreshTime);
 
     reader.onRows(message => {
         const datagram = encodeRowsMessage({ ...message, from: selfId });
@@ -76,11 +76,11 @@
         tell: member => send(member, describe()),
         stopAnswering: () => {
             isStopping = true;
-            tellAll();
+            publishAll();
         },
         run: async signal => {
             while (!signal.aborted) {
-                tellAll();
+                publishAll();
                 await news.wait(clock, clock.monotonicNow() + pause(), signal);
             }
         },
--- a/packages/daisyturn/src/process/forwarding/coordination/createTableReader.ts
+++ b/packages/daisyturn/src/process/forwarding/coordination/createTableReader.ts
@@ -6,17 +6,17 @@
 /** What this process knows of the tables that it reads from the store itself, to be passed on. */
 export interface TableReader {
     /** Records an answer of the store; `after` is undefined if the table was read in full. */
-    noteAnswer(table: string, page: FeedPage, after: StorePosition | undefined): void;
-    noteFailure(table: string): void;
+    recordAnswer(table: string, page: FeedPage, after: StorePosition | undefined): void;
+    recordFailure(table: string): void;
     listStates(): readonly TableState[];
     /** Called with rows that have changed. */
     onRows(listener: (message: Omit<RowsMessage, "from">) => void): void;
 }
 
 /** An outage that ended longer ago no longer tells what the removal of a row means. */
-const rememberedFailureMilliseconds = 5_000;
+const recentFailureMilliseconds = 5_000;
 
-interface ReadTable {
+interface KnownTable {
     changedVersion: number;
     position: StorePosition;
     /** Monotonic time of the store's last answer. */
@@ -26,10 +26,10 @@
 
 /** Creates the reader of one process. */
 export function createTableReader(clock: Clock): TableReader {
-    const tables = new Map<string, ReadTable>();
+    const tables = new Map<string, KnownTable>();
     const listeners: ((message: Omit<RowsMessage, "from">) => void)[] = [];
 
-    const find = (table: string): ReadTable => {
+    const find = (table: string): KnownTable => {
         let known = tables.get(table);
         if (!known) {
             known = { changedVersion: 0, position: { era: 0, version: 0 }, answeredAt: -Infinity, failedAt: -Infinity };
@@ -38,7 +38,7 @@
         return known;
     };
 
-    const tell = (table: string, page: FeedPage, after: StorePosition) => {
+    const notifyListeners = (table: string, page: FeedPage, after: StorePosition) => {
         const failedAge = clock.monotonicNow() - find(table).failedAt;
         const message = {
             table,
@@ -46,13 +46,13 @@
             afterVersion: after.version,
             version: page.position.version,
             rows: page.rows,
-            ...(failedAge < rememberedFailureMilliseconds && { failedAge: Math.round(failedAge) }),
+            ...(failedAge < recentFailureMilliseconds && { failedAge: Math.round(failedAge) }),
         };
         listeners.forEach(listener => listener(message));
     };
 
     return {
-        noteAnswer: (table, page, after) => {
+        recordAnswer: (table, page, after) => {
             if (after && after.era !== page.position.era) {
                 // Changes of another era cannot be applied to the known rows; the table is re-read in full.
                 return;
@@ -67,10 +67,10 @@
                 known.changedVersion = page.position.version;
             }
             if (after !== undefined && page.rows.length > 0) {
-                tell(table, page, after);
+                notifyListeners(table, page, after);
             }
         },
-        noteFailure: table => {
+        recordFailure: table => {
             find(table).failedAt = clock.monotonicNow();
         },
         listStates: () => {
--- a/packages/daisyturn/src/process/forwarding/coordination/messages/closingLists.ts
+++ b/packages/daisyturn/src/process/forwarding/coordination/messages/closingLists.ts
@@ -5,7 +5,7 @@
 type ClosingListEntry = readonly [string, number, readonly Closing[]];
 
 /** A change of stage takes seconds; longer closings are rejected because they would take a target out of service. */
-const longestClosingMilliseconds = 60_000;
+const maxClosingMilliseconds = 60_000;
 
 /** Encodes a list as an entry of a message. */
 export function encodeClosingList({ closerId, revision, closings }: ClosingList): ClosingListEntry {
@@ -22,6 +22,6 @@
     return entries.map(([closerId, revision, closings]) => ({
         closerId,
         revision,
-        closings: readList<Closing>(closings, [isName, time => isAmount(time, longestClosingMilliseconds)]),
+        closings: readList<Closing>(closings, [isName, time => isAmount(time, maxClosingMilliseconds)]),
     }));
 }
--- a/packages/daisyturn/src/process/forwarding/coordination/messages/loadMessage.ts
+++ b/packages/daisyturn/src/process/forwarding/coordination/messages/loadMessage.ts
@@ -15,7 +15,7 @@
     readAmount,
     readList,
     readName,
-    tryRead,
+    readOrUndefined,
 } from "./notification.js";
 
 /** What a process tells its coordinators, or a coordinator those of other groups about its whole group. */
@@ -45,12 +45,12 @@
 
 export const loadMethod = "load";
 /** Far beyond what a target can have under way, in calls, milliseconds or tokens. */
-const largestAmount = 1e9;
+const maxAmount = 1e9;
 /** Thousands of processes tell each other within this time; a longer pause would keep what is told for ever. */
-const longestPauseMilliseconds = 600_000;
+const maxPauseMilliseconds = 600_000;
 
 /** Limits the size of a message when many targets fail at once. */
-const mostFailingTargets = 20;
+const maxFailingTargets = 20;
 
 /** Writes a message as the notification that its receivers read. */
 export function encodeLoadMessage({ work, closed, failing, ...message }: LoadMessage): Buffer {
@@ -58,7 +58,7 @@
         ...message,
         work: work.map(encodeWork),
         closed: closed.map(encodeClosingList),
-        failing: failing.slice(0, mostFailingTargets).map(targetId => [targetId]),
+        failing: failing.slice(0, maxFailingTargets).map(targetId => [targetId]),
     });
 }
 
@@ -67,15 +67,15 @@
  * left out, and the others hold: names and sizes of parts come from callers.
  */
 export function readLoadMessage({ method, params }: Notification): LoadMessage | undefined {
-    return method === loadMethod ? tryRead(() => readParams(params)) : undefined;
+    return method === loadMethod ? readOrUndefined(() => readParams(params)) : undefined;
 }
 
 function readParams(params: Notification["params"]): LoadMessage {
-    const isLoad = (value: unknown) => isAmount(value, largestAmount);
+    const isLoad = (value: unknown) => isAmount(value, maxAmount);
     const isFlag = (value: unknown) => typeof value === "boolean";
     return {
         from: readName(params["from"]),
-        pause: readAmount(params["pause"], longestPauseMilliseconds),
+        pause: readAmount(params["pause"], maxPauseMilliseconds),
         isGroup: params["isGroup"] === true,
         placed: readAmount(params["placed"]),
         work: readList<WorkEntry>(params["work"], [isName, isLoad, isLoad, isLoad, isLoad]).map(decodeWork),
--- a/packages/daisyturn/src/process/forwarding/coordination/messages/notification.ts
+++ b/packages/daisyturn/src/process/forwarding/coordination/messages/notification.ts
@@ -4,9 +4,9 @@
     readonly params: Readonly<Record<string, unknown>>;
 }
 
-const longestName = 200;
+const maxNameLength = 200;
 /** Far beyond what a process or a target can have, in calls, milliseconds, tokens or versions of the store. */
-const largestAmount = 1e15;
+const maxAmount = 1e15;
 
 /** Writes a notification. */
 export function encodeNotification(method: string, params: object): Buffer {
@@ -28,7 +28,7 @@
 }
 
 /** The result of a reader that throws where a field is not what it must be; undefined then. */
-export function tryRead<Message>(read: () => Message): Message | undefined {
+export function readOrUndefined<Message>(read: () => Message): Message | undefined {
     try {
         return read();
     }
@@ -38,10 +38,10 @@
 }
 
 export function isName(value: unknown): value is string {
-    return typeof value === "string" && value !== "" && value.length <= longestName;
+    return typeof value === "string" && value !== "" && value.length <= maxNameLength;
 }
 
-export function isAmount(value: unknown, largest = largestAmount): value is number {
+export function isAmount(value: unknown, largest = maxAmount): value is number {
     return typeof value === "number" && value >= 0 && value <= largest;
 }
 
--- a/packages/daisyturn/src/process/forwarding/coordination/messages/placementMessages.ts
+++ b/packages/daisyturn/src/process/forwarding/coordination/messages/placementMessages.ts
@@ -8,11 +8,11 @@
     readList,
     readName,
     readOptionalAmount,
-    tryRead,
+    readOrUndefined,
 } from "./notification.js";
 
 /** Asks a coordinator which way a prompt is to go. */
-export interface PlacementAsk {
+export interface PlacementRequest {
     readonly from: string;
     /** Number of the question, unique to the sender. */
     readonly askId: number;
@@ -41,7 +41,7 @@
     readonly fetchFrom?: string;
 }
 
-/** Answers a {@link PlacementAsk}. */
+/** Answers a {@link PlacementRequest}. */
 export interface PlacementAnswer {
     readonly from: string;
     readonly askId: number;
@@ -59,18 +59,18 @@
     readonly lateness?: number;
 }
 
-export const askMethod = "place";
+export const requestMethod = "place";
 export const answerMethod = "placed";
 
 /** Writes a question. */
-export function encodePlacementAsk({ prompt, ...ask }: PlacementAsk): Buffer {
+export function encodePlacementRequest({ prompt, ...ask }: PlacementRequest): Buffer {
     const parts = prompt.parts.map(({ partId, tokens }) => [partId, tokens]);
-    return encodeNotification(askMethod, { ...ask, prompt: { ...prompt, parts } });
+    return encodeNotification(requestMethod, { ...ask, prompt: { ...prompt, parts } });
 }
 
 /** Reads a question; undefined where a field is missing or can't be. */
-export function readPlacementAsk({ method, params }: Notification): PlacementAsk | undefined {
-    return method === askMethod ? tryRead(() => readAskParams(params)) : undefined;
+export function readPlacementRequest({ method, params }: Notification): PlacementRequest | undefined {
+    return method === requestMethod ? readOrUndefined(() => readRequestParams(params)) : undefined;
 }
 
 /** Writes an answer. */
@@ -80,10 +80,10 @@
 
 /** Reads an answer; undefined where a field is missing or can't be. */
 export function readPlacementAnswer({ method, params }: Notification): PlacementAnswer | undefined {
-    return method === answerMethod ? tryRead(() => readAnswerParams(params)) : undefined;
+    return method === answerMethod ? readOrUndefined(() => readAnswerParams(params)) : undefined;
 }
 
-function readAskParams(params: Notification["params"]): PlacementAsk {
+function readRequestParams(params: Notification["params"]): PlacementRequest {
     return {
         from: readName(params["from"]),
         askId: readAmount(params["askId"]),
--- a/packages/daisyturn/src/process/forwarding/coordination/messages/tableMessages.ts
+++ b/packages/daisyturn/src/process/forwarding/coordination/messages/tableMessages.ts
@@ -11,7 +11,7 @@
     readList,
     readName,
     readOptionalAmount,
-    tryRead,
+    readOrUndefined,
 } from "./notification.js";
 
 /** What a coordinator knows of one table that it follows in the store. */
@@ -74,7 +74,7 @@
 
 /** Reads a coordinator's state; undefined where a field is missing or can't be. */
 export function readCoordinatorState({ method, params }: Notification): CoordinatorState | undefined {
-    return method === stateMethod ? tryRead(() => readStateParams(params)) : undefined;
+    return method === stateMethod ? readOrUndefined(() => readStateParams(params)) : undefined;
 }
 
 /** Writes changed rows; a row without a text was removed. */
@@ -85,7 +85,7 @@
 
 /** Reads changed rows; undefined where a field is missing or can't be, since no row may be left out. */
 export function readRowsMessage({ method, params }: Notification): RowsMessage | undefined {
-    return method === rowsMethod ? tryRead(() => readRowsParams(params)) : undefined;
+    return method === rowsMethod ? readOrUndefined(() => readRowsParams(params)) : undefined;
 }
 
 type StateEntry = readonly [string, number, number, number, number?];
--- a/packages/daisyturn/src/process/forwarding/coordination/rankCoordinators.ts
+++ b/packages/daisyturn/src/process/forwarding/coordination/rankCoordinators.ts
@@ -5,11 +5,13 @@
  * Up to so many processes share one coordinator over all availability zones; more have one in each zone, so that what a
  * coordinator does grows with its zone and few messages cross zones.
  */
-const mostInOneGroup = 20;
+const maxSingleGroupSize = 20;
 
 /** The processes that share a coordinator with one of a zone. */
 export function selectGroup(peers: readonly RegisteredPeer[], availabilityZone: string): readonly RegisteredPeer[] {
-    return peers.length <= mostInOneGroup ? peers : peers.filter(peer => peer.availabilityZone === availabilityZone);
+    return peers.length <= maxSingleGroupSize
+        ? peers
+        : peers.filter(peer => peer.availabilityZone === availabilityZone);
 }
 
 /**
--- a/packages/daisyturn/src/process/forwarding/coordination/followPeers.ts
+++ b/packages/daisyturn/src/process/forwarding/coordination/watchPeers.ts
@@ -2,8 +2,8 @@
 import type { PeerRegistry, RegisteredPeer } from "../../../ports/peerRegistry.js";
 import type { CoordinatorLink } from "./createCoordinatorLink.js";
 
-/** What {@link followPeers} needs. */
-export interface FollowPeersOptions {
+/** What {@link watchPeers} needs. */
+export interface WatchPeersOptions {
     readonly self: RegisteredPeer;
     readonly registry: PeerRegistry;
     readonly link: CoordinatorLink;
@@ -33,7 +33,7 @@
  * Enters this process among those of the fleet and finds the others, until the signal is aborted. A process that hears a
  * coordinator learns from it who comes next, and asks the store no more.
  */
-export async function followPeers(options: FollowPeersOptions, signal: AbortSignal): Promise<void> {
+export async function watchPeers(options: WatchPeersOptions, signal: AbortSignal): Promise<void> {
     const { self, registry, link, refreshRequest, clock, eventLog } = options;
     let unreadable = 0;
     let mustRefresh = true;
@@ -77,7 +77,7 @@
 
     while (!signal.aborted) {
         const needsLook = mustRefresh || refreshRequest.isPending || found.length === 0 || link.isCandidate()
-            || !link.isHeard();
+            || !link.hasContact();
         const pause = needsLook ? await look() : checkMilliseconds;
         if (!refreshRequest.isPending) {
             await refreshRequest.requested.wait(clock, clock.monotonicNow() + pause, signal);
--- a/packages/daisyturn/src/process/forwarding/targets/watchTable.ts
+++ b/packages/daisyturn/src/process/forwarding/targets/watchTable.ts
@@ -48,7 +48,7 @@
     /** News that another process passes on: while it does, the store is not asked. */
     readonly relay?: RelayedTable;
     /** Takes what the store has answered, for other processes. */
-    readonly reader?: Pick<TableReader, "noteAnswer" | "noteFailure">;
+    readonly reader?: Pick<TableReader, "recordAnswer" | "recordFailure">;
 }
 
 /** Beyond its wait, a call gets this long before its connection counts as silent. */
@@ -144,12 +144,12 @@
     const takeAnswer = (answer: Result<FeedPage, Failure>): number => {
         noteReachable(answer.isOk, answer.isErr ? answer.error.message : undefined);
         if (answer.isErr) {
-            options.reader?.noteFailure(options.name);
+            options.reader?.recordFailure(options.name);
             const pause = retryMilliseconds;
             retryMilliseconds = Math.min(longestRetryMilliseconds, retryMilliseconds * 2);
             return pause;
         }
-        options.reader?.noteAnswer(options.name, answer.value, position);
+        options.reader?.recordAnswer(options.name, answer.value, position);
         retryMilliseconds = firstRetryMilliseconds;
         return take(answer.value);
     };
