--- a/packages/daisyturn/src/process/forwarding/coordination/__fixtures__/createFleet.ts
+++ b/packages/daisyturn/src/process/forwarding/coordination/__fixtures__/createFleet.ts
@@ -11,9 +11,11 @@
 import { coordinate } from "../coordinate.js";
 import { DatagramChannel, type PeerAddress } from "../peerChannel.js";
 
-/** What the processes of a fleet have sent, by whether it crossed availability zones. */
+/** Counts of what the processes of a fleet have sent. */
 export interface SentCounts {
+    /** Datagrams within an availability zone. */
     near: number;
+    /** Datagrams between availability zones. */
     far: number;
     farBytes: number;
     /** Calls to the registry. */
@@ -24,25 +26,27 @@
 
 type Link = (from: RegisteredPeer, to: RegisteredPeer) => boolean;
 
-/** What a coordinator's word on a table holds for, in milliseconds. */
 export const maxStateAgeMilliseconds = 1_500;
 const portOffset = 7_000;
 
-/** Processes that hear each other after a millisecond, unless the test cuts them off, and engines in each zone. */
+/**
+ * Creates processes that receive each other's datagrams after a millisecond, unless the test cuts a link, and engines
+ * in each zone.
+ */
 export function createFleet(count: number, zones = 1, enginesPerZone = 4) {
     const clock = new FakeClock();
     const listeners = new Map<number, (datagram: Buffer, from: PeerAddress) => void>();
-    const entered = new Map<string, RegisteredPeer>();
+    const registered = new Map<string, RegisteredPeer>();
     const sent: SentCounts = { near: 0, far: 0, farBytes: 0, registryCalls: 0, bySender: new Map() };
-    let hears: Link = () => true;
+    let isConnected: Link = () => true;
     const stop = new AbortController();
     const peers = Array.from({ length: count }, (value, index) => createPeer(index, zones));
 
     class SharedRegistry extends PeerRegistry {
         override async refresh(self: RegisteredPeer): Promise<Result<PeerListing, Failure>> {
             sent.registryCalls += 1;
-            entered.set(self.peerId, self);
-            return ok({ peers: [...entered.values()], unreadable: 0 });
+            registered.set(self.peerId, self);
+            return ok({ peers: [...registered.values()], unreadable: 0 });
         }
 
         override async leave(): Promise<void> {}
@@ -53,7 +57,7 @@
         if (receiver) {
             countDatagram(sent, self, receiver, datagram);
             await clock.sleepUntil(clock.monotonicNow() + 1);
-            if (hears(self, receiver)) {
+            if (isConnected(self, receiver)) {
                 listeners.get(to.port)?.(datagram, { host: self.host, port: self.port });
             }
         }
@@ -108,17 +112,17 @@
             stop.abort();
             await clock.advance(5_000);
         },
-        /** Says who hears whom from now on. */
+        /** Sets which processes receive datagrams from which others. */
         setLink: (link: Link) => {
-            hears = link;
+            isConnected = link;
         },
         /** Removes all entries from the registry. */
-        clearEntries: () => entered.clear(),
-        listEntries: () => [...entered.keys()],
+        clearEntries: () => registered.clear(),
+        listEntries: () => [...registered.keys()],
         counts: (): SentCounts => ({ ...sent, bySender: new Map(sent.bySender) }),
-        /** Those that coordinate a group by their own sight. */
+        /** Lists the processes that coordinate a group according to their own information. */
         listCoordinators: () => processes.filter(({ coordination }) => coordination.isCoordinator()),
-        /** Starts a process anew under the same name: it knows nothing. */
+        /** Restarts a process under the same name, without any of its state. */
         restart: (index: number) => {
             processes[index]?.end();
             const peer = peers[index];
--- a/packages/daisyturn/src/process/forwarding/coordination/__tests__/coordinate.test.ts
+++ b/packages/daisyturn/src/process/forwarding/coordination/__tests__/coordinate.test.ts
@@ -13,23 +13,23 @@
     return { route: "ask", demand, patience: 2_000, isUnderserved: () => false, areLongestUnderserved: () => false };
 }
 
-/** Lets a decision be made, and takes the way as a process does: its reading counts at once. */
+/** Requests a decision and begins its prefill at the chosen engine, which counts as load immediately. */
 async function place({ clock }: Fleet, process: FleetProcess, request = createRequest()) {
     const deciding = process.coordination.decisions.decide(request);
     await clock.advance(50);
     const decision = await deciding;
     assert.ok(decision);
-    const heavy = decision.placement.prefill ?? decision.placement.decode;
-    const work = process.loads.begin(heavy.target.targetId, {
-        work: heavy.work,
+    const prefillStep = decision.placement.prefill ?? decision.placement.decode;
+    const work = process.loads.begin(prefillStep.target.targetId, {
+        work: prefillStep.work,
         isDeferred: decision.placement.isDeferred,
         tokens: request.demand.prompt.promptTokens,
     });
-    return { decision, engine: heavy.target.targetId, work };
+    return { decision, engine: prefillStep.target.targetId, work };
 }
 
 describe("a group of processes", () => {
-    it("has one coordinator, which knows what all have under way, and that of other groups a little later", async () => {
+    it("has one coordinator, which knows the load of its group and, a little later, that of other groups", async () => {
         const fleet = createFleet(60, 3);
         await fleet.clock.advance(6_000);
         const coordinators = fleet.listCoordinators();
@@ -48,7 +48,7 @@
         others.forEach(({ loads }) => assert.equal(loads.wait("engine", false), 80));
         await fleet.clock.advance(3_000);
         others.forEach(({ loads }) =>
-            assert.equal(loads.wait("engine", false), 80, "not forgotten before it is told anew")
+            assert.equal(loads.wait("engine", false), 80, "does not expire before the next report")
         );
         work.end();
         await fleet.clock.advance(400);
@@ -56,7 +56,7 @@
         await fleet.stop();
     });
 
-    it("tells the coordinators of other groups which engines keep what its prompts begin with", async () => {
+    it("reports to the coordinators of other groups which engines cache the parts of its prompts", async () => {
         const fleet = createFleet(60, 3);
         await fleet.clock.advance(6_000);
         const member = fleet.processes[10];
@@ -68,7 +68,7 @@
         await fleet.stop();
     });
 
-    it("sees prompts that come at once at different processes: they go to different engines", async () => {
+    it("places prompts that arrive at different processes at the same time on different engines", async () => {
         const fleet = createFleet(9, 3);
         await fleet.clock.advance(6_000);
         const requests = fleet.processes.slice(0, 6).map(process =>
@@ -77,30 +77,32 @@
             )
         );
         await fleet.clock.advance(50);
-        const readers = (await Promise.all(requests)).map(decision => decision?.placement.prefill?.target.targetId);
-        assert.ok(new Set(readers).size >= 5, readers.join(" "));
+        const prefillEngines = (await Promise.all(requests)).map(decision =>
+            decision?.placement.prefill?.target.targetId
+        );
+        assert.ok(new Set(prefillEngines).size >= 5, prefillEngines.join(" "));
         await fleet.stop();
     });
 
-    it("counts a placement once: as given, then as told by the process that took it, and no more once it has ended", async () => {
+    it("counts a placement once: first as answered, then as reported by its process, and not after its end", async () => {
         const fleet = createFleet(9, 3);
         await fleet.clock.advance(6_000);
         const [coordinator] = fleet.listCoordinators();
         const member = fleet.processes.find(process => process !== coordinator);
         assert.ok(coordinator && member);
         const { engine, work, decision } = await place(fleet, member, createRequest(createLongPrompt("guide", "own")));
-        const reading = Math.round(decision.placement.prefill?.work ?? 0);
-        assert.ok(reading > 100);
-        assert.equal(Math.round(coordinator.loads.wait(engine, false)), reading);
+        const prefillWork = Math.round(decision.placement.prefill?.work ?? 0);
+        assert.ok(prefillWork > 100);
+        assert.equal(Math.round(coordinator.loads.wait(engine, false)), prefillWork);
         await fleet.clock.advance(300);
-        assert.equal(Math.round(coordinator.loads.wait(engine, false)), reading);
+        assert.equal(Math.round(coordinator.loads.wait(engine, false)), prefillWork);
         work.end();
         await fleet.clock.advance(300);
         assert.equal(coordinator.loads.wait(engine, false), 0);
         await fleet.stop();
     });
 
-    it("closes engines that are about to change at all processes at once", async () => {
+    it("immediately closes engines that are about to change at all processes", async () => {
         const fleet = createFleet(60, 3);
         await fleet.clock.advance(6_000);
         const first = fleet.processes.find(({ coordination }) => coordination.isFleetCoordinator());
@@ -177,7 +179,7 @@
     });
 
     // Guards against processes that stay undiscoverable after the store has lost their entries.
-    it("rewrites the entries of its processes on request, even while a coordinator is heard", async () => {
+    it("rewrites the entries of its processes on request, even while a coordinator is reachable", async () => {
         const fleet = createFleet(60, 3);
         await fleet.clock.advance(6_000);
         fleet.clearEntries();
@@ -193,7 +195,7 @@
         await fleet.stop();
     });
 
-    it("has one process in the whole fleet that plans", async () => {
+    it("has exactly one process in the whole fleet that plans", async () => {
         const fleet = createFleet(60, 3);
         await fleet.clock.advance(6_000);
         assert.equal(fleet.processes.filter(({ coordination }) => coordination.isFleetCoordinator()).length, 1);
@@ -204,7 +206,7 @@
 describe("the loss of a coordinator", () => {
     const silence = { killed: true, frozen: false, "cut off": false };
     for (const [name, isEnded] of Object.entries(silence)) {
-        it(`${name}: prompts are placed meanwhile, and by another coordinator within two seconds`, async () => {
+        it(`${name}: prompts are still placed, and by another coordinator within two seconds`, async () => {
             const fleet = createFleet(9, 3);
             await fleet.clock.advance(6_000);
             const [coordinator] = fleet.listCoordinators();
@@ -222,7 +224,7 @@
             assert.equal(current.length, 1);
             const work = others[0].loads.begin("engine", { work: 80, isDeferred: false, tokens: 500 });
             await fleet.clock.advance(150);
-            assert.equal(current[0]?.loads.wait("engine", false), 80, "it knew its members before");
+            assert.equal(current[0]?.loads.wait("engine", false), 80, "it had reports of its members before the loss");
             work.end();
             if (!isEnded) {
                 fleet.setLink(() => true);
@@ -233,7 +235,7 @@
         });
     }
 
-    it("a whole zone but for the last process: it places for itself, and reads the store's tables itself", async () => {
+    it("a whole zone except one process: the last one places prompts and reads the store's tables itself", async () => {
         const fleet = createFleet(60, 3);
         await fleet.clock.advance(6_000);
         const zone = fleet.processes.filter(({ self }) => self.availabilityZone === "zone-1");
@@ -249,7 +251,7 @@
         await fleet.stop();
     });
 
-    it("a coordinator that has just started is not asked before its members have told it what they have", async () => {
+    it("a restart: the coordinator gets no requests before its members have reported their load", async () => {
         const fleet = createFleet(9, 3);
         await fleet.clock.advance(6_000);
         const [coordinator] = fleet.listCoordinators();
@@ -265,8 +267,8 @@
     });
 });
 
-describe("what processes send", () => {
-    it("is no message of a peer: it changes nothing", async () => {
+describe("datagrams", () => {
+    it("are ignored if they are not valid messages of a peer", async () => {
         const { clock, processes, listeners, stop } = createFleet(2);
         await clock.advance(2_000);
         const texts = ["", "{", "[]", "null", "{\"method\":\"load\"}", "{\"method\":\"load\",\"params\":{\"from\":1}}"];
@@ -283,7 +285,7 @@
         await stop();
     });
 
-    it("stays bounded, however many processes there are", async () => {
+    it("stay bounded in number and size, regardless of the number of processes", async () => {
         for (const [count, zones] of [[3, 1], [9, 3], [70, 1], [70, 3], [195, 5]] as const) {
             const { clock, processes, counts, stop } = createFleet(count, zones);
             await clock.advance(5_000);
@@ -309,7 +311,7 @@
             const [near, far, farBytes] = (["near", "far", "farBytes"] as const).map(what =>
                 perSecond(what, [before, after])
             ) as [number, number, number];
-            assert.ok(near + far > 1, `${count} processes tell nothing`);
+            assert.ok(near + far > 1, `${count} processes send nothing`);
             assert.ok(near + far <= 30, `${count} processes: ${near + far} datagrams a second each`);
             assert.ok(far <= (count < 20 ? 30 : 2), `${count} processes: ${far} datagrams a second to other zones`);
             assert.ok(farBytes <= (count < 20 ? 45_000 : 2_000), `${count} processes: ${farBytes} bytes a second`);
--- a/packages/daisyturn/src/process/forwarding/coordination/__tests__/coordinatedDecisions.test.ts
+++ b/packages/daisyturn/src/process/forwarding/coordination/__tests__/coordinatedDecisions.test.ts
@@ -15,7 +15,7 @@
     return await deciding;
 }
 
-test("a decision tells which process has made it, also where the coordinator does not answer", async () => {
+test("a decision names the process that made it, even if the coordinator does not answer", async () => {
     const fleet = createFleet(9, 3);
     await fleet.clock.advance(6_000);
     const group = fleet.processes.filter(({ self }) => self.availabilityZone === "zone-0");
--- a/packages/daisyturn/src/process/forwarding/coordination/__tests__/createPlacementServer.test.ts
+++ b/packages/daisyturn/src/process/forwarding/coordination/__tests__/createPlacementServer.test.ts
@@ -11,11 +11,11 @@
 const route = "chat";
 const longAnswerTokens = 500;
 
-/** Has a coordinator asked for the place of a prompt, and returns what it decides by. */
-function ask(maxOutputTokens: number, sizeFairness = createSizeFairness()): DecisionRequest {
+/** Sends a placement request to a coordinator and returns the request on which it decides. */
+function requestPlacement(maxOutputTokens: number, sizeFairness = createSizeFairness()): DecisionRequest {
     const clock = new FakeClock();
     const requests: DecisionRequest[] = [];
-    const desk = createPlacementServer({
+    const server = createPlacementServer({
         coordinatorId: "entry-1",
         decide: request => {
             requests.push(request);
@@ -26,7 +26,7 @@
         sizeFairness,
         clock,
     });
-    desk.answer({
+    server.answer({
         from: "entry-2",
         askId: 1,
         availabilityZone: "zone-0",
@@ -46,7 +46,7 @@
 }
 
 // Guards against starvation of short prompts with long answers, which are the largest of their route.
-test("a prompt with a long answer is owed service where such prompts were refused", () => {
+test("a prompt with a long answer is underserved if such prompts have been refused", () => {
     const sizeFairness = createSizeFairness();
     const prompt = createShortPrompt("own");
     for (let count = 0; count < 36; count++) {
@@ -55,6 +55,6 @@
     for (let count = 0; count < 4; count++) {
         sizeFairness.begin(route, measureSize({ ...prompt, maxOutputTokens: longAnswerTokens })).end(false);
     }
-    assert.equal(ask(longAnswerTokens, sizeFairness).isUnderserved(), true);
-    assert.equal(ask(prompt.maxOutputTokens, sizeFairness).isUnderserved(), false);
+    assert.equal(requestPlacement(longAnswerTokens, sizeFairness).isUnderserved(), true);
+    assert.equal(requestPlacement(prompt.maxOutputTokens, sizeFairness).isUnderserved(), false);
 });
--- a/packages/daisyturn/src/process/forwarding/coordination/__tests__/relayedTables.test.ts
+++ b/packages/daisyturn/src/process/forwarding/coordination/__tests__/relayedTables.test.ts
@@ -11,13 +11,13 @@
 const maxStateAgeMilliseconds = 1_500;
 const stateMilliseconds = 250;
 const readerWaitMilliseconds = 1_000;
-const bound = 2_000;
+const boundMilliseconds = 2_000;
 
 /** A store with one table, whose changes are counted by one version. */
 function createStore(clock: FakeClock) {
     let history: FeedRow[] = [];
     const calls: string[] = [];
-    /** Names of the processes that the store turns away. */
+    /** Names of the processes whose calls the store refuses. */
     const refused = new Set<string>();
     const refusal = mayHaveRun(FailureReason.StoreUnavailable, "the store answered with status 503");
     let version = 5;
@@ -67,14 +67,14 @@
             version = toVersion;
             history = history.filter(row => row.version <= toVersion);
         },
-        /** Another table of the store changes. */
-        passVersion: () => {
+        /** Increments the version, as a change of another table does. */
+        advanceVersion: () => {
             version += 1;
         },
     };
 }
 
-/** A coordinator that reads the table, and a process that goes by its word. */
+/** Creates a coordinator that reads the table and a member to which it relays the table. */
 function createPair(isMemberReader = false) {
     const clock = new FakeClock();
     const store = createStore(clock);
@@ -85,18 +85,18 @@
         maxStateAgeMilliseconds: () => maxStateAgeMilliseconds,
         isReader: () => isMemberReader,
     });
-    const link = { passesStates: true, passesRows: true };
-    const taken: string[] = [];
+    const link = { relaysStates: true, relaysRows: true };
+    const received: string[] = [];
     const eventLog = new MemoryEventLog();
-    const follow = (name: string, taking: string[], more: object) =>
+    const watch = (name: string, observed: string[], more: object) =>
         void watchTable({
             name: "t",
             feed: store.feedFor(name),
             observer: {
-                replace: rows => rows.forEach(row => taking.push(`${row.key}=${row.text}`)),
+                replace: rows => rows.forEach(row => observed.push(`${row.key}=${row.text}`)),
                 change: (rows, failedAt) =>
                     rows.forEach(row =>
-                        taking.push(`${row.key}=${row.text}${(failedAt ?? -Infinity) === -Infinity ? "" : " failed"}`)
+                        observed.push(`${row.key}=${row.text}${(failedAt ?? -Infinity) === -Infinity ? "" : " failed"}`)
                     ),
             },
             timing: { waitMilliseconds: () => readerWaitMilliseconds, mergeMilliseconds: 100 },
@@ -104,106 +104,110 @@
             eventLog,
             ...more,
         }, stop.signal);
-    reader.onRows(message => link.passesRows && tables.applyRows({ ...message, from: "coordinator" }));
-    const tellStates = async () => {
+    reader.onRows(message => link.relaysRows && tables.applyRows({ ...message, from: "coordinator" }));
+    const publishStates = async () => {
         while (!stop.signal.aborted) {
-            if (link.passesStates) {
+            if (link.relaysStates) {
                 const state = { from: "coordinator", isAnswering: true, closed: [], candidates: [] };
                 tables.applyState({ ...state, tables: reader.listStates() });
             }
             await clock.sleepUntil(clock.monotonicNow() + stateMilliseconds, stop.signal);
         }
     };
-    follow("coordinator", [], { reader });
-    void tellStates();
-    follow("member", taken, { relay: tables.find("t") });
-    return { clock, store, link, taken, reader, stop: () => stop.abort() };
+    watch("coordinator", [], { reader });
+    void publishStates();
+    watch("member", received, { relay: tables.find("t") });
+    return { clock, store, link, received, reader, stop: () => stop.abort() };
 }
 
-describe("a table that a coordinator passes on", () => {
-    it("is known at once, with no call to the store", async () => {
-        const { clock, store, taken, stop } = createPair();
+describe("a table that a coordinator relays", () => {
+    it("is up to date at the member without calls to the store", async () => {
+        const { clock, store, received, stop } = createPair();
         await clock.advance(3_000);
         const before = store.callsOf("member");
         for (let change = 0; change < 10; change++) {
             store.put("a", `${change}`);
             await clock.advance(700);
-            assert.equal(taken.at(-1), `a=${change}`);
+            assert.equal(received.at(-1), `a=${change}`);
         }
         await clock.advance(20_000);
         assert.equal(store.callsOf("member"), before);
         stop();
     });
 
-    it("goes on from the version up to which it is known, also while only other tables change", async () => {
+    it("is read from the last known version on, even if only other tables have changed", async () => {
         const { clock, store, link, stop } = createPair();
         await clock.advance(3_000);
         for (let change = 0; change < 20; change++) {
-            store.passVersion();
+            store.advanceVersion();
             await clock.advance(1_000);
         }
-        link.passesRows = false;
+        link.relaysRows = false;
         store.put("a", "1");
         await clock.advance(1_000);
-        assert.ok(store.callsOf("member after 24") + store.callsOf("member after 25") > 0, "not from version 5 on");
+        assert.ok(
+            store.callsOf("member after 24") + store.callsOf("member after 25") > 0,
+            "read from the last known version, not from version 5",
+        );
         stop();
     });
 
-    it("is asked for in the store where rows were lost on the way", async () => {
-        const { clock, store, link, taken, stop } = createPair();
+    it("is read from the store if a message with rows is lost", async () => {
+        const { clock, store, link, received, stop } = createPair();
         await clock.advance(3_000);
-        link.passesRows = false;
+        link.relaysRows = false;
         store.put("a", "1");
         await clock.advance(stateMilliseconds + 150);
-        assert.deepEqual(taken, ["a=1"]);
-        link.passesRows = true;
+        assert.deepEqual(received, ["a=1"]);
+        link.relaysRows = true;
         store.put("a", "2");
         await clock.advance(readerWaitMilliseconds + 300);
-        assert.deepEqual(taken, ["a=1", "a=2"]);
+        assert.deepEqual(received, ["a=1", "a=2"]);
         stop();
     });
 
     for (const moment of [0, 130, 400, 870]) {
-        it(`is heeded within its bound when the coordinator falls silent ${moment} ms before the change`, async () => {
-            const { clock, store, link, taken, stop } = createPair();
+        it(`is applied in time if the coordinator falls silent ${moment} ms before the change`, async () => {
+            const { clock, store, link, received, stop } = createPair();
             await clock.advance(3_000 + moment);
-            Object.assign(link, { passesStates: false, passesRows: false });
+            Object.assign(link, { relaysStates: false, relaysRows: false });
             await clock.advance(moment);
             store.put("a", "1");
-            await clock.advance(bound - 200);
-            assert.deepEqual(taken, ["a=1"]);
+            await clock.advance(boundMilliseconds - 200);
+            assert.deepEqual(received, ["a=1"]);
             stop();
         });
     }
 
-    it("is read from the store while the coordinator says that the store does not answer it", async () => {
-        const { clock, store, reader, taken, link, stop } = createPair();
+    it("is read from the store while the coordinator gets no answers from the store", async () => {
+        const { clock, store, reader, received, link, stop } = createPair();
         await clock.advance(3_000);
-        // The coordinator still speaks, but what it knows grows old.
-        link.passesRows = false;
+        // The coordinator still sends states, but they are too old to be used.
+        link.relaysRows = false;
         reader.listStates =
             () => [{ table: "t", era: 1, changedVersion: 5, version: 5, age: maxStateAgeMilliseconds + 1 }];
         await clock.advance(maxStateAgeMilliseconds + stateMilliseconds);
         store.put("a", "1");
         await clock.advance(200);
-        assert.deepEqual(taken, ["a=1"]);
+        assert.deepEqual(received, ["a=1"]);
         stop();
     });
 
-    it("tells with a removal that the store had just failed, since entries lapse while it is away", async () => {
-        const { clock, store, reader, taken, stop } = createPair();
+    it("reports with a removal that the store has just failed, because entries expire during an outage", async () => {
+        const { clock, store, reader, received, stop } = createPair();
         store.put("a", "1");
         await clock.advance(3_000);
         reader.recordFailure("t");
         store.put("a", undefined);
         await clock.advance(300);
-        assert.equal(taken.at(-1), "a=undefined failed");
+        assert.equal(received.at(-1), "a=undefined failed");
         stop();
     });
 
-    // Guards against work sent to targets that have been leaving for long, by a coordinator that the store turns away.
-    it("reaches a process that reads the store itself while the store turns it away", async () => {
-        const { clock, store, taken, stop } = createPair(true);
+    // Guards against a coordinator that sends work to targets that have been leaving for a long time, because the store
+    // refuses its calls.
+    it("is relayed to a process that reads the store itself while the store refuses its calls", async () => {
+        const { clock, store, received, stop } = createPair(true);
         await clock.advance(3_000);
         store.refused.add("member");
         await clock.advance(5_000);
@@ -211,24 +215,24 @@
             store.put("a", `${change}`);
             await clock.advance(700);
         }
-        assert.deepEqual(taken, ["a=0", "a=1", "a=2", "a=3", "a=4"]);
+        assert.deepEqual(received, ["a=0", "a=1", "a=2", "a=3", "a=4"]);
         const before = store.callsOf("member");
         await clock.advance(6_000);
         const calls = store.callsOf("member") - before;
-        assert.ok(calls > 3 && calls < 10, `the store is still asked from time to time: ${calls} times`);
+        assert.ok(calls > 3 && calls < 10, `the member still calls the store from time to time: ${calls} times`);
         store.refused.clear();
         await clock.advance(3_000);
         store.put("b", "1");
         await clock.advance(200);
-        assert.equal(taken.at(-1), "b=1");
+        assert.equal(received.at(-1), "b=1");
         stop();
     });
 
     // Guards against rows that are never seen because the store reused their versions.
     it("is re-read after the store is restored from an older snapshot and reuses versions", async () => {
-        for (const passesRows of [true, false]) {
-            const { clock, store, link, taken, stop } = createPair();
-            link.passesRows = passesRows;
+        for (const relaysRows of [true, false]) {
+            const { clock, store, link, received, stop } = createPair();
+            link.relaysRows = relaysRows;
             store.put("a", "1");
             await clock.advance(3_000);
             store.put("lost", "1");
@@ -238,29 +242,29 @@
             store.put("c", "1");
             await clock.advance(2_000);
             store.put("d", "1");
-            await clock.advance(bound);
-            assert.ok(["b=1", "c=1", "d=1"].every(row => taken.includes(row)), `${taken.join(" ")}`);
+            await clock.advance(boundMilliseconds);
+            assert.ok(["b=1", "c=1", "d=1"].every(row => received.includes(row)), `${received.join(" ")}`);
             stop();
         }
     });
 
     // Guards against a row of the new era that is skipped because its version is below one known from the era before.
     it("is re-read after a rollback whose new changes stay below the version known before", async () => {
-        const { clock, store, link, taken, stop } = createPair();
-        link.passesRows = false;
+        const { clock, store, link, received, stop } = createPair();
+        link.relaysRows = false;
         await clock.advance(3_000);
         for (let version = 6; version <= 20; version++) {
-            store.passVersion();
+            store.advanceVersion();
         }
         await clock.advance(1_500);
         store.rollBack(6);
         store.put("b", "1");
-        await clock.advance(bound);
+        await clock.advance(boundMilliseconds);
         for (let version = 8; version <= 25; version++) {
-            store.passVersion();
+            store.advanceVersion();
         }
-        await clock.advance(bound);
-        assert.deepEqual(taken, ["b=1"]);
+        await clock.advance(boundMilliseconds);
+        assert.deepEqual(received, ["b=1"]);
         stop();
     });
 });
--- a/packages/daisyturn/src/process/forwarding/coordination/__tests__/sharedSizeFairness.test.ts
+++ b/packages/daisyturn/src/process/forwarding/coordination/__tests__/sharedSizeFairness.test.ts
@@ -6,7 +6,7 @@
 const shortTokens = 1_000;
 const longTokens = 20_000;
 
-// Guards against starvation of the longest prompts in large fleets, where each process has too few prompts to detect it.
+// Guards against starvation of the longest prompts in large fleets, where no process has enough prompts to detect it.
 test("the coordinator detects starvation of the longest prompts across all members of its group", async () => {
     const fleet = createFleet(68, 4);
     await fleet.clock.advance(6_000);
--- a/packages/daisyturn/src/process/forwarding/coordination/coordinate.ts
+++ b/packages/daisyturn/src/process/forwarding/coordination/coordinate.ts
@@ -29,41 +29,49 @@
     readonly channel: DatagramChannel;
     readonly views: TargetViews;
     readonly sizeFairness: SizeFairness;
-    /** Decides by what this process knows. */
+    /** Decides with the information of this process alone. */
     readonly decideLocally: (request: DecisionRequest) => PromptDecision | undefined;
     readonly findService: (name: string) => ForwardService | undefined;
-    /** Longest time since the store has answered a coordinator for which its word on a table holds, in milliseconds. */
+    /**
+     * A coordinator's state report of a table is used for up to this time after the store last answered the
+     * coordinator.
+     */
     readonly maxStateAgeMilliseconds: () => number;
     readonly clock: Clock;
     readonly eventLog: EventLog;
 }
 
-/** The part of a process in its group: one process places prompts for all, and reads the store's tables for them. */
+/**
+ * Participation of a process in its group, in which one process places prompts and reads the store's tables for all.
+ */
 export interface Coordination {
     readonly decisions: PromptDecisions;
-    /** A table as coordinators pass it on. */
+    /** Returns a table as relayed by coordinators. */
     relayedTable(name: string): RelayedTable;
-    /** Takes what this process reads from the store itself, for those that it coordinates. */
+    /** Receives what this process reads from the store itself, to relay it to the processes that it coordinates. */
     readonly tableReader: TableReader;
-    /** Whether this process is to read the store itself, since others go by its word. */
+    /** Whether this process must read the store itself, because it relays the tables to others. */
     isReader(): boolean;
-    /** Longest pause between two messages to any coordinator while an engine is kept closed, in milliseconds. */
+    /** Maximum interval between two messages to any coordinator while an engine is closed, in milliseconds. */
     closingReportInterval(): number;
-    /** Whether this process places prompts for its group, as far as it knows. */
+    /** Whether this process places prompts for its group, according to its own information. */
     isCoordinator(): boolean;
-    /** Whether this process coordinates its group, and no coordinator of another one has a name that sorts before its own. */
+    /**
+     * Whether this process coordinates its group and its name sorts before those of all reachable coordinators of other
+     * groups.
+     */
     isFleetCoordinator(): boolean;
     run(signal: AbortSignal): void;
     /** Requests that this process's registry entry be rewritten because the store may have lost it. */
     refreshEntry(): void;
-    /** Tells the group to ask another process from now on. */
+    /** Informs the group that this process no longer accepts placement requests. */
     stopAnswering(): void;
 }
 
-/** A coordinator of another group that was not heard for so long has ended. */
+/** A coordinator of another group that has not sent a message for this time is presumed ended. */
 const otherCoordinatorMilliseconds = 2_500;
 
-/** Creates the part of one process in its group. Nothing is sent before it runs. */
+/** Creates the participation of one process in its group. Nothing is sent before `run` is called. */
 export function coordinate(options: CoordinationOptions): Coordination {
     const { self, channel, views, sizeFairness, clock, eventLog, maxStateAgeMilliseconds } = options;
     const { loads, caches, demand, closed, slowdowns, prefillRates, eventIntervals, targets, health } = views;
@@ -93,7 +101,7 @@
         send,
         clock,
     });
-    /** When each coordinator of another group was last heard. */
+    /** Monotonic time of the last message from each coordinator of another group. */
     const otherCoordinators = new Map<string, number>();
 
     const refreshRequest: EntryRefreshRequest = { requested: createSignal(), isPending: false };
@@ -145,8 +153,8 @@
         message.pauses.forEach(eventIntervals.recordRemote);
         message.ended.forEach(sizeFairness.recordRemote);
         if (members.record(message.from, from)) {
-            // A process that has just started, or lost its coordinator, learns at once that this one is there.
-            statePublisher.tell(from);
+            // A process that has just started or lost its coordinator immediately learns that this one is reachable.
+            statePublisher.publishTo(from);
         }
     };
 
@@ -157,17 +165,17 @@
         tables.applyState(state);
     };
 
-    /** What the store says is taken from processes that are registered there, at their own address. */
+    /** The contents of the store are accepted only from processes in its registry, at their registered address. */
     const isRegistered = (peerId: string, { host }: PeerAddress) => link.find(peerId)?.host === host;
 
     const handleNotification = (notification: Notification, from: PeerAddress) => {
-        const ask = readPlacementRequest(notification);
+        const request = readPlacementRequest(notification);
         const answer = readPlacementAnswer(notification);
         const load = readLoadMessage(notification);
         const state = readCoordinatorState(notification);
         const rows = readRowsMessage(notification);
-        if (ask) {
-            send(from, encodePlacementAnswer(placementServer.answer(ask)));
+        if (request) {
+            send(from, encodePlacementAnswer(placementServer.answer(request)));
         }
         if (answer) {
             client.receiveAnswer(answer);
--- a/packages/daisyturn/src/process/forwarding/coordination/coordinatedDecisions.ts
+++ b/packages/daisyturn/src/process/forwarding/coordination/coordinatedDecisions.ts
@@ -10,15 +10,18 @@
     readonly selfId: string;
     readonly link: Pick<CoordinatorLink, "current">;
     readonly client: PlacementClient;
-    /** Decides by what this process knows. */
+    /** Decides with the information of this process alone. */
     readonly decideLocally: (request: DecisionRequest) => PromptDecision | undefined;
     readonly caches: CacheEstimates;
     readonly findTarget: (targetId: string) => ListedTarget | undefined;
-    /** Targets of a service that this process does not trust. */
+    /** Lists the targets of a service that this process does not trust. */
     readonly listDistrusted: (service: string) => readonly string[];
 }
 
-/** Has the coordinator decide, which knows what the whole group has under way; by itself while there is none. */
+/**
+ * Requests decisions from the coordinator, which knows the load of the whole group. Decides locally while there is no
+ * coordinator, or if it does not answer in time.
+ */
 export class CoordinatedDecisions extends PromptDecisions {
     constructor(private readonly options: CoordinatedDecisionsOptions) {
         super();
@@ -28,7 +31,7 @@
         const { selfId, link, client, findTarget } = this.options;
         const coordinator = link.current();
         if (coordinator && coordinator.peerId !== selfId) {
-            const answer = await client.ask(coordinator, this.describeQuery(request));
+            const answer = await client.request(coordinator, this.describeQuery(request));
             const decision = answer && readDecision(answer, request.patience, findTarget);
             if (decision) {
                 return decision;
@@ -60,7 +63,7 @@
     }
 }
 
-/** What an engine is about to read, it keeps for the prompts that come next. */
+/** Records that an engine will have the parts of a prompt in its cache, because it is about to prefill them. */
 export function recordRetained(
     caches: Pick<CacheEstimates, "record">,
     { demand: { service, prompt } }: DecisionRequest,
--- a/packages/daisyturn/src/process/forwarding/coordination/createCoordinatorLink.ts
+++ b/packages/daisyturn/src/process/forwarding/coordination/createCoordinatorLink.ts
@@ -2,32 +2,34 @@
 import type { RegisteredPeer } from "../../../ports/peerRegistry.js";
 import { rankCoordinators, selectGroup } from "./rankCoordinators.js";
 
-/** Which process coordinates this one's group, going by which of them are heard. */
+/** Determines which process coordinates the group of this one, based on which processes are reachable. */
 export interface CoordinatorLink {
-    /** Replaces the processes that are known. */
+    /** Replaces the known processes. */
     setPeers(peers: readonly RegisteredPeer[]): void;
-    /** Adds processes that a coordinator has named. */
+    /** Adds processes that a coordinator has announced. */
     addPeers(peers: readonly RegisteredPeer[]): void;
-    /** Those to be told what this process has under way: the first ones that answer, and those that may. */
+    /**
+     * Lists the processes that receive this one's load reports: the first non-silent ones in the ranking, and silent
+     * ones before them.
+     */
     listReportReceivers(): readonly RegisteredPeer[];
-    /** The process that places prompts for this one, which may be this one itself; undefined while none is known to. */
+    /** Returns the process that places prompts for this one, possibly this one itself; undefined while there is none. */
     current(): RegisteredPeer | undefined;
-    /** A process that is known. */
     find(peerId: string): RegisteredPeer | undefined;
-    /** Whether a process was told and has not answered. */
+    /** Whether a process was sent load reports and has not answered in time. */
     isSilent(peer: RegisteredPeer): boolean;
-    /** Whether any coordinator other than this process is heard. */
+    /** Whether any coordinator other than this process is reachable. */
     hasContact(): boolean;
-    /** Whether this process is one of the first two: the coordinator, or the one that takes over from it. */
+    /** Whether this process is the coordinator or the standby that takes over from it. */
     isCandidate(): boolean;
-    /** The processes that come first in the group. */
+    /** Lists the first processes in the ranking of the group. */
     listCandidates(): readonly RegisteredPeer[];
-    /** For each other group, the processes that come first in it. */
+    /** Lists the first processes in the ranking of each other group. */
     listOtherCandidates(): readonly RegisteredPeer[];
-    /** Notes a coordinator's word, and whether it may be asked. */
+    /** Records a state message of a coordinator, and whether it accepts placement requests. */
     recordContact(peerId: string, isAnswering: boolean): void;
     recordAnswer(peerId: string): void;
-    /** Notes a question that was not answered in time. */
+    /** Records a placement request that was not answered in time. */
     recordTimeout(peerId: string): void;
 }
 
@@ -38,26 +40,28 @@
     readonly eventLog: EventLog;
 }
 
-/** A coordinator tells of itself several times in this time. */
+/** A coordinator sends its state several times within this time. */
 const silentMilliseconds = 1_300;
-/** One that was never heard is given less: at a start many may be dead. */
+/**
+ * Shorter time-out for a process that has never sent its state, because many may have ended when this process starts.
+ */
 const firstContactMilliseconds = 500;
-/** A coordinator that lets questions time out is left alone for a while, and so is one that answers late. */
+/** After this many requests in a row without an answer in time, a coordinator gets no requests for a while. */
 const timeoutsForSuspicion = 2;
 const suspicionMilliseconds = 1_000;
+/** The coordinator, and the standby that takes over from it. */
 const coordinatorsPerGroup = 2;
 const announcedCandidates = 4;
 
 interface CoordinatorHealth {
     lastContactAt: number;
-    /** Monotonic time of the first message to it that it has not answered. */
+    /** Monotonic time of the first unanswered message to the process. */
     unansweredSince: number | undefined;
     isAnswering: boolean;
     timeouts: number;
     suspectUntil: number;
 }
 
-/** Creates the link of one process. */
 export function createCoordinatorLink({ self, clock, eventLog }: CoordinatorLinkOptions): CoordinatorLink {
     const health = new Map<string, CoordinatorHealth>();
     let peers: readonly RegisteredPeer[] = [];
@@ -86,9 +90,9 @@
 
     const isSilent = (peer: RegisteredPeer) => {
         const { unansweredSince, lastContactAt } = find(peer.peerId);
-        const patience = lastContactAt > -Infinity ? silentMilliseconds : firstContactMilliseconds;
+        const timeout = lastContactAt > -Infinity ? silentMilliseconds : firstContactMilliseconds;
         return !hasContactWith(peer) && unansweredSince !== undefined
-            && clock.monotonicNow() - unansweredSince > patience;
+            && clock.monotonicNow() - unansweredSince > timeout;
     };
 
     const acceptsRequests = (peer: RegisteredPeer) => {
@@ -103,13 +107,13 @@
 
     const listReportReceivers = () => {
         const receivers: RegisteredPeer[] = [];
-        // Twice as many are tried once those before them are silent: many may have ended at once.
-        let wanted = coordinatorsPerGroup;
+        // The number of receivers grows with each silent process, because many may have ended at once.
+        let missing = coordinatorsPerGroup;
         for (const peer of ranking) {
-            if (wanted <= 0) {
+            if (missing <= 0) {
                 break;
             }
-            wanted += isSilent(peer) ? 1 : -1;
+            missing += isSilent(peer) ? 1 : -1;
             if (!isSelf(peer)) {
                 find(peer.peerId).unansweredSince ??= clock.monotonicNow();
                 receivers.push(peer);
--- a/packages/daisyturn/src/process/forwarding/coordination/createGroupLoadPublisher.ts
+++ b/packages/daisyturn/src/process/forwarding/coordination/createGroupLoadPublisher.ts
@@ -13,29 +13,29 @@
     readonly clock: Clock;
 }
 
-/** Tells the coordinators of other groups what this one's group has under way. */
+/** Sends the load of this process's group to the coordinators of other groups. */
 export interface GroupLoadPublisher {
     run(signal: AbortSignal): Promise<void>;
 }
 
-/** Pause between two messages; bytes between availability zones are paid for. */
+/** Interval between two messages; traffic between availability zones has a price. */
 export const groupReportMilliseconds = 200;
 const idleMilliseconds = 1_000;
-/** Longest list of placements told at once; of more, the last ones say most. */
-const mostPlacements = 20;
+/** Maximum number of placements in a message; only the latest ones are sent, because they are the most informative. */
+const maxPlacements = 20;
 
-/** Creates the teller of one process, which tells only while it coordinates its group. */
+/** Creates the publisher of one process, which sends only while the process coordinates its group. */
 export function createGroupLoadPublisher(
     { selfId, views, link, send, clock }: GroupLoadPublisherOptions,
 ): GroupLoadPublisher {
     const { loads, health, caches, demand, closed } = views;
     let kept: LoadMessage["kept"][number][] = [];
-    const news = createSignal();
+    const changed = createSignal();
     let wasBusy = false;
-    let toldAt = -Infinity;
-    closed.onChanged(news.raise);
+    let sentAt = -Infinity;
+    closed.onChanged(changed.raise);
     caches.onRecorded(placement => {
-        kept = [...kept, placement].slice(-mostPlacements);
+        kept = [...kept, placement].slice(-maxPlacements);
     });
 
     const describeGroup = (): LoadMessage => ({
@@ -54,14 +54,17 @@
         ended: [],
     });
 
-    /** One more message after the last call tells that nothing is left; a regular one, that the group has a coordinator. */
-    const tell = () => {
+    /**
+     * Sends while the group is busy, once more after its last call to report that nothing is left, and otherwise at the
+     * idle interval to report that the group has a coordinator.
+     */
+    const publish = () => {
         const message = describeGroup();
         const isBusy = message.work.length > 0 || message.kept.length > 0 || message.closed.length > 0;
-        if (isBusy || wasBusy || clock.monotonicNow() - toldAt >= idleMilliseconds) {
+        if (isBusy || wasBusy || clock.monotonicNow() - sentAt >= idleMilliseconds) {
             const datagram = encodeLoadMessage(message);
             link.listOtherCandidates().forEach(peer => send(peer, datagram));
-            toldAt = clock.monotonicNow();
+            sentAt = clock.monotonicNow();
             kept = [];
         }
         wasBusy = isBusy;
@@ -70,12 +73,12 @@
     return {
         run: async signal => {
             while (!signal.aborted) {
-                const mayTell = link.current()?.peerId === selfId && link.listOtherCandidates().length > 0;
-                if (mayTell) {
-                    tell();
+                const isPublishing = link.current()?.peerId === selfId && link.listOtherCandidates().length > 0;
+                if (isPublishing) {
+                    publish();
                 }
-                const pause = mayTell ? groupReportMilliseconds : idleMilliseconds;
-                await news.wait(clock, clock.monotonicNow() + pause, signal);
+                const interval = isPublishing ? groupReportMilliseconds : idleMilliseconds;
+                await changed.wait(clock, clock.monotonicNow() + interval, signal);
             }
         },
     };
--- a/packages/daisyturn/src/process/forwarding/coordination/createLoadPublisher.ts
+++ b/packages/daisyturn/src/process/forwarding/coordination/createLoadPublisher.ts
@@ -15,36 +15,40 @@
     >;
     readonly sizeFairness: SizeFairness;
     readonly link: Pick<CoordinatorLink, "listReportReceivers" | "current" | "isSilent">;
-    /** Number of the last placement that was taken from a coordinator. */
+    /** Returns the number of the last placement received from a coordinator. */
     readonly lastReceived: (peerId: string) => number;
     readonly send: (to: PeerAddress, datagram: Buffer) => void;
     readonly clock: Clock;
 }
 
-/** Tells the coordinators what this process has under way and what it has observed. */
+/** Sends the load and the observations of this process to the coordinators. */
 export interface LoadPublisher {
     run(signal: AbortSignal): Promise<void>;
 }
 
-/** Pause between two messages to the coordinator while something changes, and to the one that takes over from it. */
-const tellMilliseconds = 100;
-const tellNextMilliseconds = 500;
-/** Pause between two messages while nothing changes, and to one that does not answer. */
+/** Interval between two messages to the coordinator while the load changes. */
+const coordinatorMilliseconds = 100;
+/** Interval between two messages to the standby that takes over from the coordinator, while the load changes. */
+const standbyMilliseconds = 500;
+/** Interval between two messages while nothing changes, and to a process that does not answer. */
 const idleMilliseconds = 1_000;
-/** Longest list of news told at once; of more, the last ones say most. */
-const mostNews = 20;
+/**
+ * Maximum length of each list of updates in a message; only the latest ones are sent, because they are the most
+ * informative.
+ */
+const maxUpdates = 20;
 
-type News = Pick<LoadMessage, "kept" | "paces" | "prefills" | "pauses" | "ended">;
+/** The fields of a load message that cover the time since the last message. */
+type Updates = Pick<LoadMessage, "kept" | "paces" | "prefills" | "pauses" | "ended">;
 
-const noNews: News = { kept: [], paces: [], prefills: [], pauses: [], ended: [] };
+const noUpdates: Updates = { kept: [], paces: [], prefills: [], pauses: [], ended: [] };
 
-/** Creates the teller of one process. */
 export function createLoadPublisher(options: LoadPublisherOptions): LoadPublisher {
     const { selfId, views, sizeFairness, link, clock } = options;
     const { loads, health, caches, demand, closed, slowdowns, prefillRates, eventIntervals } = views;
     const changed = createSignal();
-    const untold = new Map<string, News>();
-    const toldAt = new Map<string, number>();
+    const unsent = new Map<string, Updates>();
+    const sentAt = new Map<string, number>();
     let kept: LoadMessage["kept"][number][] = [];
     let hasChanged = false;
     loads.onChanged(() => {
@@ -53,8 +57,8 @@
     });
     caches.onRecorded(placement => kept.push(placement));
 
-    const takeNews = (): News => {
-        const news: News = {
+    const drainUpdates = (): Updates => {
+        const updates: Updates = {
             kept,
             paces: slowdowns.drainUnsent(),
             prefills: prefillRates.drainUnsent(),
@@ -62,23 +66,23 @@
             ended: sizeFairness.drainUnsent(),
         };
         kept = [];
-        return news;
+        return updates;
     };
 
-    const pauseFor = (peer: RegisteredPeer) => {
+    const intervalFor = (peer: RegisteredPeer) => {
         if (link.isSilent(peer)) {
             return idleMilliseconds;
         }
-        return peer.peerId === link.current()?.peerId ? tellMilliseconds : tellNextMilliseconds;
+        return peer.peerId === link.current()?.peerId ? coordinatorMilliseconds : standbyMilliseconds;
     };
 
     const isDue = (peer: RegisteredPeer) =>
-        clock.monotonicNow() - (toldAt.get(peer.peerId) ?? -Infinity) >= pauseFor(peer) - 1;
+        clock.monotonicNow() - (sentAt.get(peer.peerId) ?? -Infinity) >= intervalFor(peer) - 1;
 
-    const tell = (peer: RegisteredPeer) => {
-        const news = untold.get(peer.peerId) ?? noNews;
-        untold.delete(peer.peerId);
-        toldAt.set(peer.peerId, clock.monotonicNow());
+    const sendTo = (peer: RegisteredPeer) => {
+        const updates = unsent.get(peer.peerId) ?? noUpdates;
+        unsent.delete(peer.peerId);
+        sentAt.set(peer.peerId, clock.monotonicNow());
         options.send(
             peer,
             encodeLoadMessage({
@@ -90,27 +94,28 @@
                 demand: demand.listOwn().map(([service, rate]) => [service, Math.round(rate)] as const),
                 closed: closed.listOwn(),
                 failing: health.listOwnFailing(),
-                ...news,
+                ...updates,
             }),
         );
     };
 
-    const tellAll = () => {
+    const publishAll = () => {
         hasChanged = false;
-        const news = takeNews();
-        const told = link.listReportReceivers();
-        told.forEach(peer => untold.set(peer.peerId, joinNews(untold.get(peer.peerId) ?? noNews, news)));
-        told.filter(isDue).forEach(tell);
+        const updates = drainUpdates();
+        const receivers = link.listReportReceivers();
+        receivers.forEach(peer => unsent.set(peer.peerId, joinUpdates(unsent.get(peer.peerId) ?? noUpdates, updates)));
+        receivers.filter(isDue).forEach(sendTo);
     };
 
     return {
         run: async signal => {
             while (!signal.aborted) {
-                tellAll();
-                const nextAt = clock.monotonicNow() + tellMilliseconds;
+                publishAll();
+                const nextAt = clock.monotonicNow() + coordinatorMilliseconds;
                 await clock.sleepUntil(nextAt, signal);
-                const isPending = [...untold.values()].some(news => countNews(news) > 0);
-                const idleUntil = nextAt + (isPending ? tellNextMilliseconds : idleMilliseconds) - tellMilliseconds;
+                const isPending = [...unsent.values()].some(updates => countUpdates(updates) > 0);
+                const idleUntil = nextAt + (isPending ? standbyMilliseconds : idleMilliseconds)
+                    - coordinatorMilliseconds;
                 if (!hasChanged) {
                     await changed.wait(clock, idleUntil, signal);
                 }
@@ -119,16 +124,16 @@
     };
 }
 
-function joinNews(left: News, right: News): News {
+function joinUpdates(left: Updates, right: Updates): Updates {
     return {
-        kept: [...left.kept, ...right.kept].slice(-mostNews),
-        paces: [...left.paces, ...right.paces].slice(-mostNews),
-        prefills: [...left.prefills, ...right.prefills].slice(-mostNews),
-        pauses: [...left.pauses, ...right.pauses].slice(-mostNews),
-        ended: [...left.ended, ...right.ended].slice(-mostNews),
+        kept: [...left.kept, ...right.kept].slice(-maxUpdates),
+        paces: [...left.paces, ...right.paces].slice(-maxUpdates),
+        prefills: [...left.prefills, ...right.prefills].slice(-maxUpdates),
+        pauses: [...left.pauses, ...right.pauses].slice(-maxUpdates),
+        ended: [...left.ended, ...right.ended].slice(-maxUpdates),
     };
 }
 
-function countNews({ kept, paces, prefills, pauses, ended }: News): number {
+function countUpdates({ kept, paces, prefills, pauses, ended }: Updates): number {
     return kept.length + paces.length + prefills.length + pauses.length + ended.length;
 }
--- a/packages/daisyturn/src/process/forwarding/coordination/createMembers.ts
+++ b/packages/daisyturn/src/process/forwarding/coordination/createMembers.ts
@@ -1,18 +1,18 @@
 import type { Clock } from "daisyturn-utils";
 import type { PeerAddress } from "./peerChannel.js";
 
-/** The processes that tell this one what they have under way, since they take it for a coordinator. */
+/** The processes that report their load to this one, because they regard it as a coordinator. */
 export interface Members {
-    /** Notes that a process has told it. @returns whether it had not before, or not for long */
+    /** Records a load report. @returns whether the process is new, or its previous report has expired */
     record(peerId: string, address: PeerAddress): boolean;
     list(): readonly PeerAddress[];
-    /** Whether all of them have had the time to tell it. */
+    /** Whether all members have had enough time to report. */
     isComplete(): boolean;
 }
 
-/** Processes tell several times in this time, also while nothing changes. */
+/** Processes report several times within this time, even while nothing changes. */
 const memberExpiryMilliseconds = 3_200;
-/** Within this time after the first one, all have told. */
+/** All members report within this time after the first one. */
 const completeMilliseconds = 1_300;
 
 interface Member {
@@ -21,10 +21,9 @@
     readonly lastContactAt: number;
 }
 
-/** Creates the members as one process hears them. */
 export function createMembers(clock: Clock): Members {
     const members = new Map<string, Member>();
-    /** Monotonic time since which there have always been some. */
+    /** Monotonic time since which there has always been at least one member. */
     let since: number | undefined;
 
     const removeExpired = () => {
--- a/packages/daisyturn/src/process/forwarding/coordination/createPlacementClient.ts
+++ b/packages/daisyturn/src/process/forwarding/coordination/createPlacementClient.ts
@@ -3,16 +3,16 @@
 import type { CoordinatorLink } from "./createCoordinatorLink.js";
 import { encodePlacementRequest, type PlacementAnswer, type PlacementRequest } from "./messages/placementMessages.js";
 
-/** Asks the coordinator for placements. */
+/** Requests placements from the coordinator. */
 export interface PlacementClient {
-    /** Undefined where the coordinator does not answer in time. */
-    ask(coordinator: RegisteredPeer, question: PlacementQuery): Promise<PlacementAnswer | undefined>;
+    /** Resolves with undefined if the coordinator does not answer in time. */
+    request(coordinator: RegisteredPeer, query: PlacementQuery): Promise<PlacementAnswer | undefined>;
     receiveAnswer(answer: PlacementAnswer): void;
-    /** Number of the last placement that was taken from a coordinator; 0 if there was none. */
+    /** Returns the number of the last placement received from a coordinator, or 0 if there was none. */
     lastReceived(peerId: string): number;
 }
 
-/** What is asked, but for who asks. */
+/** A placement request without the fields that identify it. */
 export type PlacementQuery = Omit<PlacementRequest, "from" | "askId">;
 
 /** What {@link createPlacementClient} needs. */
@@ -23,23 +23,22 @@
     readonly clock: Clock;
 }
 
-/** Far more than a question takes to another zone and back; with less known, a prompt is placed here then. */
+/** Far longer than a request to another zone takes. After it, the prompt is placed locally, with less information. */
 const answerTimeoutMilliseconds = 40;
 
-/** Creates the client of one process. */
 export function createPlacementClient({ selfId, send, link, clock }: PlacementClientOptions): PlacementClient {
     const pending = new Map<number, (answer: PlacementAnswer) => void>();
     const received = new Map<string, number>();
     let lastRequestId = 0;
 
-    const ask = (coordinator: RegisteredPeer, question: PlacementQuery) => {
+    const request = (coordinator: RegisteredPeer, query: PlacementQuery) => {
         lastRequestId += 1;
         const askId = lastRequestId;
         const settled = new AbortController();
         const answered = new Promise<PlacementAnswer>(resolve => pending.set(askId, resolve));
         const timedOut = clock.sleepUntil(clock.monotonicNow() + answerTimeoutMilliseconds, settled.signal)
             .then(() => undefined);
-        send(coordinator, encodePlacementRequest({ ...question, from: selfId, askId }));
+        send(coordinator, encodePlacementRequest({ ...query, from: selfId, askId }));
         return Promise.race([answered, timedOut]).then(answer => {
             pending.delete(askId);
             settled.abort();
@@ -58,7 +57,7 @@
     };
 
     return {
-        ask,
+        request,
         receiveAnswer: answer => pending.get(answer.askId)?.(answer),
         lastReceived: peerId => received.get(peerId) ?? 0,
     };
--- a/packages/daisyturn/src/process/forwarding/coordination/createPlacementServer.ts
+++ b/packages/daisyturn/src/process/forwarding/coordination/createPlacementServer.ts
@@ -10,8 +10,8 @@
 
 /** Places prompts for the processes of a group. */
 export interface PlacementServer {
-    answer(ask: PlacementRequest): PlacementAnswer;
-    /** A process has told what it has under way, with the placements up to this number in it. */
+    answer(request: PlacementRequest): PlacementAnswer;
+    /** Applies an acknowledgment: the load that a process reports includes its placements up to this number. */
     acknowledge(peerId: string, number: number): void;
 }
 
@@ -25,81 +25,86 @@
     readonly clock: Clock;
 }
 
-/** A process that has not told of a placement by then has not taken it. */
-const untakenMilliseconds = 1_500;
+/** A placement that its process does not acknowledge within this time is presumed unused. */
+const acknowledgmentTimeoutMilliseconds = 1_500;
 
-interface GivenPlacement {
+interface PendingPlacement {
     readonly number: number;
     readonly loadId: string;
     /** Monotonic time. */
-    readonly givenAt: number;
+    readonly answeredAt: number;
 }
 
 /**
- * Creates the desk of one coordinator. What it has placed counts as under way from that moment on, until the process that
- * took it tells of it: so two prompts that come within the same millisecond see each other.
+ * Creates the placement server of one coordinator. A placement counts as load from the moment of the answer until the
+ * process that requested it reports it, so that the placements of prompts that arrive at the same time take each other
+ * into account.
  */
 export function createPlacementServer(options: PlacementServerOptions): PlacementServer {
     const { coordinatorId, loads, sizeFairness, clock } = options;
-    const given = new Map<string, GivenPlacement[]>();
-    let numbers = 0;
+    const pendingByPeer = new Map<string, PendingPlacement[]>();
+    let lastNumber = 0;
 
-    const describeRequest = (ask: PlacementRequest): DecisionRequest => ({
-        route: ask.route,
+    const describeRequest = (request: PlacementRequest): DecisionRequest => ({
+        route: request.route,
         demand: {
-            ...ask,
-            service: options.findService(ask.service) ?? { name: ask.service },
-            avoid: new Set(ask.avoid),
+            ...request,
+            service: options.findService(request.service) ?? { name: request.service },
+            avoid: new Set(request.avoid),
             mayDefer: true,
         },
-        patience: ask.patience,
-        isUnderserved: () => sizeFairness.isUnderserved(ask.route, measureSize(ask.prompt)),
-        areLongestUnderserved: () => sizeFairness.areLongestUnderserved(ask.route),
+        patience: request.patience,
+        isUnderserved: () => sizeFairness.isUnderserved(request.route, measureSize(request.prompt)),
+        areLongestUnderserved: () => sizeFairness.areLongestUnderserved(request.route),
     });
 
-    /** A prompt that will be refused is not under way. */
-    const give = (ask: PlacementRequest, { placement: way, lateness }: PromptDecision, number: number) => {
+    /** Adds a placement to the load, unless its prompt will be refused. */
+    const addPending = (request: PlacementRequest, { placement, lateness }: PromptDecision, number: number) => {
         if (lateness > 0) {
             return;
         }
-        const heavy = way.prefill ?? way.decode;
-        const deferred = way.isDeferred ? heavy.work : 0;
-        const loadId = `${ask.from}#${number}`;
+        const prefillStep = placement.prefill ?? placement.decode;
+        const deferred = placement.isDeferred ? prefillStep.work : 0;
+        const loadId = `${request.from}#${number}`;
         const work = [{
-            targetId: heavy.target.targetId,
+            targetId: prefillStep.target.targetId,
             calls: 1,
-            work: heavy.work - deferred,
+            work: prefillStep.work - deferred,
             deferredWork: deferred,
-            tokens: way.prefill ? ask.prompt.promptTokens : countTokens(ask.prompt),
+            tokens: placement.prefill ? request.prompt.promptTokens : countTokens(request.prompt),
         }];
         loads.recordPeer(loadId, work, 0);
-        given.set(ask.from, [...given.get(ask.from) ?? [], { number, loadId, givenAt: clock.monotonicNow() }]);
+        pendingByPeer.set(request.from, [...pendingByPeer.get(request.from) ?? [], {
+            number,
+            loadId,
+            answeredAt: clock.monotonicNow(),
+        }]);
     };
 
-    const drop = (peerId: string, upTo: number) => {
-        const oldest = clock.monotonicNow() - untakenMilliseconds;
-        const isOver = ({ number, givenAt }: GivenPlacement) => number <= upTo || givenAt < oldest;
-        const placements = given.get(peerId) ?? [];
-        placements.filter(isOver).forEach(({ loadId }) => loads.forgetPeer(loadId));
-        const left = placements.filter(placement => !isOver(placement));
-        if (left.length > 0) {
-            given.set(peerId, left);
+    const removePending = (peerId: string, upTo: number) => {
+        const oldest = clock.monotonicNow() - acknowledgmentTimeoutMilliseconds;
+        const isSettled = ({ number, answeredAt }: PendingPlacement) => number <= upTo || answeredAt < oldest;
+        const placements = pendingByPeer.get(peerId) ?? [];
+        placements.filter(isSettled).forEach(({ loadId }) => loads.forgetPeer(loadId));
+        const remaining = placements.filter(placement => !isSettled(placement));
+        if (remaining.length > 0) {
+            pendingByPeer.set(peerId, remaining);
         }
         else {
-            given.delete(peerId);
+            pendingByPeer.delete(peerId);
         }
     };
 
     return {
-        answer: ask => {
-            const decision = options.decide(describeRequest(ask));
-            numbers += 1;
+        answer: request => {
+            const decision = options.decide(describeRequest(request));
+            lastNumber += 1;
             if (decision) {
-                give(ask, decision, numbers);
+                addPending(request, decision, lastNumber);
             }
-            return describeAnswer(coordinatorId, ask, numbers, decision);
+            return describeAnswer(coordinatorId, request, lastNumber, decision);
         },
-        acknowledge: drop,
+        acknowledge: removePending,
     };
 }
 
@@ -109,17 +114,17 @@
     number: number,
     decision: PromptDecision | undefined,
 ): PlacementAnswer {
-    const way = decision?.placement;
+    const placement = decision?.placement;
     return {
         from: coordinatorId,
         askId,
         number,
-        prefill: way?.prefill && describeStep(way.prefill),
-        decode: way && describeStep(way.decode),
-        firstEvent: Math.round(way?.firstEvent ?? 0),
-        soonestEvent: Math.round(way?.soonestEvent ?? 0),
-        reading: Math.round(way?.reading ?? 0),
-        isDeferred: way?.isDeferred ?? false,
+        prefill: placement?.prefill && describeStep(placement.prefill),
+        decode: placement && describeStep(placement.decode),
+        firstEvent: Math.round(placement?.firstEvent ?? 0),
+        soonestEvent: Math.round(placement?.soonestEvent ?? 0),
+        reading: Math.round(placement?.reading ?? 0),
+        isDeferred: placement?.isDeferred ?? false,
         isOwed: decision?.isUnderserved ?? false,
         lateness: Math.round(decision?.lateness ?? 0),
     };
@@ -137,7 +142,7 @@
     };
 }
 
-/** The decision that an answer tells; undefined where this process does not know a target of it. */
+/** Converts an answer to a decision. Returns undefined if this process does not know one of its targets. */
 export function readDecision(
     answer: PlacementAnswer,
     patience: number,
@@ -154,9 +159,9 @@
         return undefined;
     }
     const { firstEvent, soonestEvent, reading, isDeferred, isOwed } = answer;
-    const way = { prefill, decode, firstEvent, soonestEvent, reading, isDeferred };
+    const placement = { prefill, decode, firstEvent, soonestEvent, reading, isDeferred };
     return {
-        placement: way,
+        placement,
         isUnderserved: isOwed,
         lateness: answer.lateness ?? soonestEvent - patience,
         decidedBy: answer.from,
--- a/packages/daisyturn/src/process/forwarding/coordination/createRelayedTables.ts
+++ b/packages/daisyturn/src/process/forwarding/coordination/createRelayedTables.ts
@@ -3,28 +3,31 @@
 import type { StorePosition } from "../../../ports/storePosition.js";
 import type { CoordinatorState, RowsMessage, TableState } from "./messages/tableMessages.js";
 
-/** News of one table of the store, as coordinators pass it on. */
+/** Changes of one table of the store, as relayed by coordinators. */
 export interface RelayedTable {
     /**
-     * Waits for changes after a position, for as long as a coordinator reports a recent state of the table. Resolves with
-     * undefined if no coordinator does, or if the changes it reports are unavailable; the caller then reads the store. A page
-     * with `isHistoryLost` set means that a coordinator has seen a later era.
+     * Waits for changes after a position, for as long as a coordinator reports a recent state of the table. Resolves
+     * with undefined if no coordinator does, or if the changes it reports are unavailable; the caller then reads the
+     * store. A page with `isHistoryLost` set means that a coordinator has seen a later era.
      */
     next(after: StorePosition, signal: AbortSignal): Promise<RelayedPage | undefined>;
     /**
-     * The same for a process that the store does not answer, which may be one that others rely on: waits for changes that
-     * other coordinators have read, up to a monotonic time.
+     * Waits for changes that other coordinators have read, up to a monotonic time. For a process that the store does
+     * not answer, even if it is itself a reader on which others rely.
      */
     nextUntil(after: StorePosition, until: number, signal: AbortSignal): Promise<RelayedPage | undefined>;
 }
 
-/** Rows that a coordinator has passed on. */
+/** Rows relayed by a coordinator. */
 export interface RelayedPage extends FeedPage {
-    /** Monotonic time at which the store last failed to answer the coordinator; -Infinity if not lately, absent without rows. */
+    /**
+     * Monotonic time at which the store last failed to answer the coordinator; -Infinity if not recently, absent
+     * without rows.
+     */
     readonly storeFailedAt?: number;
 }
 
-/** The tables that coordinators pass on to one process. */
+/** The tables that coordinators relay to one process. */
 export interface RelayedTables {
     find(table: string): RelayedTable;
     applyState(state: CoordinatorState): void;
@@ -34,15 +37,15 @@
 /** What {@link createRelayedTables} needs. */
 export interface RelayedTablesOptions {
     readonly clock: Clock;
-    /** Longest time since the store has answered a coordinator for which its word holds, in milliseconds. */
+    /** A coordinator's state report is used for up to this time after the store last answered the coordinator. */
     readonly maxStateAgeMilliseconds: () => number;
-    /** Whether this process asks the store itself in any case, since others go by its word. */
+    /** Whether this process always reads the store itself, because it relays the tables to others. */
     readonly isReader: () => boolean;
 }
 
-/** Rows that are missing may be on their way; after this the store is asked for them. */
+/** Missing rows may still be in transit; after this time they are read from the store. */
 const missingMilliseconds = 60;
-/** Messages kept that can't be taken yet. */
+/** Maximum number of messages stored per table until they can be applied. */
 const maxMessages = 16;
 
 interface StateReport extends TableState {
@@ -50,12 +53,11 @@
     readonly storeAnsweredAt: number;
 }
 
-/** Creates the tables of one process. */
 export function createRelayedTables(options: RelayedTablesOptions): RelayedTables {
     const { clock } = options;
     const reportsByTable = new Map<string, Map<string, StateReport>>();
     const messages = new Map<string, (RowsMessage & { readonly at: number; })[]>();
-    const news = createSignal();
+    const changed = createSignal();
 
     /** Finds the most recent state report of a table within the latest era. */
     const findLatestReport = (table: string): StateReport | undefined => {
@@ -65,15 +67,15 @@
 
     const dequeueRows = (table: string, { era, version }: StorePosition): RelayedPage | undefined => {
         const isAhead = (message: RowsMessage) => message.era > era || message.era === era && message.version > version;
-        const fitting = messages.get(table)?.find(message =>
+        const applicable = messages.get(table)?.find(message =>
             message.era === era && message.afterVersion <= version && message.version > version
         );
-        messages.set(table, (messages.get(table) ?? []).filter(message => isAhead(message) && message !== fitting));
-        return fitting && {
-            rows: fitting.rows,
-            position: { era, version: fitting.version },
+        messages.set(table, (messages.get(table) ?? []).filter(message => isAhead(message) && message !== applicable));
+        return applicable && {
+            rows: applicable.rows,
+            position: { era, version: applicable.version },
             isHistoryLost: false,
-            storeFailedAt: fitting.failedAge === undefined ? -Infinity : fitting.at - fitting.failedAge,
+            storeFailedAt: applicable.failedAge === undefined ? -Infinity : applicable.at - applicable.failedAge,
         };
     };
 
@@ -91,25 +93,25 @@
             if (rows) {
                 return rows;
             }
-            const vouch = findLatestReport(table);
-            const staleAt = (vouch?.storeAnsweredAt ?? -Infinity) + options.maxStateAgeMilliseconds();
+            const report = findLatestReport(table);
+            const staleAt = (report?.storeAnsweredAt ?? -Infinity) + options.maxStateAgeMilliseconds();
             const now = clock.monotonicNow();
-            if (!vouch || staleAt <= now || vouch.era < era) {
+            if (!report || staleAt <= now || report.era < era) {
                 return undefined;
             }
-            if (vouch.era > era) {
-                return { rows: [], position: { era: vouch.era, version: 0 }, isHistoryLost: true };
+            if (report.era > era) {
+                return { rows: [], position: { era: report.era, version: 0 }, isHistoryLost: true };
             }
-            if (vouch.changedVersion <= version && vouch.version > version) {
-                return { rows: [], position: { era, version: vouch.version }, isHistoryLost: false };
+            if (report.changedVersion <= version && report.version > version) {
+                return { rows: [], position: { era, version: report.version }, isHistoryLost: false };
             }
-            const isMissing = vouch.changedVersion > version;
+            const isMissing = report.changedVersion > version;
             missingSince = isMissing ? missingSince ?? now : undefined;
             if (missingSince !== undefined && now - missingSince >= missingMilliseconds) {
                 return undefined;
             }
             const wakeAt = missingSince === undefined ? staleAt : missingSince + missingMilliseconds;
-            await news.wait(clock, Math.min(wakeAt, until), signal);
+            await changed.wait(clock, Math.min(wakeAt, until), signal);
         }
         return undefined;
     };
@@ -125,12 +127,12 @@
                 reportsByTable.set(state.table, byCoordinator);
                 byCoordinator.set(from, { ...state, storeAnsweredAt: clock.monotonicNow() - state.age });
             }
-            news.raise();
+            changed.raise();
         },
         applyRows: message => {
-            const kept = [...messages.get(message.table) ?? [], { ...message, at: clock.monotonicNow() }];
-            messages.set(message.table, kept.slice(-maxMessages));
-            news.raise();
+            const stored = [...messages.get(message.table) ?? [], { ...message, at: clock.monotonicNow() }];
+            messages.set(message.table, stored.slice(-maxMessages));
+            changed.raise();
         },
     };
 }
--- a/packages/daisyturn/src/process/forwarding/coordination/createStatePublisher.ts
+++ b/packages/daisyturn/src/process/forwarding/coordination/createStatePublisher.ts
@@ -13,37 +13,39 @@
     readonly link: Pick<CoordinatorLink, "isCandidate" | "listCandidates">;
     readonly reader: TableReader;
     readonly closed: ClosedTargets;
-    /** Longest time for which a coordinator's word on a table holds, in milliseconds. */
+    /** Members use a state report of a table for up to this time after the store last answered. */
     readonly maxStateAgeMilliseconds: () => number;
     readonly send: (to: PeerAddress, datagram: Buffer) => void;
     readonly clock: Clock;
 }
 
-/** Tells the processes that take this one for a coordinator that it is there, and what it reads in the store. */
+/** Sends the state of this process, and the rows that it reads from the store, to the processes that report to it. */
 export interface StatePublisher {
-    /** Tells one process, at once. */
-    tell(member: PeerAddress): void;
-    /** Tells all that they had better ask another process. */
+    /** Sends the state to one process immediately. */
+    publishTo(member: PeerAddress): void;
+    /** Informs all members that this process no longer accepts placement requests. */
     stopAnswering(): void;
     run(signal: AbortSignal): Promise<void>;
 }
 
-/** Messages for each stretch of time for which a coordinator's word holds: some may be lost. */
-const statesPerFreshTime = 6;
-const longestPauseMilliseconds = 500;
-/** Pause while an engine is kept closed, which all have to know before it is ordered. */
-const closingMilliseconds = 100;
-/** Larger changes are left to the store: a datagram in many pieces is lost with any of them. */
-const mostRowsBytes = 16_384;
+/** Number of state messages within the maximum age of a state, because some may be lost. */
+const statesPerMaxAge = 6;
+const maxIntervalMilliseconds = 500;
+/** Interval while an engine is closed, because all processes must know of it before the engine is ordered to change. */
+const closingIntervalMilliseconds = 100;
+/**
+ * Members read larger changes from the store: a large datagram is sent in fragments, and the loss of any fragment loses
+ * the whole datagram.
+ */
+const maxRowsBytes = 16_384;
 
-/** Creates the teller of one process. */
 export function createStatePublisher(options: StatePublisherOptions): StatePublisher {
     const { selfId, members, link, reader, closed, send, clock } = options;
-    const news = createSignal();
+    const changed = createSignal();
     let isStopping = false;
-    closed.onChanged(news.raise);
+    closed.onChanged(changed.raise);
 
-    const describe = () =>
+    const encodeState = () =>
         encodeCoordinatorState({
             from: selfId,
             isAnswering: members.isComplete() && !isStopping,
@@ -55,25 +57,25 @@
     const publishAll = () => {
         const present = members.list();
         if (present.length > 0) {
-            const state = describe();
+            const state = encodeState();
             present.forEach(member => send(member, state));
         }
     };
 
-    const pause = () =>
+    const interval = () =>
         closed.hasOwnClosings()
-            ? closingMilliseconds
-            : Math.min(longestPauseMilliseconds, options.maxStateAgeMilliseconds() / statesPerFreshTime);
+            ? closingIntervalMilliseconds
+            : Math.min(maxIntervalMilliseconds, options.maxStateAgeMilliseconds() / statesPerMaxAge);
 
     reader.onRows(message => {
         const datagram = encodeRowsMessage({ ...message, from: selfId });
-        if (datagram.length <= mostRowsBytes) {
+        if (datagram.length <= maxRowsBytes) {
             members.list().forEach(member => send(member, datagram));
         }
     });
 
     return {
-        tell: member => send(member, describe()),
+        publishTo: member => send(member, encodeState()),
         stopAnswering: () => {
             isStopping = true;
             publishAll();
@@ -81,7 +83,7 @@
         run: async signal => {
             while (!signal.aborted) {
                 publishAll();
-                await news.wait(clock, clock.monotonicNow() + pause(), signal);
+                await changed.wait(clock, clock.monotonicNow() + interval(), signal);
             }
         },
     };
--- a/packages/daisyturn/src/process/forwarding/coordination/createTableReader.ts
+++ b/packages/daisyturn/src/process/forwarding/coordination/createTableReader.ts
@@ -3,17 +3,17 @@
 import type { StorePosition } from "../../../ports/storePosition.js";
 import type { RowsMessage, TableState } from "./messages/tableMessages.js";
 
-/** What this process knows of the tables that it reads from the store itself, to be passed on. */
+/** Tracks the tables that this process reads from the store itself, so that they can be relayed to other processes. */
 export interface TableReader {
     /** Records an answer of the store; `after` is undefined if the table was read in full. */
     recordAnswer(table: string, page: FeedPage, after: StorePosition | undefined): void;
     recordFailure(table: string): void;
     listStates(): readonly TableState[];
-    /** Called with rows that have changed. */
+    /** Registers a listener that is called with changed rows. */
     onRows(listener: (message: Omit<RowsMessage, "from">) => void): void;
 }
 
-/** An outage that ended longer ago no longer tells what the removal of a row means. */
+/** A failure of the store longer ago than this no longer explains the removal of a row. */
 const recentFailureMilliseconds = 5_000;
 
 interface KnownTable {
@@ -24,7 +24,6 @@
     failedAt: number;
 }
 
-/** Creates the reader of one process. */
 export function createTableReader(clock: Clock): TableReader {
     const tables = new Map<string, KnownTable>();
     const listeners: ((message: Omit<RowsMessage, "from">) => void)[] = [];
--- a/packages/daisyturn/src/process/forwarding/coordination/messages/__tests__/loadMessage.test.ts
+++ b/packages/daisyturn/src/process/forwarding/coordination/messages/__tests__/loadMessage.test.ts
@@ -25,7 +25,7 @@
     return notification && readLoadMessage(notification);
 }
 
-/** The parameters as they are sent, to be changed in one place. */
+/** Creates the encoded parameters of the message, so that a test can change one of them. */
 function createParams(): Record<string, unknown> {
     const sent = JSON.parse(encodeLoadMessage(message).toString()) as { params: Record<string, unknown>; };
     return sent.params;
@@ -35,23 +35,23 @@
     return parseLoadMessage(Buffer.from(JSON.stringify({ jsonrpc: "2.0", method: "load", params })));
 }
 
-test("a message is read as it was written", () => {
+test("a decoded message equals the encoded one", () => {
     assert.deepEqual(parseLoadMessage(encodeLoadMessage(message)), message);
 });
 
-test("a message without a sender, a pause or a list is not taken in", () => {
+test("a message with an invalid sender, pause or list is rejected", () => {
     const wrong = [{ from: 5 }, { from: "x".repeat(1_000) }, { pause: -1 }, { pause: 1e300 }, { work: {} }, {
         closed: 1,
     }];
     for (const change of wrong) {
         assert.equal(parse({ ...createParams(), ...change }), undefined, JSON.stringify(change).slice(0, 80));
     }
-    // Beyond what a number can hold: JSON has no word for it, and reads it as infinite.
+    // JSON parses a literal beyond the range of a number as Infinity.
     const text = JSON.stringify({ method: "load", params: createParams() }).replace("120", "1e999");
     assert.equal(parseLoadMessage(Buffer.from(text)), undefined);
 });
 
-test("an entry that no process can have is left out, and the others hold", () => {
+test("an invalid entry is skipped, and the other entries are used", () => {
     const wrong: readonly (readonly [keyof LoadMessage, unknown])[] = [
         ["work", ["i-1", 1, -5_000, 0, 0]],
         ["work", ["i-1", 1, 1e300, 0, 0]],
@@ -77,14 +77,14 @@
     }
 });
 
-test("an invalid closing is left out, and the other closings of its list are kept", () => {
+test("an invalid closing is skipped, and the other closings of its list are used", () => {
     for (const closing of [["i-9", 1e15], ["i-9", -1], ["", 5], "i-9"]) {
         const read = parse({ ...createParams(), closed: [["run-1", 3, [closing, ["i-2", 5_000]]]] });
         assert.deepEqual(read, message, JSON.stringify(closing));
     }
 });
 
-test("whatever a datagram holds, it is no message or one with amounts that a process can have", () => {
+test("any datagram is either rejected or decoded to a message with valid amounts", () => {
     const field = fastCheck.constantFrom(
         "from",
         "pause",
--- a/packages/daisyturn/src/process/forwarding/coordination/messages/loadMessage.ts
+++ b/packages/daisyturn/src/process/forwarding/coordination/messages/loadMessage.ts
@@ -18,41 +18,53 @@
     readOrUndefined,
 } from "./notification.js";
 
-/** What a process tells its coordinators, or a coordinator those of other groups about its whole group. */
+/**
+ * The load of one process, sent to its coordinators, or of a whole group, sent by its coordinator to those of other
+ * groups.
+ */
 export interface LoadMessage {
     readonly from: string;
-    /** Milliseconds until the next message to the same peer. */
+    /** Maximum milliseconds until the next message to the same peer. */
     readonly pause: number;
-    /** Whether it tells of all processes of the sender's group. */
+    /** Whether the message covers all processes of the sender's group. */
     readonly isGroup: boolean;
-    /** Number of the last placement that the sender took from the receiver; `work` has it and those before it. */
+    /**
+     * Number of the last placement that the sender received from the receiver; `work` includes it and all earlier ones.
+     */
     readonly placed: number;
     readonly work: readonly WorkUnderWay[];
+    /** Prompt parts that targets have presumably cached since the last message. */
     readonly kept: readonly PartPlacement[];
+    /** Prefill demand by service. */
     readonly demand: readonly ServiceDemand[];
     readonly closed: readonly ClosingList[];
     /** Targets at which calls fail, at the sender or, if `isGroup`, at any process of its group. */
     readonly failing: readonly string[];
-    /** What has been observed since the last message. */
+    /** Estimated and actual durations of calls since the last message. */
     readonly paces: readonly DurationObservation[];
+    /** Prefills that have ended since the last message. */
     readonly prefills: readonly PrefillObservation[];
+    /** Mean pauses between events of answers since the last message. */
     readonly pauses: readonly EventIntervalObservation[];
+    /** Prompts that have ended since the last message. */
     readonly ended: readonly EndedPrompt[];
 }
 
-/** Target, calls, milliseconds of work, milliseconds of deferred work, tokens held. */
+/** Target, calls, milliseconds of work, milliseconds of deferred work, tokens. */
 type WorkEntry = readonly [string, number, number, number, number];
 
 export const loadMethod = "load";
-/** Far beyond what a target can have under way, in calls, milliseconds or tokens. */
+/** Far more than a target can have in progress, in calls, milliseconds or tokens. */
 const maxAmount = 1e9;
-/** Thousands of processes tell each other within this time; a longer pause would keep what is told for ever. */
+/**
+ * Even in a fleet of thousands, processes report within this time; a longer pause would retain a report indefinitely.
+ */
 const maxPauseMilliseconds = 600_000;
 
 /** Limits the size of a message when many targets fail at once. */
 const maxFailingTargets = 20;
 
-/** Writes a message as the notification that its receivers read. */
+/** Encodes a message as a notification. */
 export function encodeLoadMessage({ work, closed, failing, ...message }: LoadMessage): Buffer {
     return encodeNotification(loadMethod, {
         ...message,
@@ -63,8 +75,8 @@
 }
 
 /**
- * Reads a message; undefined where it has no sender or a list is none. An entry with an amount that no process can have is
- * left out, and the others hold: names and sizes of parts come from callers.
+ * Decodes a message. Returns undefined if it has no sender or if a list is not an array. Entries with impossible
+ * amounts are skipped, and the others are used, because names and sizes of parts come from callers.
  */
 export function readLoadMessage({ method, params }: Notification): LoadMessage | undefined {
     return method === loadMethod ? readOrUndefined(() => readParams(params)) : undefined;
--- a/packages/daisyturn/src/process/forwarding/coordination/messages/notification.ts
+++ b/packages/daisyturn/src/process/forwarding/coordination/messages/notification.ts
@@ -1,19 +1,18 @@
-/** A JSON-RPC notification from another process, its parameters not checked yet. */
+/** A JSON-RPC notification from another process, with unvalidated parameters. */
 export interface Notification {
     readonly method: string;
     readonly params: Readonly<Record<string, unknown>>;
 }
 
 const maxNameLength = 200;
-/** Far beyond what a process or a target can have, in calls, milliseconds, tokens or versions of the store. */
+/** Far more than a process or a target can have, in calls, milliseconds, tokens or versions of the store. */
 const maxAmount = 1e15;
 
-/** Writes a notification. */
 export function encodeNotification(method: string, params: object): Buffer {
     return Buffer.from(JSON.stringify({ jsonrpc: "2.0", method, params }));
 }
 
-/** Reads a notification; undefined for anything else, since anybody may send datagrams. */
+/** Decodes a notification. Returns undefined for any other datagram, because anyone can send datagrams to the port. */
 export function parseNotification(datagram: Buffer): Notification | undefined {
     try {
         const { method, params } = JSON.parse(datagram.toString("utf8")) as { method?: unknown; params?: unknown; };
@@ -27,7 +26,7 @@
     }
 }
 
-/** The result of a reader that throws where a field is not what it must be; undefined then. */
+/** Returns the result of a decoder, or undefined if the decoder throws because a field is invalid. */
 export function readOrUndefined<Message>(read: () => Message): Message | undefined {
     try {
         return read();
@@ -41,35 +40,39 @@
     return typeof value === "string" && value !== "" && value.length <= maxNameLength;
 }
 
-export function isAmount(value: unknown, largest = maxAmount): value is number {
-    return typeof value === "number" && value >= 0 && value <= largest;
+export function isAmount(value: unknown, max = maxAmount): value is number {
+    return typeof value === "number" && value >= 0 && value <= max;
 }
 
-/** @throws where the value is no name */
+/** @throws if the value is not a name */
 export function readName(value: unknown): string {
     if (!isName(value)) {
-        throw new Error("not a name");
+        throw new Error("not a valid name");
     }
     return value;
 }
 
-/** @throws where the value is no amount */
-export function readAmount(value: unknown, largest?: number): number {
-    if (!isAmount(value, largest)) {
-        throw new Error("not an amount");
+/** @throws if the value is not an amount */
+export function readAmount(value: unknown, max?: number): number {
+    if (!isAmount(value, max)) {
+        throw new Error("not a valid amount");
     }
     return value;
 }
 
-/** @throws where the value is there and no amount */
+/** @throws if the value is defined but not an amount */
 export function readOptionalAmount(value: unknown): number | undefined {
     return value === undefined ? undefined : readAmount(value);
 }
 
-/** The entries of a list that pass their checks, field by field. @throws where the value is no list */
+/**
+ * Returns the entries of a list whose fields all pass their checks.
+ *
+ * @throws if the value is not an array
+ */
 export function readList<Entry>(value: unknown, checks: readonly ((item: unknown) => boolean)[]): Entry[] {
     if (!Array.isArray(value)) {
-        throw new Error("not a list");
+        throw new Error("not an array");
     }
     const isEntry = (entry: unknown) =>
         Array.isArray(entry) && entry.length <= checks.length && checks.every((check, index) => check(entry[index]));
--- a/packages/daisyturn/src/process/forwarding/coordination/messages/placementMessages.ts
+++ b/packages/daisyturn/src/process/forwarding/coordination/messages/placementMessages.ts
@@ -11,33 +11,38 @@
     readOrUndefined,
 } from "./notification.js";
 
-/** Asks a coordinator which way a prompt is to go. */
+/** Requests a placement for a prompt from a coordinator. */
 export interface PlacementRequest {
     readonly from: string;
-    /** Number of the question, unique to the sender. */
+    /** Number of the request, unique for the sender. */
     readonly askId: number;
     readonly availabilityZone: string;
     readonly service: string;
     readonly route: string;
     readonly prompt: PromptDescription;
     readonly bodyBytes: number;
-    /** Targets that failed the call, or that the sender does not trust. */
+    /** Targets that have failed the call or that the sender does not trust. */
     readonly avoid: readonly string[];
+    /** Whether one engine must do both prefill and decode. */
     readonly isWholeOnly: boolean;
-    /** Milliseconds within which the first event is on time; negative once it is late. */
+    /** Target latency of the first event, in remaining milliseconds; negative once it is late. */
     readonly aim: number;
+    /** Target pause between two events, in milliseconds. */
     readonly pauseAim: number;
-    /** Milliseconds until the caller leaves, unless its answer has begun by then. */
+    /** Milliseconds until the caller gives up, unless its answer has started by then. */
     readonly patience: number;
 }
 
-/** A step of the way, with the estimates that it was chosen by. */
+/** A step of a placement, with the estimates on which it was chosen. */
 export interface PlacementStep {
     readonly targetId: string;
     readonly work: number;
     readonly wait: number;
+    /** The same work in milliseconds, without any slowdown of the target. */
     readonly leastWork: number;
+    /** Tokens of the prompt that the target is presumed to have cached. */
     readonly keptTokens: number;
+    /** Target from which the KV cache of the prompt is fetched. */
     readonly fetchFrom?: string;
 }
 
@@ -45,40 +50,40 @@
 export interface PlacementAnswer {
     readonly from: string;
     readonly askId: number;
-    /** Counts the placements that the receiver was given by the sender. */
+    /** Sequence number of the sender's answers. The receiver acknowledges it in its load messages. */
     readonly number: number;
     readonly prefill?: PlacementStep;
-    /** Absent where no engine can take the prompt. */
+    /** Absent if no engine can accept the prompt. */
     readonly decode?: PlacementStep;
     readonly firstEvent: number;
     readonly soonestEvent: number;
+    /** Milliseconds that a pure prefill engine needs for the prompt. */
     readonly reading: number;
     readonly isDeferred: boolean;
+    /** `isUnderserved` of `PromptDecision`. */
     readonly isOwed: boolean;
-    /** As in `PromptDecision`; absent where the sender does not tell it. */
+    /** `lateness` of `PromptDecision`; absent if the sender's version does not send it. */
     readonly lateness?: number;
 }
 
 export const requestMethod = "place";
 export const answerMethod = "placed";
 
-/** Writes a question. */
-export function encodePlacementRequest({ prompt, ...ask }: PlacementRequest): Buffer {
+export function encodePlacementRequest({ prompt, ...request }: PlacementRequest): Buffer {
     const parts = prompt.parts.map(({ partId, tokens }) => [partId, tokens]);
-    return encodeNotification(requestMethod, { ...ask, prompt: { ...prompt, parts } });
+    return encodeNotification(requestMethod, { ...request, prompt: { ...prompt, parts } });
 }
 
-/** Reads a question; undefined where a field is missing or can't be. */
+/** Decodes a request. Returns undefined if a field is missing or invalid. */
 export function readPlacementRequest({ method, params }: Notification): PlacementRequest | undefined {
     return method === requestMethod ? readOrUndefined(() => readRequestParams(params)) : undefined;
 }
 
-/** Writes an answer. */
 export function encodePlacementAnswer(answer: PlacementAnswer): Buffer {
     return encodeNotification(answerMethod, answer);
 }
 
-/** Reads an answer; undefined where a field is missing or can't be. */
+/** Decodes an answer. Returns undefined if a field is missing or invalid. */
 export function readPlacementAnswer({ method, params }: Notification): PlacementAnswer | undefined {
     return method === answerMethod ? readOrUndefined(() => readAnswerParams(params)) : undefined;
 }
@@ -144,7 +149,7 @@
 
 function readNames(value: unknown): string[] {
     if (!Array.isArray(value)) {
-        throw new Error("not a list");
+        throw new Error("not an array");
     }
     return value.filter(isName);
 }
@@ -152,7 +157,7 @@
 function readSigned(value: unknown): number {
     const magnitude = readOptionalAmount(Math.abs(value as number));
     if (magnitude === undefined) {
-        throw new Error("not a number");
+        throw new Error("not a valid number");
     }
     return value as number;
 }
--- a/packages/daisyturn/src/process/forwarding/coordination/messages/tableMessages.ts
+++ b/packages/daisyturn/src/process/forwarding/coordination/messages/tableMessages.ts
@@ -14,31 +14,31 @@
     readOrUndefined,
 } from "./notification.js";
 
-/** What a coordinator knows of one table that it follows in the store. */
+/** How far a coordinator has read one table that it watches in the store. */
 export interface TableState {
     readonly table: string;
     /** Store era of the versions. */
     readonly era: number;
-    /** Version of the store at the last change of the table, as far as it is known. */
+    /** Version of the store at the last known change of the table. */
     readonly changedVersion: number;
-    /** Version of the store up to which the table is known. */
+    /** Version of the store up to which the table has been read. */
     readonly version: number;
-    /** Milliseconds since the store has last answered. */
+    /** Milliseconds since the store last answered. */
     readonly age: number;
 }
 
-/** A coordinator's regular word to the processes of its group. */
+/** The state that a coordinator sends regularly to the processes of its group. */
 export interface CoordinatorState {
     readonly from: string;
-    /** Whether it knows by now what its group has under way, and may be asked for placements. */
+    /** Whether the coordinator knows the load of its group and accepts placement requests. */
     readonly isAnswering: boolean;
     readonly tables: readonly TableState[];
     readonly closed: readonly ClosingList[];
-    /** The processes that come first as coordinators of the group. */
+    /** The first processes in the ranking of the group's coordinators. */
     readonly candidates: readonly RegisteredPeer[];
 }
 
-/** Rows of a table that changed after one version of the store and up to another. */
+/** Rows of a table that changed after `afterVersion` of the store, up to `version`. */
 export interface RowsMessage {
     readonly from: string;
     readonly table: string;
@@ -47,14 +47,13 @@
     readonly afterVersion: number;
     readonly version: number;
     readonly rows: readonly FeedRow[];
-    /** Milliseconds since the store has last failed to answer the coordinator, where that was lately. */
+    /** Milliseconds since the store last failed to answer the coordinator; absent if it has not failed recently. */
     readonly failedAge?: number;
 }
 
 export const stateMethod = "state";
 export const rowsMethod = "rows";
 
-/** Writes a coordinator's state. */
 export function encodeCoordinatorState({ tables, closed, candidates, ...state }: CoordinatorState): Buffer {
     return encodeNotification(stateMethod, {
         ...state,
@@ -72,18 +71,18 @@
     });
 }
 
-/** Reads a coordinator's state; undefined where a field is missing or can't be. */
+/** Decodes a coordinator's state. Returns undefined if a field is missing or invalid. */
 export function readCoordinatorState({ method, params }: Notification): CoordinatorState | undefined {
     return method === stateMethod ? readOrUndefined(() => readStateParams(params)) : undefined;
 }
 
-/** Writes changed rows; a row without a text was removed. */
+/** Encodes changed rows; a row without a text was removed. */
 export function encodeRowsMessage({ rows, ...message }: RowsMessage): Buffer {
     const entries = rows.map(({ key, version, text }) => text === undefined ? [key, version] : [key, version, text]);
     return encodeNotification(rowsMethod, { ...message, rows: entries });
 }
 
-/** Reads changed rows; undefined where a field is missing or can't be, since no row may be left out. */
+/** Decodes changed rows. Returns undefined if a field or a row is invalid, because no row may be skipped. */
 export function readRowsMessage({ method, params }: Notification): RowsMessage | undefined {
     return method === rowsMethod ? readOrUndefined(() => readRowsParams(params)) : undefined;
 }
@@ -123,7 +122,7 @@
     const isRowText = (value: unknown) => value === undefined || isText(value);
     const entries = readList<RowEntry>(sent, [isName, value => isAmount(value), isRowText]);
     if (entries.length < sent.length) {
-        throw new Error("a row can't be read");
+        throw new Error("invalid row");
     }
     return {
         from: readName(params["from"]),
--- a/packages/daisyturn/src/process/forwarding/coordination/peerChannel.ts
+++ b/packages/daisyturn/src/process/forwarding/coordination/peerChannel.ts
@@ -1,11 +1,11 @@
-/** Where a process takes datagrams. */
+/** Address at which a process receives datagrams. */
 export interface PeerAddress {
-    /** IP number. */
+    /** IP address. */
     readonly host: string;
     readonly port: number;
 }
 
-/** Sends and takes datagrams; none is repeated, since the next one says all again. */
+/** Sends and receives datagrams. Lost datagrams are not resent, because the next message repeats the whole state. */
 export abstract class DatagramChannel {
     abstract send(to: PeerAddress, datagram: Buffer): void;
     abstract onDatagram(listener: (datagram: Buffer, from: PeerAddress) => void): void;
--- a/packages/daisyturn/src/process/forwarding/coordination/rankCoordinators.ts
+++ b/packages/daisyturn/src/process/forwarding/coordination/rankCoordinators.ts
@@ -2,12 +2,12 @@
 import type { RegisteredPeer } from "../../../ports/peerRegistry.js";
 
 /**
- * Up to so many processes share one coordinator over all availability zones; more have one in each zone, so that what a
- * coordinator does grows with its zone and few messages cross zones.
+ * Up to this many processes share one coordinator across all availability zones. Larger fleets have one coordinator in
+ * each zone, so that its load depends only on the size of its zone and few messages cross zones.
  */
 const maxSingleGroupSize = 20;
 
-/** The processes that share a coordinator with one of a zone. */
+/** Selects the processes that share a coordinator with the processes of a zone. */
 export function selectGroup(peers: readonly RegisteredPeer[], availabilityZone: string): readonly RegisteredPeer[] {
     return peers.length <= maxSingleGroupSize
         ? peers
@@ -15,9 +15,10 @@
 }
 
 /**
- * The processes of a group in the order in which they are its coordinator, the same to all that know the same peers: those
- * with most processor first, since they answer for the others. The first one that is heard of is the coordinator. Two may
- * take themselves for it while they know different peers; placements are then decided with less known, and nothing breaks.
+ * Ranks the processes of a group as its coordinators; the first one that is reachable is the coordinator. Processes
+ * with the most processor capacity come first, because they answer for the others. All processes that know the same
+ * peers compute the same order. While they know different peers, two may act as coordinator: placements are then
+ * decided with less information, but remain valid.
  */
 export function rankCoordinators(group: readonly RegisteredPeer[]): readonly RegisteredPeer[] {
     return group
--- a/packages/daisyturn/src/process/forwarding/coordination/watchPeers.ts
+++ b/packages/daisyturn/src/process/forwarding/coordination/watchPeers.ts
@@ -19,68 +19,69 @@
     isPending: boolean;
 }
 
-/** Until other processes are found, while no coordinator is heard, and after a failure. */
+/** Interval until other processes are found, while no coordinator is reachable, and after a failure. */
 const searchMilliseconds = 1_000;
-/** Coordinators meet each other here; each look is a call to the store, which is priced. */
+/** Interval at which coordinators look for each other; each refresh is a call to the store, which has a price. */
 const coordinatorMilliseconds = 10_000;
-/** Between two looks whether a process that follows a coordinator still hears one. */
+/** Interval at which a process checks that it still has contact with a coordinator. */
 const checkMilliseconds = 2_000;
 const timeoutMilliseconds = 1_000;
-/** Unlisted peers are kept this long after a store rollback, so that they have time to rewrite their entries. */
+/** Unlisted peers are retained this long after a store rollback, so that they have time to rewrite their entries. */
 const unlistedGraceMilliseconds = 2_500;
 
 /**
- * Enters this process among those of the fleet and finds the others, until the signal is aborted. A process that hears a
- * coordinator learns from it who comes next, and asks the store no more.
+ * Registers this process in the fleet's registry and watches the registry for other processes, until the signal is
+ * aborted. A process that has contact with a coordinator receives the next candidates from it, and no longer reads the
+ * registry.
  */
 export async function watchPeers(options: WatchPeersOptions, signal: AbortSignal): Promise<void> {
     const { self, registry, link, refreshRequest, clock, eventLog } = options;
     let unreadable = 0;
     let mustRefresh = true;
-    /** Monotonic time until which unlisted peers are kept. */
-    let keepUnlistedUntil = -Infinity;
+    /** Monotonic time until which unlisted peers are retained. */
+    let retainUnlistedUntil = -Infinity;
     let found: readonly RegisteredPeer[] = [];
 
-    const noteUnreadable = (count: number) => {
+    const recordUnreadable = (count: number) => {
         if (count !== unreadable) {
             unreadable = count;
-            eventLog.record(EventKind.Fault, { reason: "entries of peers can't be read", count });
+            eventLog.record(EventKind.Fault, { reason: "invalid entries in the peer registry", count });
         }
     };
 
-    /** @returns the pause until the next look */
-    const look = async (): Promise<number> => {
+    /** @returns the time until the next refresh, in milliseconds */
+    const refresh = async (): Promise<number> => {
         if (refreshRequest.isPending) {
             refreshRequest.isPending = false;
-            keepUnlistedUntil = clock.monotonicNow() + unlistedGraceMilliseconds;
+            retainUnlistedUntil = clock.monotonicNow() + unlistedGraceMilliseconds;
         }
         const listing = await registry.refresh(self, clock.monotonicNow() + timeoutMilliseconds);
         if (listing.isErr) {
-            eventLog.record(EventKind.Fault, { reason: `peers could not be read: ${listing.error.message}` });
+            eventLog.record(EventKind.Fault, { reason: `could not read the peer registry: ${listing.error.message}` });
             mustRefresh = true;
             return searchMilliseconds;
         }
         mustRefresh = false;
         const { peers, unreadable: unreadableNow } = listing.value;
-        // Processes start together: the first ones to look find a part of the others.
+        // Processes start together, so the first reads of the registry return only some of the others.
         const isSettled = peers.length > 1 && peers.length === found.length;
         found = peers;
-        if (clock.monotonicNow() < keepUnlistedUntil) {
+        if (clock.monotonicNow() < retainUnlistedUntil) {
             link.addPeers(peers);
         }
         else {
             link.setPeers(peers);
         }
-        noteUnreadable(unreadableNow);
+        recordUnreadable(unreadableNow);
         return isSettled && link.isCandidate() ? coordinatorMilliseconds : searchMilliseconds;
     };
 
     while (!signal.aborted) {
-        const needsLook = mustRefresh || refreshRequest.isPending || found.length === 0 || link.isCandidate()
+        const isRefreshDue = mustRefresh || refreshRequest.isPending || found.length === 0 || link.isCandidate()
             || !link.hasContact();
-        const pause = needsLook ? await look() : checkMilliseconds;
+        const interval = isRefreshDue ? await refresh() : checkMilliseconds;
         if (!refreshRequest.isPending) {
-            await refreshRequest.requested.wait(clock, clock.monotonicNow() + pause, signal);
+            await refreshRequest.requested.wait(clock, clock.monotonicNow() + interval, signal);
         }
     }
 }
