--- a/packages/daisyturn/src/connection/caller/__tests__/continuedAnswers.test.ts
+++ b/packages/daisyturn/src/connection/caller/__tests__/continuedAnswers.test.ts
@@ -143,7 +143,7 @@
 
     test("however streams break, the text is whole or a marked beginning", async () => {
         const engines = createEnginePair();
-        await open({ engines, retries: { fraction: 0, most: 1_000 } });
+        await open({ engines, retries: { fraction: 0, maxSaved: 1_000 } });
         const cuts = fc.array(fc.record({ cut: fc.integer({ min: 0, max: 8 }), resumes: fc.boolean() }), {
             maxLength: 5,
         });
@@ -169,7 +169,7 @@
     });
 
     test("without retries left a request is given up on at once", async () => {
-        const { engines, url } = await open({ retries: { fraction: 0, most: 0 } });
+        const { engines, url } = await open({ retries: { fraction: 0, maxSaved: 0 } });
         engines[0].script = [failAtOnce];
         const refused = await postCompletion(url, {});
         assert.equal(refused.status, 502);
--- a/packages/daisyturn/src/connection/caller/__tests__/plainCalls.test.ts
+++ b/packages/daisyturn/src/connection/caller/__tests__/plainCalls.test.ts
@@ -75,7 +75,7 @@
     });
 
     test("retries end with the budget", async () => {
-        await open([reset, reset, reset], { retries: { fraction: 0, most: 1 } });
+        await open([reset, reset, reset], { retries: { fraction: 0, maxSaved: 1 } });
         assert.equal((await call("/quotes/models/2014")).status, 502);
         assert.equal(calls.length, 2);
     });
--- a/packages/daisyturn/src/process/admission/createRetryBudget.ts
+++ b/packages/daisyturn/src/process/admission/createRetryBudget.ts
@@ -3,7 +3,7 @@
     /** Retries earned by each request. */
     readonly fraction: number;
     /** Most retries that can be saved up. It must cover the streams that one failing engine leaves behind. */
-    readonly most: number;
+    readonly maxSaved: number;
 }
 
 /** Keeps retries of the whole process to a fraction of its requests, so that they can't feed an overload. */
@@ -15,14 +15,14 @@
 }
 
 /** Used where the settings say nothing else. */
-export const defaultRetryBudget: RetryBudgetOptions = { fraction: 0.2, most: 100 };
+export const defaultRetryBudget: RetryBudgetOptions = { fraction: 0.2, maxSaved: 100 };
 
 /** Creates the budget of one process; it starts full. */
 export function createRetryBudget(options: RetryBudgetOptions): RetryBudget {
-    let saved = options.most;
+    let saved = options.maxSaved;
     return {
         recordRequest: () => {
-            saved = Math.min(options.most, saved + options.fraction);
+            saved = Math.min(options.maxSaved, saved + options.fraction);
         },
         tryAcquire: () => {
             if (saved < 1) {
--- a/packages/daisyturn/src/process/admission/engineRoom.ts
+++ b/packages/daisyturn/src/process/admission/engineRoom.ts
@@ -95,7 +95,7 @@
     };
 
     const assessWay = (request: RoutingRequest, way: PlacementOption): RoomAssessment => {
-        const ownPrefill = way.firstToken * way.certainty;
+        const ownPrefill = way.firstToken * way.prefillFraction;
         return {
             engineTime: ownPrefill + decodeTime(request, way),
             firstToken: way.firstToken + loadView.anticipatedWait(),
--- a/packages/daisyturn/src/process/load/__tests__/cacheIndex.test.ts
+++ b/packages/daisyturn/src/process/load/__tests__/cacheIndex.test.ts
@@ -35,7 +35,7 @@
             const match = index.match(asked);
             for (const other of names) {
                 const end = asked.findIndex(block => !plain.get(other)!.has(block));
-                assert.equal(match.matchedBy(index.view(other)), end < 0 ? asked.length : end);
+                assert.equal(match.countMatchedBlocks(index.view(other)), end < 0 ? asked.length : end);
             }
         }
     });
@@ -46,8 +46,8 @@
             index.view("e1").expect(hashBlocks(["shared", `own-${prompt}`, `tail-${prompt}`]));
         }
         assert.ok(index.size() <= 1_024, `${index.size()}`);
-        assert.equal(index.match(["shared", "own-1999", "tail-1999"]).matchedBy(index.view("e1")), 3);
-        assert.equal(index.match(["own-0"]).matchedBy(index.view("e1")), 0);
+        assert.equal(index.match(["shared", "own-1999", "tail-1999"]).countMatchedBlocks(index.view("e1")), 3);
+        assert.equal(index.match(["own-0"]).countMatchedBlocks(index.view("e1")), 0);
     });
 
     test("a gap in the events empties the engine's view, a repeated event does not", () => {
@@ -55,10 +55,10 @@
         const view = index.view("e1");
         view.apply(page("1", { sequence: 1, stored: ["a"] }, { sequence: 2, stored: ["b"] }));
         view.apply(page("1", { sequence: 2, stored: ["b"] }));
-        assert.equal(index.match(["a", "b"]).matchedBy(view), 2);
+        assert.equal(index.match(["a", "b"]).countMatchedBlocks(view), 2);
         view.apply(page("1", { sequence: 4, stored: ["c"] }));
-        assert.equal(index.match(["a"]).matchedBy(view), 0);
-        assert.equal(index.match(["c"]).matchedBy(view), 1);
+        assert.equal(index.match(["a"]).countMatchedBlocks(view), 0);
+        assert.equal(index.match(["c"]).countMatchedBlocks(view), 1);
     });
 
     test("a restarted engine holds nothing and is read from the beginning", () => {
@@ -66,17 +66,17 @@
         const view = index.view("e1");
         view.apply(page("1", { sequence: 7, stored: ["a"] }));
         view.applyIncarnation("2");
-        assert.equal(index.match(["a"]).matchedBy(view), 0);
+        assert.equal(index.match(["a"]).countMatchedBlocks(view), 0);
         assert.equal(view.cursor(), 0);
         view.apply(page("2", { sequence: 1, stored: ["b"] }));
-        assert.equal(index.match(["b"]).matchedBy(view), 1);
+        assert.equal(index.match(["b"]).countMatchedBlocks(view), 1);
     });
 
     test("an engine that takes the place of one that left starts empty", () => {
         const index = createCacheIndex();
         index.view("e1").expect(hashBlocks(["a"]));
         index.dropEngine("e1");
-        assert.equal(index.match(["a"]).matchedBy(index.view("e2")), 0);
+        assert.equal(index.match(["a"]).countMatchedBlocks(index.view("e2")), 0);
         assert.equal(index.size(), 0);
     });
 });
--- a/packages/daisyturn/src/process/load/cacheIndex.ts
+++ b/packages/daisyturn/src/process/load/cacheIndex.ts
@@ -31,7 +31,7 @@
     /** Keys of all the prompt's blocks. */
     readonly keys: BlockKeys;
     /** Blocks from the first on that the engine is thought to hold. */
-    matchedBy(view: CacheView): number;
+    countMatchedBlocks(view: CacheView): number;
 }
 
 /** Blocks kept over all engines; bounds the index to some 20 MB. */
@@ -71,7 +71,7 @@
         const keys = hashBlocks(blocks);
         const knownBlocks = walk(keys, table, depths);
         depths[noSlot] = 0;
-        return { knownBlocks, keys, matchedBy: view => depths[view.slot]! };
+        return { knownBlocks, keys, countMatchedBlocks: view => depths[view.slot]! };
     };
 
     return { view, dropEngine, match, size: table.size };
--- a/packages/daisyturn/src/process/routing/__tests__/createRouter.test.ts
+++ b/packages/daisyturn/src/process/routing/__tests__/createRouter.test.ts
@@ -156,9 +156,9 @@
         const blocks = blocksOf("prefix", 20);
         const placement = place(bench, { promptBlocks: blocks, promptTokens: 1_280 });
         const { caches, find } = bench.processes[0]!.loadView;
-        assert.equal(caches.match(blocks).matchedBy(find(placement.engine)!.cache), 20);
+        assert.equal(caches.match(blocks).countMatchedBlocks(find(placement.engine)!.cache), 20);
         placement.end(PlacementOutcome.Refused);
-        assert.equal(caches.match(blocks).matchedBy(find(placement.engine)!.cache), 0);
+        assert.equal(caches.match(blocks).countMatchedBlocks(find(placement.engine)!.cache), 0);
         assert.equal(find(placement.engine)!.streams(), 0);
         bench.stop();
     });
--- a/packages/daisyturn/src/process/routing/createPlacement.ts
+++ b/packages/daisyturn/src/process/routing/createPlacement.ts
@@ -84,7 +84,7 @@
     const noteSpeed = (load: EngineLoad, predicted: number, actual: number, usage?: PlacementUsage) => {
         const uncached = usage ? option.matchedBlocks * tokensPerBlock - usage.cachedTokens : 0;
         const corrected = predicted + Math.max(0, uncached) / load.prefillPerMillisecond();
-        load.rates.observeFirstToken(load.streams(), corrected, actual, option.certainty);
+        load.rates.observeFirstToken(load.streams(), corrected, actual, option.prefillFraction);
         const ratio = (actual + ratioFloorMilliseconds) / (corrected + ratioFloorMilliseconds);
         health.recordFirstTokenRatio(load.engineId, ratio);
     };
--- a/packages/daisyturn/src/process/routing/placementCost.ts
+++ b/packages/daisyturn/src/process/routing/placementCost.ts
@@ -21,7 +21,7 @@
     /** Expected milliseconds to the last token, with penalties for limits that would be missed. */
     readonly cost: number;
     /** The part of the first-token time that is the request's own prefill, from 0 to 1. */
-    readonly certainty: number;
+    readonly prefillFraction: number;
 }
 
 /** What one engine would do for the prefill of a request. */
@@ -82,7 +82,7 @@
         firstToken,
         betweenTokens,
         cost: placementCost(request, now, firstToken, betweenTokens) + pressure * prefill.own,
-        certainty: prefill.own / Math.max(1, firstToken),
+        prefillFraction: prefill.own / Math.max(1, firstToken),
     };
 }
 
@@ -107,7 +107,7 @@
         firstToken,
         betweenTokens,
         cost: placementCost(request, now, firstToken, betweenTokens) + pressure * prefill.own,
-        certainty: prefill.own / Math.max(1, firstToken),
+        prefillFraction: prefill.own / Math.max(1, firstToken),
     };
 }
 
--- a/packages/daisyturn/src/process/routing/placementOptions.ts
+++ b/packages/daisyturn/src/process/routing/placementOptions.ts
@@ -27,7 +27,7 @@
 ): PlacementOption[] {
     const prefills = engines
         .filter(load => !isDecode(load))
-        .map(load => estimatePrefill(load, request, match.matchedBy(load.cache), now));
+        .map(load => estimatePrefill(load, request, match.countMatchedBlocks(load.cache), now));
     const pressure = computePressure(prefills);
     const wholes = prefills
         .filter(prefill => isMixed(prefill.load))
