--- a/packages/daisyturn/src/process/routing/__fixtures__/createDecisionBench.ts
+++ b/packages/daisyturn/src/process/routing/__fixtures__/createDecisionBench.ts
@@ -32,7 +32,7 @@
 
 const refused = notRun(FailureReason.TargetRefused, "not scripted");
 
-/** An engine that only reports; tests write what. */
+/** An engine that only serves reports, which tests set; it refuses all requests. */
 export class ReportingEngine extends Engine {
     events: CacheEvent[] = [];
     isSilent = false;
@@ -110,7 +110,7 @@
 
 const reportInterval = 500;
 
-/** Entry processes with their decisions over scripted engines, on one clock that tests move. */
+/** Entry processes that route over scripted engines, on one fake clock that tests advance. */
 export async function createDecisionBench(options: DecisionBenchOptions) {
     const clock = new FakeClock();
     const networks = createFakePeerNetworks(clock);
@@ -149,7 +149,7 @@
     return { clock, networks, engines, processes, closed, dead, stop: () => stopper.abort() };
 }
 
-/** All others live, but for those that a test calls dead. */
+/** A membership in which all other processes are live, except for those in `dead`. */
 export function createScriptedMembership(
     others: readonly ProcessIdentity[],
     dead: ReadonlySet<string>,
--- a/packages/daisyturn/src/process/routing/__tests__/createRouter.test.ts
+++ b/packages/daisyturn/src/process/routing/__tests__/createRouter.test.ts
@@ -19,7 +19,7 @@
 }
 
 describe("placement", () => {
-    test("passes over engines that are closed, changing, of another model, or tried before", async () => {
+    test("skips engines that are closed, changing, of another model, or that failed the request before", async () => {
         const reports = [
             createReport("closed"),
             createReport("changing", { phase: EnginePhase.Changing }),
@@ -41,7 +41,7 @@
         bench.stop();
     });
 
-    test("an engine that no longer reports is left out", async () => {
+    test("an engine that no longer reports is not used", async () => {
         const reports = [createReport("silent"), createReport("busy", { queuedPrefillTokens: 9_000 })];
         const bench = await createDecisionBench({ reports });
         bench.engines[0]!.isSilent = true;
@@ -50,7 +50,7 @@
         bench.stop();
     });
 
-    test("refuses what no engine can begin in time, and says when one could", async () => {
+    test("refuses a request that no engine can start in time, with a time at which one can", async () => {
         const bench = await createDecisionBench({ reports: [createReport("e1", { queuedPrefillTokens: 50_000 })] });
         const request = createRoutingRequest(bench.clock.wallNow());
         const refused = bench.processes[0]!.router.place(request);
@@ -68,14 +68,14 @@
         const bench = await createDecisionBench({ reports });
         const { router, loadView } = bench.processes[0]!;
         const request = createRoutingRequest(bench.clock.wallNow());
-        const way = router.reserve(request, option => option.decode.engineId === "e2");
+        const reservedOption = router.reserve(request, option => option.decode.engineId === "e2");
         const streamsOf = (engineId: string) => loadView.find(engineId)!.streams();
-        return { bench, router, request, way, streamsOf };
+        return { bench, router, request, reservedOption, streamsOf };
     };
 
-    test("only an allowed way is reserved, counted at once, and placed", async () => {
-        const { bench, router, request, way, streamsOf } = await createReserved();
-        assert.equal(way?.decode.engineId, "e2");
+    test("only an allowed option is reserved, recorded as sent immediately, and placed", async () => {
+        const { bench, router, request, reservedOption, streamsOf } = await createReserved();
+        assert.equal(reservedOption?.decode.engineId, "e2");
         assert.equal(streamsOf("e2"), 1);
         const placed = router.place(request);
         assert.ok(placed.isOk && placed.value.engine === "e2");
@@ -84,7 +84,7 @@
         bench.stop();
     });
 
-    test("an engine that closed meanwhile is not used, and its work is taken back", async () => {
+    test("an engine that closed after the reservation is not used, and its work is removed", async () => {
         const { bench, router, request, streamsOf } = await createReserved();
         bench.closed.add("e2");
         const placed = router.place(request);
@@ -93,7 +93,7 @@
         bench.stop();
     });
 
-    test("a cancelled reservation leaves nothing", async () => {
+    test("a cancelled reservation leaves no work behind", async () => {
         const { bench, router, request, streamsOf } = await createReserved();
         router.cancelReservation(request.requestId);
         router.cancelReservation(request.requestId);
@@ -103,7 +103,7 @@
 });
 
 describe("several processes on the same reports", () => {
-    test("a peer's sends count within one exchange, and spread the next ones", async () => {
+    test("requests that a peer has sent are counted after one exchange, and later requests avoid their engine", async () => {
         const bench = await createDecisionBench({ processes: 2, reports: [createReport("e1"), createReport("e2")] });
         const first = place(bench, { promptTokens: 5_000 }, 0).engine;
         await bench.clock.advance(260);
@@ -111,7 +111,7 @@
         bench.stop();
     });
 
-    test("a process that is cut off counts its own sends", async () => {
+    test("an isolated process counts the requests that it has sent", async () => {
         const bench = await createDecisionBench({ processes: 2, reports: [createReport("e1"), createReport("e2")] });
         bench.networks.isolate("p0");
         const engines = [place(bench, { promptTokens: 5_000 }).engine, place(bench, { promptTokens: 5_000 }).engine];
@@ -123,24 +123,24 @@
 describe("prefix affinity", () => {
     const reports = [...Array(8).keys()].map(index => createReport(`e${index}`));
 
-    test("processes that never spoke agree on the home of a prefix, and different prefixes have different homes", async () => {
+    test("processes without contact agree on the preferred engine of a prefix, and prefixes are spread over engines", async () => {
         const bench = await createDecisionBench({ processes: 2, reports });
         bench.networks.isolate("p0");
-        const homes = new Set<string>();
+        const preferredEngines = new Set<string>();
         for (let prefix = 0; prefix < 12; prefix++) {
             const fields = { promptBlocks: blocksOf(`prefix${prefix}`, 40), promptTokens: 2_560 };
             const [one, other] = [place(bench, fields, 0), place(bench, fields, 1)];
             assert.equal(one.engine, other.engine);
-            homes.add(one.engine);
+            preferredEngines.add(one.engine);
             one.end(PlacementOutcome.Completed);
             other.end(PlacementOutcome.Completed);
             await bench.clock.advance(1_000);
         }
-        assert.ok(homes.size >= 4, `${homes.size} homes`);
+        assert.ok(preferredEngines.size >= 4, `${preferredEngines.size} preferred engines`);
         bench.stop();
     });
 
-    test("the home is given up where waiting for it costs more than its cache saves", async () => {
+    test("the preferred engine is not used when waiting for it costs more than its cache saves", async () => {
         const bench = await createDecisionBench({ reports });
         const fields = { promptBlocks: blocksOf("prefix", 20), promptTokens: 1_280 };
         const used = new Set<string>();
@@ -151,7 +151,7 @@
         bench.stop();
     });
 
-    test("a refused placement leaves no trace in the cache view", async () => {
+    test("a refused placement leaves no blocks in the cache view", async () => {
         const bench = await createDecisionBench({ reports });
         const blocks = blocksOf("prefix", 20);
         const placement = place(bench, { promptBlocks: blocks, promptTokens: 1_280 });
@@ -164,24 +164,24 @@
     });
 });
 
-describe("prefill and decode apart", () => {
+describe("prefill and decode on two engines", () => {
     const prefill = createReport("prefill", { role: EngineRole.Prefill });
     const decode = createReport("decode", { role: EngineRole.Decode });
 
-    test("a mixed engine in a large batch loses against a pair, an idle one wins", async () => {
+    test("a pair is preferred to a mixed engine with a large batch, an idle mixed engine to a pair", async () => {
         const busy = await createDecisionBench({
             reports: [prefill, decode, createReport("mixed", { runningStreams: 40 })],
         });
-        const apart = place(busy);
-        assert.deepEqual([apart.prefillEngine, apart.engine], ["prefill", "decode"]);
+        const pair = place(busy);
+        assert.deepEqual([pair.prefillEngine, pair.engine], ["prefill", "decode"]);
         busy.stop();
         const idle = await createDecisionBench({ reports: [prefill, decode, createReport("mixed")] });
-        const together = place(idle);
-        assert.deepEqual([together.prefillEngine, together.engine], [undefined, "mixed"]);
+        const single = place(idle);
+        assert.deepEqual([single.prefillEngine, single.engine], [undefined, "mixed"]);
         idle.stop();
     });
 
-    test("transfers that turn out slow make the pair lose", async () => {
+    test("a pair is no longer chosen after slow transfers have been measured", async () => {
         const mixed = createReport("mixed", { runningStreams: 10 });
         const bench = await createDecisionBench({ reports: [prefill, decode, mixed] });
         const profile = createProfile("nyamata", "long", { firstTokenLimitMilliseconds: 10_000 });
@@ -197,30 +197,30 @@
             placement.recordFirstToken();
             placement.end(PlacementOutcome.Completed);
         }
-        assert.fail("still apart");
+        assert.fail("a pair is still chosen after 60 slow transfers");
     });
 });
 
-describe("sick engines", () => {
-    const createSickBench = async () => {
+describe("faulty engines", () => {
+    const createFaultyBench = async () => {
         const reports = [createReport("sick"), createReport("e1"), createReport("e2"), createReport("e3")];
         return await createDecisionBench({ processes: 3, reports });
     };
 
-    /** Ends every placement of one process; those on the sick engine as `outcome` says. */
+    /** Completes all placements of one process, except that those on the faulty engine end with `outcome`. */
     const serve = (bench: Bench, count: number, outcome: PlacementOutcome, process = 0) => {
-        let onSick = 0;
+        let onFaulty = 0;
         for (let request = 0; request < count; request++) {
             const placement = place(bench, { promptTokens: 10 }, process);
-            const isSick = placement.engine === "sick";
-            onSick += isSick ? 1 : 0;
-            placement.end(isSick ? outcome : PlacementOutcome.Completed);
+            const isFaulty = placement.engine === "sick";
+            onFaulty += isFaulty ? 1 : 0;
+            placement.end(isFaulty ? outcome : PlacementOutcome.Completed);
         }
-        return onSick;
+        return onFaulty;
     };
 
-    test("one that fails is ejected, probed with one request at a time, and taken back", async () => {
-        const bench = await createSickBench();
+    test("a failing engine is ejected, probed with one request at a time, and readmitted", async () => {
+        const bench = await createFaultyBench();
         assert.equal(serve(bench, 100, PlacementOutcome.Failed), 3);
         assert.equal(bench.processes[0]!.eventLog.of(EventKind.EngineDegraded).length, 1);
         await bench.clock.advance(5_000);
@@ -231,19 +231,19 @@
         bench.stop();
     });
 
-    test("two peers that ejected it convince a third, which does not pass it on as its own finding", async () => {
-        const bench = await createSickBench();
+    test("a process ejects an engine that two peers have ejected, and does not report it as its own observation", async () => {
+        const bench = await createFaultyBench();
         serve(bench, 100, PlacementOutcome.Failed, 0);
         serve(bench, 100, PlacementOutcome.Failed, 1);
         await bench.clock.advance(500);
         assert.equal(serve(bench, 100, PlacementOutcome.Failed, 2), 0);
-        const told = bench.networks.sent.filter(message => message.from === "p2");
-        assert.ok(!JSON.stringify(told).includes("sick"));
+        const sentByThird = bench.networks.sent.filter(message => message.from === "p2");
+        assert.ok(!JSON.stringify(sentByThird).includes("sick"));
         bench.stop();
     });
 
-    test("never more than a part of the engines is ejected", async () => {
-        const bench = await createSickBench();
+    test("only a limited fraction of the engines is ejected", async () => {
+        const bench = await createFaultyBench();
         for (let request = 0; request < 200; request++) {
             place(bench, { promptTokens: 10 }).end(PlacementOutcome.Failed);
         }
@@ -251,13 +251,13 @@
         bench.stop();
     });
 
-    test("one that takes requests and never answers is ejected although no request has failed", async () => {
-        const bench = await createSickBench();
+    test("an engine that accepts requests and never responds is ejected although no request has failed", async () => {
+        const bench = await createFaultyBench();
         const profile = createProfile("nyamata", "patient", { firstTokenLimitMilliseconds: 60_000 });
-        let onSick = 0;
+        let onFaulty = 0;
         for (let request = 0; request < 200; request++) {
             const placement = place(bench, { promptTokens: 100, profile });
-            onSick += placement.engine === "sick" ? 1 : 0;
+            onFaulty += placement.engine === "sick" ? 1 : 0;
             if (placement.engine !== "sick") {
                 await bench.clock.advance(10);
                 placement.recordFirstToken();
@@ -266,12 +266,12 @@
             await bench.clock.advance(10);
         }
         assert.equal(bench.processes[0]!.eventLog.of(EventKind.EngineDegraded)[0]?.fields.engine, "sick");
-        assert.ok(onSick < 60, `${onSick} of 200`);
+        assert.ok(onFaulty < 60, `${onFaulty} of 200`);
         bench.stop();
     });
 
-    test("when all are slow alike, none is ejected", async () => {
-        const bench = await createSickBench();
+    test("at most one engine is ejected when all are equally slow", async () => {
+        const bench = await createFaultyBench();
         const profile = createProfile("nyamata", "patient", { firstTokenLimitMilliseconds: 60_000 });
         for (let request = 0; request < 40; request++) {
             const placement = place(bench, { promptTokens: 100, profile });
--- a/packages/daisyturn/src/process/routing/createPlacement.ts
+++ b/packages/daisyturn/src/process/routing/createPlacement.ts
@@ -5,35 +5,37 @@
 import { tokensPerBlock } from "./placementCost.js";
 import { type Placement, PlacementOutcome, type PlacementUsage, type RoutingRequest } from "./router.js";
 
-/** What a placement tells about how it went. */
+/** The components that a placement updates with its progress and outcome. */
 export interface PlacementParts {
     readonly loadView: LoadView;
     readonly health: EngineHealth;
     readonly lengths: OutputLengths;
     readonly transfer: TransferRate;
     readonly clock: Clock;
-    /** Called once, when the first token has come or the placement has ended. */
+    /** Called on the first token, and again at the end of the placement. */
     readonly onSettled: (placement: PendingPlacement) => void;
 }
 
-/** A placement whose first token has not come. */
+/** A placement that has not received its first token. */
 export interface PendingPlacement {
     readonly engines: readonly string[];
     /** Monotonic times. */
     readonly placedAt: number;
     readonly expectedAt: number;
-    /** Next overdue factor at which the delay counts against the engine. */
+    /** Multiple of the expected time at which the delay is next recorded in the engine's health. */
     nextOverdueFactor: number;
 }
 
-/** Waiting so many times as long as expected counts against an engine even before anything has come. */
+/**
+ * A request that waits this many times longer than expected counts against the engine even before the first token.
+ */
 const firstOverdueFactor = 4;
-/** Fewer tokens than this say little about the time between them. */
-const leastTokensForRate = 8;
-/** First tokens sooner than this are too short to compare; in milliseconds. */
+/** With fewer tokens, the measured time between tokens is too unreliable. */
+const minTokensForRate = 8;
+/** Added to actual and expected first-token times, so that ratios of very short times stay near 1. */
 export const ratioFloorMilliseconds = 100;
 
-/** Counts the work and creates the placement that takes it back. */
+/** Records the work as sent and creates the placement that removes it again when it ends. */
 export function createPlacement(
     parts: PlacementParts,
     request: RoutingRequest,
@@ -44,7 +46,7 @@
     const placedAt = clock.monotonicNow();
     const prefillLoad = option.prefill ?? option.decode;
     const loads = option.prefill ? [option.prefill, option.decode] : [option.decode];
-    const handles = countWork(parts.loadView, request, option);
+    const handles = recordSentWork(parts.loadView, request, option);
     const uncachedPrefill = request.promptTokens / prefillLoad.prefillPerMillisecond();
     const pending: PendingPlacement = {
         engines: loads.map(load => load.engineId),
@@ -65,7 +67,7 @@
         prefilledAt = clock.monotonicNow();
         handles.get(prefillLoad)?.end();
         const predicted = option.firstToken - parts.transfer.estimate(request.promptTokens);
-        noteSpeed(prefillLoad, predicted, prefilledAt - placedAt, usage);
+        recordPrefillSpeed(prefillLoad, predicted, prefilledAt - placedAt, usage);
     };
 
     const recordFirstToken = () => {
@@ -80,8 +82,8 @@
         }
     };
 
-    /** Waits for the usage: an engine that had fewer blocks cached than was thought is not slow. */
-    const noteSpeed = (load: EngineLoad, predicted: number, actual: number, usage?: PlacementUsage) => {
+    /** Corrects the prediction by the usage: an engine with fewer cached blocks than estimated is not slow. */
+    const recordPrefillSpeed = (load: EngineLoad, predicted: number, actual: number, usage?: PlacementUsage) => {
         const uncached = usage ? option.matchedBlocks * tokensPerBlock - usage.cachedTokens : 0;
         const corrected = predicted + Math.max(0, uncached) / load.prefillPerMillisecond();
         load.rates.observeFirstToken(load.streams(), corrected, actual, option.prefillFraction);
@@ -89,8 +91,8 @@
         health.recordFirstTokenRatio(load.engineId, ratio);
     };
 
-    const noteDecodeRate = () => {
-        if (firstTokenAt === undefined || tokens < leastTokensForRate) {
+    const recordDecodeRate = () => {
+        if (firstTokenAt === undefined || tokens < minTokensForRate) {
             return;
         }
         const gap = (clock.monotonicNow() - firstTokenAt) / (tokens - 1);
@@ -98,16 +100,16 @@
         option.decode.rates.observeBetweenTokens(batch, gap);
     };
 
-    const noteCompleted = (usage?: PlacementUsage) => {
+    const recordCompleted = (usage?: PlacementUsage) => {
         loads.forEach(load => health.recordSuccess(load.engineId));
-        noteDecodeRate();
+        recordDecodeRate();
         if (firstTokenAt !== undefined && prefilledAt === undefined) {
-            noteSpeed(option.decode, option.firstToken, firstTokenAt - placedAt, usage);
+            recordPrefillSpeed(option.decode, option.firstToken, firstTokenAt - placedAt, usage);
         }
         parts.lengths.record(request.profile, usage?.outputTokens ?? tokens);
     };
 
-    /** What never was prefilled is not in the cache, whatever was entered ahead. */
+    /** Removes the blocks that were expected in the cache ahead of a prefill that did not take place. */
     const forgetPrefix = () => {
         if (firstTokenAt === undefined && prefilledAt === undefined) {
             prefillLoad.cache.forgetAfter(match.keys, option.matchedBlocks);
@@ -124,7 +126,7 @@
         loads.forEach(load => health.recordEnd(load.engineId));
         switch (outcome) {
             case PlacementOutcome.Completed:
-                noteCompleted(usage);
+                recordCompleted(usage);
                 break;
             case PlacementOutcome.Failed:
                 health.recordFailure(failedEngine().engineId);
@@ -156,7 +158,7 @@
     return { placement, pending };
 }
 
-function countWork(
+function recordSentWork(
     loadView: LoadView,
     request: RoutingRequest,
     option: PlacementOption,
--- a/packages/daisyturn/src/process/routing/createRouter.ts
+++ b/packages/daisyturn/src/process/routing/createRouter.ts
@@ -26,41 +26,44 @@
     readonly clock: Clock;
     readonly random: Random;
     readonly eventLog: EventLog;
-    /** How one of several good options is picked; {@link SampledChoice} if absent. */
+    /** Strategy for choosing among the options; {@link SampledChoice} if absent. */
     readonly choice?: EngineChoice;
 }
 
-/** A router that can place a request ahead, for the admission. */
+/** A router with reservations, for admission control. */
 export interface PlanningRouter extends Router {
-    /** The cheapest way to serve the request now; none if no engine is open to it. */
+    /** Finds the cheapest option for serving the request now. Undefined if no engine is open to it. */
     findCheapestOption(request: RoutingRequest): PlacementOption | undefined;
     /**
-     * Chooses among the ways that `hasRoom` allows, and counts the work from now on. `place` takes the reserved way if
-     * it is still open. Undefined if no way is allowed.
+     * Chooses among the options that `hasCapacity` allows, and records the work as sent. `place` uses the reserved option
+     * if its engines are still open. Undefined if no option is allowed.
      */
-    reserve(request: RoutingRequest, hasRoom: (way: PlacementOption) => boolean): PlacementOption | undefined;
-    /** Takes back a reservation that was not placed. */
+    reserve(request: RoutingRequest, hasCapacity: (option: PlacementOption) => boolean): PlacementOption | undefined;
+    /** Cancels a reservation that has not been placed, and removes its work. */
     cancelReservation(requestId: string): void;
-    /** Called whenever work is counted, by a reservation or by a placement without one. */
+    /** Registers a listener that is called for each reservation, and for each placement without one. */
     onPlaced(listener: (request: RoutingRequest, option: PlacementOption) => void): void;
 }
 
-/** Picks one of several options, if one will do. */
-type Pick = (ways: readonly PlacementOption[], match: CacheMatch) => PlacementOption | undefined;
+/** Picks one of several options, if any is suitable. */
+type Pick = (candidates: readonly PlacementOption[], match: CacheMatch) => PlacementOption | undefined;
 
 interface Reservation {
     readonly placement: Placement;
     readonly option: PlacementOption;
 }
 
-interface PickedWay {
+interface PickedOption {
     readonly option: PlacementOption;
     readonly match: CacheMatch;
 }
 
-/** When to try again if no engine is open at all. */
+/** Retry delay if no engine is open. */
 const noTargetRetryMilliseconds = 1_000;
-/** Estimates are not that good: a first token expected this many times later than its deadline is still tried. */
+/**
+ * Estimates are imprecise, so a request is refused only if its first token is expected to take more than this multiple
+ * of the time left until its deadline.
+ */
 const deadlineTolerance = 1.25;
 
 /** Creates the router of one process. */
@@ -85,19 +88,23 @@
         return loadView.loads().filter(isAlternative).map(load => load.engineId);
     }
 
-    /** Engines to ask, in sets of falling preference: those that failed or are ejected only if nothing else is left. */
+    /** Lists sets of engines in order of preference; failed or ejected engines are used only if no others are available. */
     const listTiers = (request: RoutingRequest): EngineLoad[][] => {
-        const able = loadView.loads().filter(load => canServe(load, request.profile, configurationManager));
-        const untried = able.filter(load => !request.avoid.includes(load.engineId));
-        const steady = untried.filter(load => health.acceptsWork(load.engineId));
-        return [steady, untried, able].filter(isComplete);
+        const capable = loadView.loads().filter(load => canServe(load, request.profile, configurationManager));
+        const untried = capable.filter(load => !request.avoid.includes(load.engineId));
+        const healthy = untried.filter(load => health.acceptsWork(load.engineId));
+        return [healthy, untried, capable].filter(isComplete);
     };
 
-    /** Asks the gate only for what was picked: it is almost always open, and asking for all would cost more. */
-    const pickOpen = (ways: readonly PlacementOption[], match: CacheMatch, pick: Pick): PlacementOption | undefined => {
-        let left = ways;
-        while (left.length > 0) {
-            const option = pick(left, match);
+    /** Checks the gate only for the picked engines: it is almost always open, and checking all engines would cost more. */
+    const pickOpen = (
+        candidates: readonly PlacementOption[],
+        match: CacheMatch,
+        pick: Pick,
+    ): PlacementOption | undefined => {
+        let remaining = candidates;
+        while (remaining.length > 0) {
+            const option = pick(remaining, match);
             if (!option) {
                 return undefined;
             }
@@ -105,16 +112,16 @@
             if (closed.length === 0) {
                 return option;
             }
-            left = left.filter(other => !closed.includes(other.prefill) && !closed.includes(other.decode));
+            remaining = remaining.filter(other => !closed.includes(other.prefill) && !closed.includes(other.decode));
         }
         return undefined;
     };
 
-    const pickWay = (request: RoutingRequest, pick: Pick): PickedWay | undefined => {
+    const pickOption = (request: RoutingRequest, pick: Pick): PickedOption | undefined => {
         const match = loadView.caches.match(request.promptBlocks);
         for (const engines of listTiers(request)) {
-            const ways = listPlacementOptions(request, engines, match, transfer, options.random, clock.wallNow());
-            const option = pickOpen(ways, match, pick);
+            const candidates = listPlacementOptions(request, engines, match, transfer, options.random, clock.wallNow());
+            const option = pickOpen(candidates, match, pick);
             if (option) {
                 return { option, match };
             }
@@ -122,48 +129,48 @@
         return undefined;
     };
 
-    const chooseWay = (request: RoutingRequest, hasRoom: (way: PlacementOption) => boolean) =>
-        pickWay(request, (ways, match) => {
-            const allowed = ways.filter(hasRoom);
+    const chooseOption = (request: RoutingRequest, hasCapacity: (option: PlacementOption) => boolean) =>
+        pickOption(request, (candidates, match) => {
+            const allowed = candidates.filter(hasCapacity);
             const context = { request, knownBlocks: match.knownBlocks, processes: loadView.countProcesses() };
             return allowed.length > 0 ? choice.choose(allowed, context) : undefined;
         });
 
-    const startPlacement = (request: RoutingRequest, way: PickedWay): Placement => {
-        const { placement, pending } = createPlacement(parts, request, way.option, way.match);
+    const startPlacement = (request: RoutingRequest, picked: PickedOption): Placement => {
+        const { placement, pending } = createPlacement(parts, request, picked.option, picked.match);
         watch.watch(pending);
-        listeners.forEach(listener => listener(request, way.option));
+        listeners.forEach(listener => listener(request, picked.option));
         return placement;
     };
 
     const place = (original: RoutingRequest): Result<Placement, Failure> => {
-        watch.look();
-        const reserved = takeReservation(original);
+        watch.checkIfDue();
+        const reserved = consumeReservation(original);
         if (reserved) {
             return ok(reserved);
         }
-        const request = expectOutput(original);
-        const way = chooseWay(request, () => true);
-        if (!way) {
+        const request = withExpectedOutput(original);
+        const picked = chooseOption(request, () => true);
+        if (!picked) {
             const retryAt = clock.wallNow() + noTargetRetryMilliseconds;
             return err(notRun(FailureReason.NoTarget, "No engine is open for this model.", retryAt));
         }
-        const late = findLateness(way.option, request);
+        const late = computeLateness(picked.option, request);
         if (late > 0) {
             const retryAt = clock.wallNow() + late;
             return err(notRun(FailureReason.DeadlineUnreachable, "The first token would come too late.", retryAt));
         }
-        return ok(startPlacement(request, way));
+        return ok(startPlacement(request, picked));
     };
 
-    const reserve = (original: RoutingRequest, hasRoom: (way: PlacementOption) => boolean) => {
-        const request = expectOutput(original);
-        const way = chooseWay(request, hasRoom);
-        if (way) {
+    const reserve = (original: RoutingRequest, hasCapacity: (option: PlacementOption) => boolean) => {
+        const request = withExpectedOutput(original);
+        const picked = chooseOption(request, hasCapacity);
+        if (picked) {
             cancelReservation(request.requestId);
-            reservations.set(request.requestId, { placement: startPlacement(request, way), option: way.option });
+            reservations.set(request.requestId, { placement: startPlacement(request, picked), option: picked.option });
         }
-        return way?.option;
+        return picked?.option;
     };
 
     const cancelReservation = (requestId: string) => {
@@ -171,8 +178,8 @@
         reservations.delete(requestId);
     };
 
-    /** A reservation made some time ago may name an engine that has closed since, or that failed the request. */
-    const takeReservation = (request: RoutingRequest): Placement | undefined => {
+    /** Cancels a reservation whose engine has closed in the meantime or has failed the request. */
+    const consumeReservation = (request: RoutingRequest): Placement | undefined => {
         const reserved = reservations.get(request.requestId);
         if (!reserved) {
             return undefined;
@@ -187,20 +194,20 @@
         return reserved.placement;
     };
 
-    const expectOutput = (request: RoutingRequest): RoutingRequest => {
+    const withExpectedOutput = (request: RoutingRequest): RoutingRequest => {
         const expectedOutputTokens = lengths.expect(request.profile, request.expectedOutputTokens);
         return { ...request, expectedOutputTokens };
     };
 
-    /** Milliseconds by which the first token would miss its deadline, beyond what estimates may be off. */
-    const findLateness = (option: PlacementOption, request: RoutingRequest) => {
+    /** Milliseconds by which the first token would miss its deadline, beyond the tolerance for imprecise estimates. */
+    const computeLateness = (option: PlacementOption, request: RoutingRequest) => {
         const left = request.firstTokenDeadline - clock.wallNow();
         return Math.max(0, option.firstToken - Math.max(0, left) * deadlineTolerance);
     };
 
     return {
         place,
-        findCheapestOption: request => pickWay(expectOutput(request), findCheapest)?.option,
+        findCheapestOption: request => pickOption(withExpectedOutput(request), findCheapest)?.option,
         reserve,
         cancelReservation,
         onPlaced: listener => listeners.push(listener),
--- a/packages/daisyturn/src/process/routing/engineChoice.ts
+++ b/packages/daisyturn/src/process/routing/engineChoice.ts
@@ -3,37 +3,37 @@
 import { tokensPerBlock } from "./placementCost.js";
 import type { RoutingRequest } from "./router.js";
 
-/** What a choice takes into account beside the options. */
+/** Input of a choice in addition to the options. */
 export interface ChoiceContext {
     readonly request: RoutingRequest;
-    /** How many of the prompt's first blocks some engine is thought to hold. */
+    /** Number of leading prompt blocks that are estimated to be cached on at least one engine. */
     readonly knownBlocks: number;
-    /** Processes that choose on the same reports, this one included. */
+    /** Number of processes that choose from the same reports, including this one. */
     readonly processes: number;
 }
 
-/** Picks one of the options that a request has. */
+/** Strategy for choosing one of the options for a request. */
 export abstract class EngineChoice {
     /** @param options at least one */
     abstract choose(options: readonly PlacementOption[], context: ChoiceContext): PlacementOption;
 }
 
-/** Options drawn of each kind at least. */
-const leastDraws = 2;
-/** An engine that would become the home of a prefix may cost this part of the prefix's prefill more. */
-const homeFraction = 0.5;
+/** Minimum number of options drawn from each kind. */
+const minDraws = 2;
+/** The preferred engine of a prefix may cost more than the best option by this fraction of the prefix's prefill time. */
+const extraPrefillFraction = 0.5;
 
 /**
- * Takes the cheapest of some options drawn at random. Processes with the same late reports would otherwise all choose
- * the same engine; the more processes there are, the fewer each draws, and one alone looks at all.
- * Options are drawn apart by whether the engine holds most of the prompt in its cache, and by whether prefill and
- * decode are apart, so that rare good kinds are always looked at.
- * A prefix that is shared but cached nowhere goes to its home, the first of the affordable engines in rendezvous
- * order, so that the processes agree on where to build it up.
+ * Chooses the cheapest of several options drawn at random. Processes with the same outdated reports would otherwise all
+ * choose the same engine. The more processes there are, the fewer options each draws; a single process considers all.
+ * Options are drawn separately by whether the engine has the longest cached prefix, and by whether prefill and decode
+ * run on two engines, so that rare good kinds are always considered.
+ * A prefix that is cached nowhere goes to its preferred engine: the first one in rendezvous order among those whose
+ * cost is acceptable. The processes thus agree on where to build up its cache.
  * Source: Mitzenmacher, "The power of two choices in randomized load balancing", IEEE TPDS 2001.
  */
 export class SampledChoice extends EngineChoice {
-    private readonly memberHashes = new Map<string, number>();
+    private readonly engineHashes = new Map<string, number>();
 
     constructor(private readonly random: Random) {
         super();
@@ -42,52 +42,52 @@
     override choose(options: readonly PlacementOption[], context: ChoiceContext): PlacementOption {
         const { promptBlocks } = context.request;
         const best = this.chooseSampled(options, context.processes);
-        const keyBlocks = Math.max(1, context.knownBlocks);
-        if (promptBlocks.length === 0 || best.matchedBlocks >= keyBlocks) {
+        const prefixBlocks = Math.max(1, context.knownBlocks);
+        if (promptBlocks.length === 0 || best.matchedBlocks >= prefixBlocks) {
             return best;
         }
-        const limit = best.cost + homeFraction * prefillTime(best, keyBlocks);
-        return this.chooseHome(options.filter(option => option.cost <= limit), promptBlocks[keyBlocks - 1]!);
+        const limit = best.cost + extraPrefillFraction * estimatePrefillTime(best, prefixBlocks);
+        return this.choosePreferred(options.filter(option => option.cost <= limit), promptBlocks[prefixBlocks - 1]!);
     }
 
     private chooseSampled(options: readonly PlacementOption[], processes: number): PlacementOption {
-        const most = options.reduce((depth, option) => Math.max(depth, option.matchedBlocks), 0);
+        const maxMatched = options.reduce((depth, option) => Math.max(depth, option.matchedBlocks), 0);
         const kinds: PlacementOption[][] = [[], [], [], []];
         for (const option of options) {
-            kinds[(option.matchedBlocks === most ? 0 : 1) + (option.prefill ? 2 : 0)]!.push(option);
+            kinds[(option.matchedBlocks === maxMatched ? 0 : 1) + (option.prefill ? 2 : 0)]!.push(option);
         }
         return findCheapest(kinds.flatMap(kind => this.draw(kind, processes)));
     }
 
     private draw(options: readonly PlacementOption[], processes: number): readonly PlacementOption[] {
-        const draws = Math.max(leastDraws, Math.ceil(options.length / processes));
+        const draws = Math.max(minDraws, Math.ceil(options.length / processes));
         if (options.length <= draws) {
             return options;
         }
         return [...Array(draws)].map(() => options[this.random.integerBelow(options.length)]!);
     }
 
-    private chooseHome(options: readonly PlacementOption[], key: string): PlacementOption {
+    private choosePreferred(options: readonly PlacementOption[], key: string): PlacementOption {
         const keyHash = hashTextTo32Bits(key);
-        const weight = (option: PlacementOption) => rendezvousWeight(keyHash, this.memberHash(option));
+        const weight = (option: PlacementOption) => rendezvousWeight(keyHash, this.hashEngine(option));
         return options.reduce((best, option) => weight(option) > weight(best) ? option : best);
     }
 
-    /** The engine that keeps the prefix is the one that prefills. */
-    private memberHash(option: PlacementOption): number {
+    /** Hashes the id of the prefill engine, because that engine caches the prefix. */
+    private hashEngine(option: PlacementOption): number {
         const engineId = (option.prefill ?? option.decode).engineId;
-        const known = this.memberHashes.get(engineId) ?? hashTextTo32Bits(engineId);
-        this.memberHashes.set(engineId, known);
+        const known = this.engineHashes.get(engineId) ?? hashTextTo32Bits(engineId);
+        this.engineHashes.set(engineId, known);
         return known;
     }
 }
 
-/** The option with the least cost; the first of equals. */
+/** Returns the option with the lowest cost, the first one if several are equal. */
 export function findCheapest(options: readonly PlacementOption[]): PlacementOption {
     return options.reduce((best, option) => option.cost < best.cost ? option : best);
 }
 
-function prefillTime(option: PlacementOption, blocks: number): number {
+function estimatePrefillTime(option: PlacementOption, blocks: number): number {
     const load = option.prefill ?? option.decode;
     return blocks * tokensPerBlock / load.prefillPerMillisecond();
 }
--- a/packages/daisyturn/src/process/routing/engineFilter.ts
+++ b/packages/daisyturn/src/process/routing/engineFilter.ts
@@ -3,7 +3,7 @@
 import type { ConfigurationManager } from "../configuration/index.js";
 import type { EngineLoad } from "../load/index.js";
 
-/** Whether an engine can serve a profile, as far as its reports and its registration tell. */
+/** Whether an engine can serve a profile, according to its reports and its registration. */
 export function canServe(load: EngineLoad, profile: Profile, configurationManager: ConfigurationManager): boolean {
     const state = load.state();
     if (load.phase() !== EnginePhase.Serving || state?.draining) {
@@ -23,7 +23,7 @@
     return load.role() === EngineRole.Decode;
 }
 
-/** Whether these engines can do a whole request between them. */
+/** Whether these engines together can serve a request from prefill to decode. */
 export function isComplete(engines: readonly EngineLoad[]): boolean {
     return engines.some(isMixed)
         || engines.some(isDecode) && engines.some(load => load.role() === EngineRole.Prefill);
--- a/packages/daisyturn/src/process/routing/index.ts
+++ b/packages/daisyturn/src/process/routing/index.ts
@@ -1,5 +1,5 @@
 /**
- * Where a request is prefilled and decoded.
+ * Chooses the engines on which a request is prefilled and decoded.
  *
  * @module
  */
--- a/packages/daisyturn/src/process/routing/overdueWatch.ts
+++ b/packages/daisyturn/src/process/routing/overdueWatch.ts
@@ -2,23 +2,23 @@
 import type { EngineHealth } from "../health/index.js";
 import { type PendingPlacement, ratioFloorMilliseconds } from "./createPlacement.js";
 
-/** Looks for first tokens that don't come: an engine that hangs never reports anything that could be judged. */
+/** Watches for first tokens that are overdue: an engine that hangs gives no response that could be evaluated. */
 export interface OverdueWatch {
     watch(placement: PendingPlacement): void;
     forget(placement: PendingPlacement): void;
-    /** Looks, if enough time has gone by since the last look. */
-    look(): void;
+    /** Checks all pending placements if the check interval has elapsed. */
+    checkIfDue(): void;
 }
 
-const lookIntervalMilliseconds = 100;
+const checkIntervalMilliseconds = 100;
 
-/** Creates a watch that counts delays against the engines. */
+/** Creates a watch that records overdue first tokens in the engines' health. */
 export function createOverdueWatch(clock: Clock, health: EngineHealth): OverdueWatch {
     const pending = new Set<PendingPlacement>();
-    let lookedAt = -Infinity;
+    let checkedAt = -Infinity;
 
-    /** Counts at 4, 8, 16 ... times the expected time, so that one hanging request alone is enough in the end. */
-    const judge = (placement: PendingPlacement, now: number) => {
+    /** Records at 4, 8, 16 ... times the expected time, so that eventually a single hanging request is sufficient. */
+    const recordIfOverdue = (placement: PendingPlacement, now: number) => {
         const expected = placement.expectedAt - placement.placedAt + ratioFloorMilliseconds;
         const factor = (now - placement.placedAt) / expected;
         if (factor >= placement.nextOverdueFactor) {
@@ -30,11 +30,11 @@
     return {
         watch: placement => pending.add(placement),
         forget: placement => pending.delete(placement),
-        look: () => {
+        checkIfDue: () => {
             const now = clock.monotonicNow();
-            if (now - lookedAt >= lookIntervalMilliseconds) {
-                lookedAt = now;
-                pending.forEach(placement => judge(placement, now));
+            if (now - checkedAt >= checkIntervalMilliseconds) {
+                checkedAt = now;
+                pending.forEach(placement => recordIfOverdue(placement, now));
             }
         },
     };
--- a/packages/daisyturn/src/process/routing/placementCost.ts
+++ b/packages/daisyturn/src/process/routing/placementCost.ts
@@ -5,48 +5,51 @@
 /** Prompt tokens in one block of the prefix cache. */
 export const tokensPerBlock = promptBlockCharacters / charactersPerToken;
 
-/** One way to serve a request. Times are in milliseconds from now. */
+/** An option for serving a request on one engine or two. Times are in milliseconds from now. */
 export interface PlacementOption {
-    /** Where prefill and decode run apart: the engine that prefills. */
+    /** The prefill engine if prefill and decode run on two engines. */
     readonly prefill?: EngineLoad;
     readonly decode: EngineLoad;
     readonly matchedBlocks: number;
     /** Prompt tokens that have to be prefilled. */
     readonly prefillTokens: number;
-    /** Until the engine turns to the request. */
+    /** Until the engine starts the request. */
     readonly wait: number;
     /** Until the first token. */
     readonly firstToken: number;
     readonly betweenTokens: number;
-    /** Expected milliseconds to the last token, with penalties for limits that would be missed. */
+    /** Expected milliseconds to the last token, plus penalties for missed limits and for prefill under load. */
     readonly cost: number;
-    /** The part of the first-token time that is the request's own prefill, from 0 to 1. */
+    /** Fraction of the time to the first token that is the request's own prefill, from 0 to 1. */
     readonly prefillFraction: number;
 }
 
-/** What one engine would do for the prefill of a request. */
+/** Estimate of a request's prefill on one engine. Times are in milliseconds. */
 export interface PrefillEstimate {
     readonly load: EngineLoad;
     readonly matchedBlocks: number;
+    /** Prompt tokens that are not in the prefix cache. */
     readonly tokens: number;
+    /** Until the engine starts the prefill. */
     readonly wait: number;
-    readonly own: number;
+    readonly prefillTime: number;
 }
 
-/** A millisecond past a limit costs as much as this many spent within it. */
-const lateness = 4;
+/** Cost of a millisecond beyond a limit, relative to a millisecond within it. */
+const lateTimeWeight = 4;
 
-/** Average wait at which engine time counts twice, in milliseconds, and how often it may count more at most. */
-const pressingWait = 200;
-const mostPressure = 3;
+/** Average wait at which the pressure is 1, so that prefill time counts twice. */
+const pressureWaitMilliseconds = 200;
+/** Upper limit of the pressure: prefill time counts at most `1 + maxPressure` times. */
+const maxPressure = 3;
 
 /**
- * How much dearer engine time is than time itself. The more waits, the more does work that a cache would have saved
- * delay those who come after; on idle engines it delays nobody.
+ * Computes the additional weight of prefill time in the cost. On loaded engines, prefill that a cache hit would have
+ * saved delays later requests; on idle engines it delays none.
  */
 export function computePressure(prefills: readonly PrefillEstimate[]): number {
     const waits = prefills.reduce((sum, prefill) => sum + prefill.wait, 0);
-    return Math.min(mostPressure, waits / Math.max(1, prefills.length) / pressingWait);
+    return Math.min(maxPressure, waits / Math.max(1, prefills.length) / pressureWaitMilliseconds);
 }
 
 /** Estimates the prefill of a request on one engine. */
@@ -56,14 +59,14 @@
     matchedBlocks: number,
     now: number,
 ): PrefillEstimate {
-    // At least one token is always computed: the one whose logits give the first output.
+    // At least one token is always computed, because its logits give the first output token.
     const tokens = Math.max(1, request.promptTokens - matchedBlocks * tokensPerBlock);
-    const own = tokens / load.prefillPerMillisecond();
-    return { load, matchedBlocks, tokens, wait: load.prefillWait(now), own };
+    const prefillTime = tokens / load.prefillPerMillisecond();
+    return { load, matchedBlocks, tokens, wait: load.prefillWait(now), prefillTime };
 }
 
-/** The option of one engine doing both parts. */
-export function wholeOption(
+/** Creates the option of prefill and decode on one engine. */
+export function createSingleEngineOption(
     prefill: PrefillEstimate,
     request: RoutingRequest,
     pressure: number,
@@ -71,9 +74,9 @@
 ): PlacementOption {
     const decode = prefill.load;
     const betweenTokens = decode.rates.betweenTokens(decode.streams() + 1);
-    // A request that comes in the middle of a step waits for the next one.
-    const wait = prefill.wait + waitForMemory(decode, request, betweenTokens);
-    const firstToken = wait + prefill.own + betweenTokens;
+    // A request that arrives during a step waits for the next one.
+    const wait = prefill.wait + estimateMemoryWait(decode, request, betweenTokens);
+    const firstToken = wait + prefill.prefillTime + betweenTokens;
     return {
         decode,
         matchedBlocks: prefill.matchedBlocks,
@@ -81,13 +84,13 @@
         wait,
         firstToken,
         betweenTokens,
-        cost: placementCost(request, now, firstToken, betweenTokens) + pressure * prefill.own,
-        prefillFraction: prefill.own / Math.max(1, firstToken),
+        cost: computePlacementCost(request, now, firstToken, betweenTokens) + pressure * prefill.prefillTime,
+        prefillFraction: prefill.prefillTime / Math.max(1, firstToken),
     };
 }
 
-/** The option of two engines, with the KV cache carried over in `transfer` milliseconds. */
-export function splitOption(
+/** Creates the option of two engines, with the KV cache transferred between them in `transfer` milliseconds. */
+export function createSplitOption(
     prefill: PrefillEstimate,
     decode: EngineLoad,
     transfer: number,
@@ -96,8 +99,8 @@
     now: number,
 ): PlacementOption {
     const betweenTokens = decode.rates.betweenTokens(decode.streams() + 1);
-    const wait = prefill.wait + waitForMemory(decode, request, betweenTokens);
-    const firstToken = wait + prefill.own + transfer + betweenTokens;
+    const wait = prefill.wait + estimateMemoryWait(decode, request, betweenTokens);
+    const firstToken = wait + prefill.prefillTime + transfer + betweenTokens;
     return {
         prefill: prefill.load,
         decode,
@@ -106,25 +109,25 @@
         wait,
         firstToken,
         betweenTokens,
-        cost: placementCost(request, now, firstToken, betweenTokens) + pressure * prefill.own,
-        prefillFraction: prefill.own / Math.max(1, firstToken),
+        cost: computePlacementCost(request, now, firstToken, betweenTokens) + pressure * prefill.prefillTime,
+        prefillFraction: prefill.prefillTime / Math.max(1, firstToken),
     };
 }
 
-/** Milliseconds from now to the last token, more where a limit of the profile would be missed. */
-function placementCost(request: RoutingRequest, now: number, firstToken: number, betweenTokens: number): number {
-    const firstTokenLate = Math.max(0, firstToken - (request.firstTokenDeadline - now));
-    const betweenLate = Math.max(0, betweenTokens - request.profile.betweenTokensLimitMilliseconds);
+/** Milliseconds from now to the last token, with time beyond a limit weighted by `lateTimeWeight` in addition. */
+function computePlacementCost(request: RoutingRequest, now: number, firstToken: number, betweenTokens: number): number {
+    const firstTokenExcess = Math.max(0, firstToken - (request.firstTokenDeadline - now));
+    const betweenTokensExcess = Math.max(0, betweenTokens - request.profile.betweenTokensLimitMilliseconds);
     const decodeTime = request.expectedOutputTokens * betweenTokens;
-    const lateTime = firstTokenLate + request.expectedOutputTokens * betweenLate;
-    return firstToken + decodeTime + lateness * lateTime;
+    const excessTime = firstTokenExcess + request.expectedOutputTokens * betweenTokensExcess;
+    return firstToken + decodeTime + lateTimeWeight * excessTime;
 }
 
 /**
- * Until the engine has KV cache free for the request. Streams that end give theirs back, about evenly over the time
- * that the running ones still take.
+ * Estimates the milliseconds until the engine has enough free KV cache for the request. Assumes that running streams
+ * release theirs evenly over their remaining time.
  */
-function waitForMemory(load: EngineLoad, request: RoutingRequest, betweenTokens: number): number {
+function estimateMemoryWait(load: EngineLoad, request: RoutingRequest, betweenTokens: number): number {
     const missing = load.kvTokens() + request.promptTokens + request.expectedOutputTokens - load.kvCapacity();
     const report = load.report();
     if (load.kvCapacity() <= 0 || missing <= 0 || !report) {
--- a/packages/daisyturn/src/process/routing/placementOptions.ts
+++ b/packages/daisyturn/src/process/routing/placementOptions.ts
@@ -3,20 +3,20 @@
 import { isDecode, isMixed } from "./engineFilter.js";
 import {
     computePressure,
+    createSingleEngineOption,
+    createSplitOption,
     estimatePrefill,
     type PlacementOption,
     type PrefillEstimate,
-    splitOption,
-    wholeOption,
 } from "./placementCost.js";
 import type { RoutingRequest } from "./router.js";
 
-/** Decode engines whose time between tokens is at most this multiple of the best one's count as equal. */
-const nearDecodeTime = 1.02;
-/** How much worse an engine counts whose KV cache is full. */
-const fullPenalty = 10;
+/** Decode engines are treated as equal if their time between tokens is at most this multiple of the shortest one. */
+const decodeTimeTolerance = 1.02;
+/** Factor by which the time between tokens is multiplied for an engine with a full KV cache. */
+const fullCachePenalty = 10;
 
-/** Lists every way in which some engines could serve a request. */
+/** Lists the options for serving a request on the given engines. */
 export function listPlacementOptions(
     request: RoutingRequest,
     engines: readonly EngineLoad[],
@@ -29,16 +29,19 @@
         .filter(load => !isDecode(load))
         .map(load => estimatePrefill(load, request, match.countMatchedBlocks(load.cache), now));
     const pressure = computePressure(prefills);
-    const wholes = prefills
+    const singleEngineOptions = prefills
         .filter(prefill => isMixed(prefill.load))
-        .map(prefill => wholeOption(prefill, request, pressure, now));
-    if (wholes.length === engines.length) {
-        return wholes;
+        .map(prefill => createSingleEngineOption(prefill, request, pressure, now));
+    if (singleEngineOptions.length === engines.length) {
+        return singleEngineOptions;
     }
-    return [...wholes, ...listSplits(request, prefills, engines, transfer, random, now)];
+    return [...singleEngineOptions, ...listSplits(request, prefills, engines, transfer, random, now)];
 }
 
-/** Prefill and decode on two engines don't slow each other, so the best pair is made of the best of each. */
+/**
+ * Lists the options with prefill and decode on two engines. The two don't slow each other down, so the best decode
+ * engine can be chosen independently of the prefill engine.
+ */
 function listSplits(
     request: RoutingRequest,
     prefills: readonly PrefillEstimate[],
@@ -47,31 +50,31 @@
     random: Random,
     now: number,
 ): PlacementOption[] {
-    const decodes = engines.filter(isDecode);
-    const decode = pickNearBest(decodes.length > 0 ? decodes : engines.filter(isMixed), random);
+    const decodeEngines = engines.filter(isDecode);
+    const decode = pickNearBest(decodeEngines.length > 0 ? decodeEngines : engines.filter(isMixed), random);
     if (!decode) {
         return [];
     }
-    const carried = transfer.estimate(request.promptTokens);
+    const transferTime = transfer.estimate(request.promptTokens);
     return prefills
-        .filter(prefill => isSpecialised(prefill.load, decode))
-        .map(prefill => splitOption(prefill, decode, carried, request, computePressure(prefills), now));
+        .filter(prefill => isUsefulSplit(prefill.load, decode))
+        .map(prefill => createSplitOption(prefill, decode, transferTime, request, computePressure(prefills), now));
 }
 
-/** A split between two mixed engines gains nothing that one of them alone could not give. */
-function isSpecialised(prefill: EngineLoad, decode: EngineLoad): boolean {
+/** Splitting a request between two mixed engines has no advantage over running it on one of them. */
+function isUsefulSplit(prefill: EngineLoad, decode: EngineLoad): boolean {
     return prefill !== decode && !(isMixed(prefill) && isMixed(decode));
 }
 
-/** A random one of those that are as good as the best, or all processes would take the same. */
-function pickNearBest(decodes: readonly EngineLoad[], random: Random): EngineLoad | undefined {
-    const limit = Math.min(...decodes.map(decodeTime)) * nearDecodeTime;
-    const near = decodes.filter(load => decodeTime(load) <= limit);
+/** Picks at random among the engines that are about as fast as the best; otherwise all processes would pick the same. */
+function pickNearBest(decodeEngines: readonly EngineLoad[], random: Random): EngineLoad | undefined {
+    const limit = Math.min(...decodeEngines.map(computeTokenInterval)) * decodeTimeTolerance;
+    const near = decodeEngines.filter(load => computeTokenInterval(load) <= limit);
     return near[near.length > 1 ? random.integerBelow(near.length) : 0];
 }
 
-/** Milliseconds between tokens with one stream more. */
-function decodeTime(load: EngineLoad): number {
+/** Milliseconds between tokens with one additional stream, more if the KV cache is full. */
+function computeTokenInterval(load: EngineLoad): number {
     const isFull = load.kvCapacity() > 0 && load.kvTokens() >= load.kvCapacity();
-    return load.rates.betweenTokens(load.streams() + 1) * (isFull ? fullPenalty : 1);
+    return load.rates.betweenTokens(load.streams() + 1) * (isFull ? fullCachePenalty : 1);
 }
--- a/packages/daisyturn/src/process/routing/router.ts
+++ b/packages/daisyturn/src/process/routing/router.ts
@@ -2,7 +2,7 @@
 import type { Result } from "true-myth/result";
 import type { Profile } from "../../version/configurationItems.js";
 
-/** What routing needs to know of a request. */
+/** The properties of a request that routing uses. */
 export interface RoutingRequest {
     readonly requestId: string;
     readonly partner: string;
@@ -13,11 +13,11 @@
     /** Wall-clock times in milliseconds. */
     readonly firstTokenDeadline: number;
     readonly totalDeadline: number;
-    /** Engines that failed this request before; used again only if nothing else is left. */
+    /** Engines on which this request has failed; used again only if no other engine is available. */
     readonly avoid: readonly string[];
 }
 
-/** How a dispatched part of a request ended, as far as the engine is concerned. */
+/** How the part of a request that was sent to an engine ended, as seen by that engine. */
 export enum PlacementOutcome {
     Completed = "completed",
     Cancelled = "cancelled",
@@ -33,25 +33,25 @@
     readonly outputTokens: number;
 }
 
-/** Where a request goes. Its calls keep the load view right; `end` must be called once. */
+/** The engines chosen for a request. Its methods keep the load view up to date; `end` must be called once. */
 export interface Placement {
-    /** Where the first part runs if prefill and decode are apart. */
+    /** The prefill engine if prefill and decode run on two engines. */
     readonly prefillEngine?: string;
     readonly engine: string;
     /** Wall-clock time in milliseconds. */
     readonly expectedFirstTokenAt: number;
-    /** Tells under which id a part goes to an engine, right before it is sent; reports name streams by it. */
+    /** Records the id of a stream immediately before it is sent to an engine; load reports list streams by this id. */
     recordStream(engine: string, streamId: string): void;
-    /** Where prefill and decode are apart: the prefill part is done. */
+    /** Records the end of the prefill if prefill and decode run on two engines. */
     recordPrefilled(usage?: PlacementUsage): void;
     recordFirstToken(): void;
     recordTokens(count: number): void;
-    /** @param usage from the stream's end mark, where there was one */
+    /** @param usage from the end marker of the stream, if there was one */
     end(outcome: PlacementOutcome, usage?: PlacementUsage): void;
 }
 
 /** Chooses engines for requests. */
 export interface Router {
-    /** NotRun failures: NoTarget, Overloaded or DeadlineUnreachable, with an honest `retryAt`. */
+    /** NotRun failures: NoTarget, Overloaded or DeadlineUnreachable, with `retryAt` from the load estimates. */
     place(request: RoutingRequest): Result<Placement, Failure>;
 }
