--- a/packages/daisyturn/src/process/admission/__fixtures__/createLimitsBench.ts
+++ b/packages/daisyturn/src/process/admission/__fixtures__/createLimitsBench.ts
@@ -9,10 +9,10 @@
 import { createAccountLimits } from "../accountLimits.js";
 import type { AdmissionTicket } from "../admission.js";
 
-/** Milliseconds; every third exchange tells everything. */
+/** Milliseconds; every third exchange sends the full state. */
 const exchangeInterval = 100;
 
-/** Several processes that limit one account, with messages between them that tests can cut. */
+/** Several processes that limit one account, with a network between them that tests can partition. */
 export function createLimitsBench(count: number, requestsPerSecond: number, concurrentRequests = 1_000) {
     const clock = new FakeClock();
     const networks = createFakePeerNetworks(clock);
@@ -38,23 +38,23 @@
     });
     let admitted = 0;
 
-    /** Asks once at a process; the ticket if it was admitted. */
-    const ask = (index: number): AdmissionTicket | undefined => {
-        const answer = processes[index]!.limits.admit(account);
-        admitted += answer.isOk ? 1 : 0;
-        return answer.isOk ? answer.value : undefined;
+    /** Requests admission once at a process; returns the ticket if the request was admitted. */
+    const tryAdmit = (index: number): AdmissionTicket | undefined => {
+        const result = processes[index]!.limits.admit(account);
+        admitted += result.isOk ? 1 : 0;
+        return result.isOk ? result.value : undefined;
     };
 
-    /** Every process of `indexes` asks `perSecond` times a second; returns what was admitted. */
-    const flood = async (indexes: readonly number[], perSecond: number, seconds: number) => {
+    /** Sends `perSecond` requests per second to each process of `indexes`; returns how many were admitted. */
+    const sendLoad = async (indexes: readonly number[], perSecond: number, seconds: number) => {
         const before = admitted;
-        const gap = 1_000 / perSecond;
+        const interval = 1_000 / perSecond;
         for (let round = 0; round < seconds * perSecond; round++) {
-            indexes.forEach(index => ask(index)?.release());
-            await clock.advance(gap);
+            indexes.forEach(index => tryAdmit(index)?.release());
+            await clock.advance(interval);
         }
         return admitted - before;
     };
 
-    return { clock, networks, account, processes, dead, ask, flood, stop: () => stopper.abort() };
+    return { clock, networks, account, processes, dead, tryAdmit, sendLoad, stop: () => stopper.abort() };
 }
--- a/packages/daisyturn/src/process/admission/__tests__/createAdmission.test.ts
+++ b/packages/daisyturn/src/process/admission/__tests__/createAdmission.test.ts
@@ -24,16 +24,22 @@
     const order: string[] = [];
     let count = 0;
 
-    /** Asks for admission; `order` gets the name when it is let in. */
-    const ask = (name: string, limit = 5_000, priority = Priority.Interactive, of = account, promptTokens?: number) => {
+    /** Requests admission; `order` records the name when the request is admitted. */
+    const submit = (
+        name: string,
+        limit = 5_000,
+        priority = Priority.Interactive,
+        of = account,
+        promptTokens?: number,
+    ) => {
         const profile = createProfile(of.partner, "p", { firstTokenLimitMilliseconds: limit, priority });
         count += 1;
         const caller = new AbortController();
         const length = promptTokens === undefined ? {} : { promptTokens };
         const request = createRoutingRequest(bench.clock.wallNow(), { requestId: `r${count}`, profile, ...length });
-        const answer = admission.admitModelRequest(of, request, caller.signal);
+        const admitting = admission.admitModelRequest(of, request, caller.signal);
         let settled: Result<AdmissionTicket, Failure> | undefined;
-        void answer.then(result => {
+        void admitting.then(result => {
             settled = result;
             if (result.isOk) {
                 order.push(name);
@@ -48,13 +54,13 @@
         stopper.abort();
         bench.stop();
     };
-    return { bench, clock: bench.clock, admission, ask, order, stop };
+    return { bench, clock: bench.clock, admission, submit, order, stop };
 }
 
 describe("admission", () => {
-    test("lets in at once while engines have room, and holds back what would only queue there", async () => {
-        const { ask, clock, order, admission, stop } = await createFixture(0);
-        ["a", "b", "c", "d", "e", "f"].forEach(name => void ask(name, 2_000));
+    test("admits immediately while engines have capacity, and queues requests that would only wait there", async () => {
+        const { submit, clock, order, admission, stop } = await createFixture(0);
+        ["a", "b", "c", "d", "e", "f"].forEach(name => void submit(name, 2_000));
         await clock.advance(0);
         assert.ok(order.length >= 2 && order.length <= 5, order.join());
         assert.equal(admission.waitingRequests(), 6 - order.length);
@@ -63,33 +69,33 @@
         stop();
     });
 
-    test("refuses at once what can't meet its deadline; at the time it names there is room", async () => {
-        const { ask, clock, order, stop } = await createFixture(30_000);
-        const late = ask("late", 1_600);
+    test("immediately refuses a request that can't meet its deadline, and admits it at the named retry time", async () => {
+        const { submit, clock, order, stop } = await createFixture(30_000);
+        const late = submit("late", 1_600);
         await clock.advance(0);
         const failure = late.failure();
         assert.equal(failure?.reason, FailureReason.DeadlineUnreachable);
         const wait = failure!.retryAt! - clock.wallNow();
         assert.ok(wait >= 1_000 && wait <= 2_500, `${wait}`);
         await clock.advance(wait);
-        ask("again", 1_600);
+        submit("again", 1_600);
         await clock.advance(1_600);
         assert.deepEqual(order, ["again"]);
         stop();
     });
 
     /**
-     * Seen: with short requests waiting, a long one was refused as too late that would have been let in before them.
-     * Cause: all that waited counted as standing before it, while the order goes by the latest start, which is the earlier the
-     * longer a request's own work is. The same class as prompts starved by a bound that grows with their length.
-     * Proof: the long one alone is in time, and it is let in first.
+     * Guards against refusing a long request as too late although it would be admitted before the short ones that wait.
+     * This happens if all waiting requests count as ahead of it, while the queue is ordered by latest start, which is
+     * earlier for requests with more work of their own. Prompts starve in the same way if a bound grows with their length.
+     * The long request alone is in time, and it is admitted first.
      */
-    test("a long request is not refused for what will stand behind it", async () => {
-        const { ask, clock, order, stop } = await createFixture(20_000);
-        const shorts = ["a", "b", "c", "d", "e"].map(name => ask(name, 6_000));
+    test("a long request is not refused because of requests that would be queued behind it", async () => {
+        const { submit, clock, order, stop } = await createFixture(20_000);
+        const shorts = ["a", "b", "c", "d", "e"].map(name => submit(name, 6_000));
         await clock.advance(0);
         assert.ok(shorts.every(short => short.failure() === undefined));
-        const long = ask("long", 6_000, Priority.Interactive, account, 8_000);
+        const long = submit("long", 6_000, Priority.Interactive, account, 8_000);
         await clock.advance(0);
         assert.equal(long.failure(), undefined);
         await clock.advance(3_000);
@@ -97,31 +103,31 @@
         stop();
     });
 
-    test("refused requests are not all told the same time", async () => {
-        const { ask, clock, stop } = await createFixture(30_000);
-        const asked = [1, 2, 3, 4, 5].map(() => ask("late", 1_600));
+    test("refused requests get different retry times", async () => {
+        const { submit, clock, stop } = await createFixture(30_000);
+        const submitted = [1, 2, 3, 4, 5].map(() => submit("late", 1_600));
         await clock.advance(0);
-        const times = asked.map(one => one.failure()!.retryAt!);
+        const times = submitted.map(one => one.failure()!.retryAt!);
         assert.equal(new Set(times).size, 5);
         assert.deepEqual([...times].sort(), times);
         stop();
     });
 
-    test("what no idle engine could do in time is refused without a time to come again", async () => {
-        const { ask, clock, stop } = await createFixture(0);
-        const hopeless = ask("hopeless", 50);
+    test("a request that no idle engine could serve in time is refused without a retry time", async () => {
+        const { submit, clock, stop } = await createFixture(0);
+        const unreachable = submit("hopeless", 50);
         await clock.advance(0);
-        assert.equal(hopeless.failure()?.reason, FailureReason.DeadlineUnreachable);
-        assert.equal(hopeless.failure()?.retryAt, undefined);
+        assert.equal(unreachable.failure()?.reason, FailureReason.DeadlineUnreachable);
+        assert.equal(unreachable.failure()?.retryAt, undefined);
         stop();
     });
 
-    test("a waiting request is refused as soon as its deadline can't be met", async () => {
-        const { ask, bench, clock, stop } = await createFixture(10_500);
-        const waiting = ask("waiting", 1_500);
+    test("a waiting request is refused as soon as its deadline can no longer be met", async () => {
+        const { submit, bench, clock, stop } = await createFixture(10_500);
+        const waiting = submit("waiting", 1_500);
         await clock.advance(0);
         assert.equal(waiting.failure(), undefined);
-        // Another sender has filled the engine, as its next report tells.
+        // The next report shows that another sender has filled the engine.
         const report = { asOf: clock.wallNow() + 400, queuedPrefillTokens: 20_000 };
         bench.engines[0]!.report = { ...bench.engines[0]!.report, ...report };
         await clock.advance(550);
@@ -129,35 +135,35 @@
         stop();
     });
 
-    test("a caller that goes away frees its place at once", async () => {
-        const { ask, clock, admission, order, stop } = await createFixture(20_000);
-        const gone = ask("gone");
+    test("a request whose caller disconnects leaves the queue immediately", async () => {
+        const { submit, clock, admission, order, stop } = await createFixture(20_000);
+        const disconnected = submit("gone");
         await clock.advance(0);
         assert.equal(admission.waitingRequests(), 1);
-        gone.caller.abort();
+        disconnected.caller.abort();
         assert.equal(admission.waitingRequests(), 0);
         await clock.advance(0);
-        assert.equal(gone.failure()?.reason, FailureReason.Cancelled);
+        assert.equal(disconnected.failure()?.reason, FailureReason.Cancelled);
         await clock.advance(3_000);
         assert.deepEqual(order, []);
         stop();
     });
 
-    test("interactive requests go before bulk ones of their partner", async () => {
-        const { ask, clock, order, stop } = await createFixture(30_000);
-        ask("bulk", 20_000, Priority.Bulk);
-        ask("interactive", 20_000);
+    test("interactive requests are admitted before bulk requests of the same partner", async () => {
+        const { submit, clock, order, stop } = await createFixture(30_000);
+        submit("bulk", 20_000, Priority.Bulk);
+        submit("interactive", 20_000);
         await clock.advance(5_000);
         assert.deepEqual(order, ["interactive", "bulk"]);
         stop();
     });
 
-    test("bounds are kept for each partner: one's flood leaves the other its places", async () => {
-        const { ask, clock, admission, stop } = await createFixture(40_000, { requests: 3, bytes: 1e9 });
-        const flood = [1, 2, 3, 4, 5].map(() => ask("flood", 20_000));
-        const calm = ask("calm", 20_000, Priority.Interactive, other);
+    test("queue bounds apply per partner: excess load of one partner does not displace another", async () => {
+        const { submit, clock, admission, stop } = await createFixture(40_000, { requests: 3, bytes: 1e9 });
+        const excessLoad = [1, 2, 3, 4, 5].map(() => submit("flood", 20_000));
+        const calm = submit("calm", 20_000, Priority.Interactive, other);
         await clock.advance(0);
-        assert.deepEqual(flood.map(one => one.failure()?.reason), [
+        assert.deepEqual(excessLoad.map(one => one.failure()?.reason), [
             undefined,
             undefined,
             undefined,
@@ -169,28 +175,28 @@
         stop();
     });
 
-    test("a prompt that passes the bound of bytes is refused", async () => {
-        const { ask, clock, stop } = await createFixture(40_000, { requests: 100, bytes: 9_000 });
-        const asked = [1, 2, 3].map(() => ask("large", 20_000));
+    test("a prompt that exceeds the bound in bytes is refused", async () => {
+        const { submit, clock, stop } = await createFixture(40_000, { requests: 100, bytes: 9_000 });
+        const submitted = [1, 2, 3].map(() => submit("large", 20_000));
         await clock.advance(0);
-        assert.deepEqual(asked.map(one => one.failure()?.reason), [undefined, undefined, FailureReason.Overloaded]);
+        assert.deepEqual(submitted.map(one => one.failure()?.reason), [undefined, undefined, FailureReason.Overloaded]);
         stop();
     });
 
-    test("the partner that has used less goes first", async () => {
-        const { ask, clock, order, stop } = await createFixture(0);
-        [1, 2, 3, 4, 5, 6, 7, 8].forEach(() => void ask("flood", 20_000));
+    test("the partner with less usage is admitted first", async () => {
+        const { submit, clock, order, stop } = await createFixture(0);
+        [1, 2, 3, 4, 5, 6, 7, 8].forEach(() => void submit("flood", 20_000));
         await clock.advance(0);
         const before = order.length;
-        ask("calm", 20_000, Priority.Interactive, other);
+        submit("calm", 20_000, Priority.Interactive, other);
         await clock.advance(0);
         assert.equal(order[before], "calm");
         stop();
     });
 
-    test("when the process stops, what still waits is refused as not run", async () => {
-        const { ask, clock, stop } = await createFixture(20_000);
-        const waiting = ask("waiting");
+    test("waiting requests are refused as not run when the process stops", async () => {
+        const { submit, clock, stop } = await createFixture(20_000);
+        const waiting = submit("waiting");
         await clock.advance(0);
         stop();
         await clock.advance(0);
--- a/packages/daisyturn/src/process/admission/__tests__/fairShares.test.ts
+++ b/packages/daisyturn/src/process/admission/__tests__/fairShares.test.ts
@@ -3,7 +3,7 @@
 import { test } from "node:test";
 import { computeFairShares, type ShareClaim } from "../fairShares.js";
 
-/** Progressive filling in small steps: everyone's share grows by its weight until its demand or the capacity is met. */
+/** Progressive filling in small steps: each share grows by its weight until its demand or the capacity is reached. */
 function fillInSteps(capacity: number, claims: readonly ShareClaim[], step: number): number[] {
     const shares = claims.map(() => 0);
     let left = capacity;
@@ -37,7 +37,7 @@
             const stepwise = fillInSteps(capacity, all, step);
             const weights = all.reduce((sum, claim) => sum + claim.weight, 0);
             exact.forEach((share, index) => {
-                // What one step of all the weights leaves undone can go to one claim.
+                // The capacity that is left after the last step can belong to a single claim.
                 assert.ok(Math.abs(share - stepwise[index]!) <= step * weights + 1e-6, `${exact} and ${stepwise}`);
             });
         }),
--- a/packages/daisyturn/src/process/admission/accountLimits.ts
+++ b/packages/daisyturn/src/process/admission/accountLimits.ts
@@ -15,17 +15,19 @@
 import type { AdmissionTicket } from "./admission.js";
 
 /**
- * Rates and concurrencies of accounts over all entry processes, without a write to the store for each request.
+ * Limits the request rate and the concurrency of client accounts over all entry processes, without a write to the
+ * store for each request.
  *
- * Every process keeps the whole account: its bucket is emptied by what this process admits, at once, and by what the
- * peers have told they admitted. So the rate is kept exactly in the long run; what several processes admit at once,
- * before they hear of each other, is a debt that later admissions wait for. Beside it, each process spends no faster
- * than its part of the demand, so that there is little debt in the first place.
+ * Every process has a token bucket for the cell-wide rate of the account. Requests that it admits are deducted
+ * immediately, requests that peers admit when their reports arrive. In the long run, the rate is therefore exact. If
+ * several processes admit requests before they receive each other's reports, the bucket goes below zero and later
+ * requests wait until it is refilled. A second bucket limits each process to its fraction of the demand, which keeps
+ * this overshoot small.
  *
- * Bounds, with N processes that hear of each other within `delay`: from the first moment on, no more than
- * `rate * time + N * (burst + rate * delay)` is admitted, and the concurrency passes its limit only by what is admitted
- * within the delay. A process that does not hear a majority
- * keeps to 1/N of the limits, so a cut adds at most the cut-off processes' parts.
+ * Bounds, with N processes that receive each other's reports within `delay`: at any time since the start, no more than
+ * `rate * time + N * (burst + rate * delay)` requests are admitted, and the concurrency exceeds its limit only by the
+ * requests that are admitted within the delay. A process without contact to a majority is limited to 1/N of the
+ * limits, so a network partition adds at most the fractions of the isolated processes.
  */
 export interface AccountLimits {
     admit(account: CallerAccount): Result<AdmissionTicket, Failure>;
@@ -39,26 +41,26 @@
     readonly clock: Clock;
 }
 
-/** Seconds of unused rate that an account may save up; one request at least. */
+/** Seconds of unused rate that an account can accumulate; the burst is at least one request. */
 export const burstSeconds = 1;
 const millisecondsPerSecond = 1_000;
-/** How long demand is remembered when the parts of the processes are worked out. */
+/** Time over which demand is averaged to compute the fractions of the processes. */
 const demandMemoryMilliseconds = 2_000;
-/** A process may spend a little faster than its part, or parts that don't add up to one would waste rate. */
-const partSlack = 1.1;
-/** Peers are told at once of accounts that have less than this part of their burst left. */
-const urgentPart = 0.5;
-/** When a slot of an account that is at its concurrency may be free again. */
+/** Factor by which a process may exceed its fraction; otherwise fractions that add up to less than 1 would waste rate. */
+const fractionSlack = 1.1;
+/** Peers are notified immediately when less than this fraction of an account's burst is left. */
+const urgentBurstFraction = 0.5;
+/** Retry delay for an account that has reached its concurrency limit. */
 const concurrencyRetryMilliseconds = 250;
-/** An account that has not been used for so long is forgotten. */
-const idleMilliseconds = 30_000;
-const recordsPerSweep = 200;
+/** Records of accounts that have not been used for this long are removed. */
+const idleRetentionMilliseconds = 30_000;
+const maxRecordsPerSweep = 200;
 
-/** What a process tells about one account. Numbers grow from zero since `since`. */
-interface ToldAccount {
+/** What a process reports to its peers about one account. `asked` and `admitted` count from zero since `since`. */
+interface ReportedAccount {
     readonly partner: string;
     readonly name: string;
-    /** Tells records of one account apart that were begun anew. */
+    /** Creation time of the record; differs if the record was removed and created again. */
     readonly since: number;
     readonly asked: number;
     readonly admitted: number;
@@ -66,12 +68,12 @@
 }
 
 interface AccountSection {
-    readonly accounts: readonly ToldAccount[];
+    readonly accounts: readonly ReportedAccount[];
 }
 
-interface PeerUse {
+interface PeerUsage {
     readonly incarnation: string;
-    readonly told: ToldAccount;
+    readonly reported: ReportedAccount;
     readonly demand: DecayingRate;
 }
 
@@ -83,22 +85,22 @@
     admitted: number;
     concurrent: number;
     readonly demand: DecayingRate;
-    /** Requests that may be admitted over the cell; below zero after processes admitted at once. */
+    /** Requests that the whole cell may admit; below zero if several processes admitted requests at the same time. */
     cellBucket: number;
-    /** Requests that this process may admit. */
+    /** Requests that this process may admit by its fraction. */
     ownBucket: number;
     /** Monotonic times. */
     refilledAt: number;
     usedAt: number;
-    readonly peers: Map<string, PeerUse>;
+    readonly peers: Map<string, PeerUsage>;
 }
 
-/** Creates the limits of one process. */
+/** Creates the account limits of one process. */
 export function createAccountLimits(options: AccountLimitsOptions): AccountLimits {
     const { exchange, membership, configurationManager, clock } = options;
     const records = new Map<string, AccountRecord>();
-    const news = new Set<AccountRecord>();
-    let hasUrgentNews = false;
+    const unsent = new Set<AccountRecord>();
+    let hasUrgentUpdate = false;
 
     const ensureRecord = (partner: string, name: string): AccountRecord => {
         const key = `${partner}/${name}`;
@@ -111,55 +113,58 @@
         return record;
     };
 
-    /** What live peers told of an account. What an earlier run of a process told ended with that run. */
-    const listLiveUses = (record: AccountRecord) =>
+    /** Lists the usage that live peers have reported. Reports of an earlier incarnation of a peer are ignored. */
+    const listLivePeerUsage = (record: AccountRecord) =>
         membership.livePeers().flatMap(peer => {
-            const use = record.peers.get(peer.processId);
-            return use?.incarnation === peer.incarnation ? [{ processId: peer.processId, ...use }] : [];
+            const usage = record.peers.get(peer.processId);
+            return usage?.incarnation === peer.incarnation ? [{ processId: peer.processId, ...usage }] : [];
         });
 
     /**
-     * The part of an account's rate that this process may use: its part of the demand, or an even part of what nobody
-     * asks for if that is more. By demand alone, a process that has hardly been asked would refuse the second of two
-     * calls while most of the rate is unused.
+     * Computes the fraction of an account's rate that this process may use: its fraction of the demand, or an even
+     * fraction of the unused rate if that is larger. By demand alone, a process with few requests so far would refuse
+     * the second of two calls while most of the rate is unused.
      */
-    const partOf = (record: AccountRecord, { requestsPerSecond }: CallerAccount, now: number) => {
+    const computeFraction = (record: AccountRecord, { requestsPerSecond }: CallerAccount, now: number) => {
         if (!membership.hasMajorityContact()) {
-            return 1 / (1 + countOthers(membership));
+            return 1 / (1 + countOtherProcesses(membership));
         }
         const own = record.demand.perSecond(now);
-        const others = listLiveUses(record)
-            .reduce((sum, use) => sum + use.demand.perSecond(exchange.lastReceivedAt(use.processId, now)), 0);
+        const others = listLivePeerUsage(record)
+            .reduce((sum, usage) => sum + usage.demand.perSecond(exchange.lastReceivedAt(usage.processId, now)), 0);
         if (own + others === 0) {
             return 1;
         }
         const unused = Math.max(0, 1 - (own + others) / requestsPerSecond);
-        return Math.max(own / (own + others), unused / (1 + countOthers(membership)));
+        return Math.max(own / (own + others), unused / (1 + countOtherProcesses(membership)));
     };
 
-    const refill = (record: AccountRecord, account: CallerAccount, part: number, now: number) => {
+    const refill = (record: AccountRecord, account: CallerAccount, fraction: number, now: number) => {
         const burst = Math.max(1, account.requestsPerSecond * burstSeconds);
         const earned = (now - record.refilledAt) / millisecondsPerSecond * account.requestsPerSecond;
         record.cellBucket = Math.min(burst, record.cellBucket + earned);
-        record.ownBucket = Math.min(Math.max(1, burst * part), record.ownBucket + earned * part * partSlack);
+        record.ownBucket = Math.min(
+            Math.max(1, burst * fraction),
+            record.ownBucket + earned * fraction * fractionSlack,
+        );
         record.refilledAt = now;
     };
 
-    /** Milliseconds until the buckets hold a request. */
-    const waitForRate = (record: AccountRecord, account: CallerAccount, part: number) => {
+    /** Milliseconds until both buckets allow a request. */
+    const computeRateWait = (record: AccountRecord, account: CallerAccount, fraction: number) => {
         const perMillisecond = account.requestsPerSecond / millisecondsPerSecond;
-        const ofCell = (1 - record.cellBucket) / perMillisecond;
-        const ofOwn = (1 - record.ownBucket) / (perMillisecond * part * partSlack);
-        return Math.max(0, ofCell, ofOwn);
+        const cellWait = (1 - record.cellBucket) / perMillisecond;
+        const ownWait = (1 - record.ownBucket) / (perMillisecond * fraction * fractionSlack);
+        return Math.max(0, cellWait, ownWait);
     };
 
     const hasFreeSlot = (record: AccountRecord, account: CallerAccount) => {
-        const whole = account.concurrentRequests;
+        const maxConcurrent = account.concurrentRequests;
         if (!membership.hasMajorityContact()) {
-            return record.concurrent < Math.max(1, Math.floor(whole / (1 + countOthers(membership))));
+            return record.concurrent < Math.max(1, Math.floor(maxConcurrent / (1 + countOtherProcesses(membership))));
         }
-        const others = listLiveUses(record).reduce((sum, use) => sum + use.told.concurrent, 0);
-        return record.concurrent + others < whole;
+        const others = listLivePeerUsage(record).reduce((sum, usage) => sum + usage.reported.concurrent, 0);
+        return record.concurrent + others < maxConcurrent;
     };
 
     const admit = (account: CallerAccount): Result<AdmissionTicket, Failure> => {
@@ -168,72 +173,74 @@
         record.demand.add(1, now);
         record.asked += 1;
         record.usedAt = now;
-        news.add(record);
-        const part = partOf(record, account, now);
-        refill(record, account, part, now);
-        const wait = waitForRate(record, account, part);
+        unsent.add(record);
+        const fraction = computeFraction(record, account, now);
+        refill(record, account, fraction, now);
+        const wait = computeRateWait(record, account, fraction);
         if (wait > 0) {
-            return err(notRun(FailureReason.RateLimited, "The account is at its rate.", clock.wallNow() + wait));
+            return err(
+                notRun(FailureReason.RateLimited, "The account has reached its rate limit.", clock.wallNow() + wait),
+            );
         }
         if (!hasFreeSlot(record, account)) {
             const retryAt = clock.wallNow() + concurrencyRetryMilliseconds;
-            return err(notRun(FailureReason.RateLimited, "The account is at its concurrency.", retryAt));
+            return err(notRun(FailureReason.RateLimited, "The account has reached its concurrency limit.", retryAt));
         }
         record.cellBucket -= 1;
         record.ownBucket -= 1;
         record.admitted += 1;
         record.concurrent += 1;
-        hasUrgentNews ||= record.cellBucket < account.requestsPerSecond * burstSeconds * urgentPart;
-        return ok(createTicket(record, () => news.add(record)));
+        hasUrgentUpdate ||= record.cellBucket < account.requestsPerSecond * burstSeconds * urgentBurstFraction;
+        return ok(createTicket(record, () => unsent.add(record)));
     };
 
-    /** Looks at some records in turn; those in use go to the end of the line. */
-    const forgetIdle = () => {
-        const oldest = clock.monotonicNow() - idleMilliseconds;
-        for (const [key, record] of [...records].slice(0, recordsPerSweep)) {
+    /** Checks a limited number of records per call; those still in use move to the end of the map. */
+    const removeIdleRecords = () => {
+        const oldestUse = clock.monotonicNow() - idleRetentionMilliseconds;
+        for (const [key, record] of [...records].slice(0, maxRecordsPerSweep)) {
             records.delete(key);
-            if (record.concurrent > 0 || record.usedAt > oldest) {
+            if (record.concurrent > 0 || record.usedAt > oldestUse) {
                 records.set(key, record);
             }
         }
     };
 
     const collect = (): JsonObject | undefined => {
-        forgetIdle();
-        const section: AccountSection = { accounts: [...news].map(describe) };
-        news.clear();
-        hasUrgentNews = false;
+        removeIdleRecords();
+        const section: AccountSection = { accounts: [...unsent].map(describe) };
+        unsent.clear();
+        hasUrgentUpdate = false;
         return section.accounts.length > 0 ? toJson(section) : undefined;
     };
 
-    const receiveAccount = (from: ProcessIdentity, told: ToldAccount) => {
+    const receiveAccount = (from: ProcessIdentity, reported: ReportedAccount) => {
         const now = clock.monotonicNow();
-        const record = ensureRecord(told.partner, told.name);
+        const record = ensureRecord(reported.partner, reported.name);
         const known = record.peers.get(from.processId);
-        const isContinued = known?.incarnation === from.incarnation && known.told.since === told.since;
-        const last = isContinued ? known.told : undefined;
+        const isContinued = known?.incarnation === from.incarnation && known.reported.since === reported.since;
+        const last = isContinued ? known.reported : undefined;
         const demand = known?.demand ?? createDecayingRate(demandMemoryMilliseconds, now);
-        const account = configurationManager.current().findItem({ kind: ItemKind.CallerAccount, ...told });
+        const account = configurationManager.current().findItem({ kind: ItemKind.CallerAccount, ...reported });
         if (account?.kind === ItemKind.CallerAccount) {
-            refill(record, account, partOf(record, account, now), now);
+            refill(record, account, computeFraction(record, account, now), now);
         }
-        demand.add(told.asked - (last?.asked ?? 0), now);
-        record.cellBucket -= told.admitted - (last?.admitted ?? 0);
+        demand.add(reported.asked - (last?.asked ?? 0), now);
+        record.cellBucket -= reported.admitted - (last?.admitted ?? 0);
         record.usedAt = now;
-        record.peers.set(from.processId, { incarnation: from.incarnation, told, demand });
+        record.peers.set(from.processId, { incarnation: from.incarnation, reported, demand });
     };
 
     exchange.register({
         section: ExchangeSection.AccountUse,
-        isUrgent: () => hasUrgentNews,
+        isUrgent: () => hasUrgentUpdate,
         collect,
         receive: (content, from) => {
             const section = content as unknown as AccountSection;
-            section.accounts.forEach(told => receiveAccount(from, told));
+            section.accounts.forEach(reported => receiveAccount(from, reported));
         },
     });
-    // A peer that was cut off has missed what was told meanwhile.
-    membership.onChange(() => records.forEach(record => record.admitted > 0 && news.add(record)));
+    // A peer that was isolated has missed reports in the meantime.
+    membership.onChange(() => records.forEach(record => record.admitted > 0 && unsent.add(record)));
     return { admit };
 }
 
@@ -267,11 +274,11 @@
     };
 }
 
-function describe({ partner, name, since, asked, admitted, concurrent }: AccountRecord): ToldAccount {
+function describe({ partner, name, since, asked, admitted, concurrent }: AccountRecord): ReportedAccount {
     return { partner, name, since, asked, admitted, concurrent };
 }
 
-/** Other processes whose run is not proved to have ended: they may still be admitting. */
-function countOthers(membership: Membership): number {
+/** Counts other processes whose incarnation is not proven to have ended: they may still admit requests. */
+function countOtherProcesses(membership: Membership): number {
     return membership.others().filter(member => !membership.hasEnded(member.identity)).length;
 }
--- a/packages/daisyturn/src/process/admission/admission.ts
+++ b/packages/daisyturn/src/process/admission/admission.ts
@@ -3,12 +3,12 @@
 import type { CallerAccount } from "../../version/configurationItems.js";
 import type { RoutingRequest } from "../routing/index.js";
 
-/** Leave to go on; `release` must be called once when the request has ended. */
+/** Permission to proceed with a request; `release` must be called once when the request has ended. */
 export interface AdmissionTicket {
     release(): void;
 }
 
-/** Limits per account, fair share between the partners, and early refusal. */
+/** Admission control: limits per client account, fair shares between partners, and early refusal. */
 export interface Admission {
     /** Refusals are NotRun: RateLimited, Overloaded or DeadlineUnreachable, with `retryAt`. */
     admitModelRequest(
@@ -16,6 +16,6 @@
         request: RoutingRequest,
         signal: AbortSignal,
     ): Promise<Result<AdmissionTicket, Failure>>;
-    /** Limits per account only. */
+    /** Applies only the limits per client account. */
     admitPlainCall(account: CallerAccount): Result<AdmissionTicket, Failure>;
 }
--- a/packages/daisyturn/src/process/admission/admissionQueue.ts
+++ b/packages/daisyturn/src/process/admission/admissionQueue.ts
@@ -7,14 +7,14 @@
     readonly request: RoutingRequest;
     /** Estimated engine time in milliseconds. */
     readonly engineTime: number;
-    /** Wall-clock time after which its first token would come too late. */
+    /** Wall-clock time after which a start would miss the deadline of the first token. */
     readonly latestStart: number;
     /** Monotonic time. */
-    readonly waitingSince: number;
+    readonly enqueuedAt: number;
     admit(): void;
 }
 
-/** Requests that engines can serve alike, in the order of their latest starts. */
+/** Requests of one partner, priority, model and adapter, ordered by latest start. */
 export interface Lane {
     readonly partner: string;
     readonly priority: Priority;
@@ -22,27 +22,28 @@
     readonly waiting: readonly WaitingRequest[];
 }
 
-/** What waits for admission in this process, bounded for each partner. */
+/** Requests that wait for admission in this process, bounded for each partner. */
 export interface AdmissionQueue {
-    /** Whether the partner's bounds leave room for the request. */
-    hasRoom(request: RoutingRequest): boolean;
+    /** Whether the request fits within the partner's bounds. */
+    hasCapacity(request: RoutingRequest): boolean;
     add(waiting: WaitingRequest): void;
     remove(waiting: WaitingRequest): void;
-    /** Lanes that have requests waiting, a partner's interactive ones before its bulk ones. */
+    /** Non-empty lanes of the partner, interactive ones before bulk ones. */
     lanesOf(partner: string): readonly Lane[];
     partners(): readonly string[];
     all(): readonly WaitingRequest[];
     /**
-     * Engine time that waits before a newcomer of the partner. In its own lane that is only what starts before it: counting all
-     * would refuse long requests, which stand further ahead, for what stands behind them.
-     * @param latestStart wall-clock time after which the newcomer's first token would come too late
+     * Total engine time of the requests that are queued ahead of a new request of the partner. In the new request's
+     * lane, only requests with the same or an earlier latest start count: if all counted, a long request, which is
+     * queued further ahead, would be refused because of requests behind it.
+     * @param latestStart wall-clock time after which the new request would miss the deadline of its first token
      */
-    engineTimeBefore(request: RoutingRequest, latestStart: number): number;
+    engineTimeAhead(request: RoutingRequest, latestStart: number): number;
     engineTimeOf(partner: string): number;
     size(): number;
 }
 
-/** Bounds of what waits, for each partner. */
+/** Limits of the queue for each partner. */
 export interface AdmissionQueueBounds {
     readonly requests: number;
     readonly bytes: number;
@@ -50,54 +51,54 @@
 
 export const defaultQueueBounds: AdmissionQueueBounds = { requests: 512, bytes: 32 * 1024 * 1024 };
 
-interface PartnerSums {
+interface PartnerTotals {
     requests: number;
     bytes: number;
     engineTime: number;
 }
 
-interface OpenLane extends Lane {
+interface MutableLane extends Lane {
     readonly waiting: WaitingRequest[];
 }
 
 /** Creates an empty queue. */
 export function createAdmissionQueue(bounds: AdmissionQueueBounds): AdmissionQueue {
-    const lanes = new Map<string, OpenLane>();
-    const sums = new Map<string, PartnerSums>();
+    const lanes = new Map<string, MutableLane>();
+    const totals = new Map<string, PartnerTotals>();
 
-    const sumsOf = (partner: string) => {
-        const known = sums.get(partner) ?? { requests: 0, bytes: 0, engineTime: 0 };
-        sums.set(partner, known);
+    const totalsOf = (partner: string) => {
+        const known = totals.get(partner) ?? { requests: 0, bytes: 0, engineTime: 0 };
+        totals.set(partner, known);
         return known;
     };
 
-    const count = ({ request, engineTime }: WaitingRequest, sign: 1 | -1) => {
-        const partner = sumsOf(request.partner);
+    const updateTotals = ({ request, engineTime }: WaitingRequest, sign: 1 | -1) => {
+        const partner = totalsOf(request.partner);
         partner.requests += sign;
-        partner.bytes += sign * bytesOf(request);
+        partner.bytes += sign * estimateBytes(request);
         partner.engineTime += sign * engineTime;
     };
 
     const add = (waiting: WaitingRequest) => {
         const { request } = waiting;
-        const key = keyOf(request);
+        const key = getLaneKey(request);
         const { partner, profile: { priority, model } } = request;
         const lane = lanes.get(key) ?? { partner, priority, model, waiting: [] };
         lanes.set(key, lane);
-        const place = lane.waiting.findLastIndex(other => other.latestStart <= waiting.latestStart) + 1;
-        lane.waiting.splice(place, 0, waiting);
-        count(waiting, 1);
+        const index = lane.waiting.findLastIndex(other => other.latestStart <= waiting.latestStart) + 1;
+        lane.waiting.splice(index, 0, waiting);
+        updateTotals(waiting, 1);
     };
 
     const remove = (waiting: WaitingRequest) => {
-        const key = keyOf(waiting.request);
+        const key = getLaneKey(waiting.request);
         const lane = lanes.get(key);
-        const place = lane?.waiting.indexOf(waiting) ?? -1;
-        if (!lane || place < 0) {
+        const index = lane?.waiting.indexOf(waiting) ?? -1;
+        if (!lane || index < 0) {
             return;
         }
-        lane.waiting.splice(place, 1);
-        count(waiting, -1);
+        lane.waiting.splice(index, 1);
+        updateTotals(waiting, -1);
         if (lane.waiting.length === 0) {
             lanes.delete(key);
         }
@@ -106,27 +107,27 @@
     const lanesOf = (partner: string) =>
         [...lanes.values()]
             .filter(lane => lane.partner === partner)
-            .sort((one, other) => rank(one.priority) - rank(other.priority));
+            .sort((one, other) => rankPriority(one.priority) - rankPriority(other.priority));
 
-    const engineTimeBefore = (request: RoutingRequest, latestStart: number) =>
+    const engineTimeAhead = (request: RoutingRequest, latestStart: number) =>
         lanesOf(request.partner)
-            .filter(lane => rank(lane.priority) <= rank(request.profile.priority))
-            .flatMap(lane => lane === lanes.get(keyOf(request)) ? listUntil(lane, latestStart) : lane.waiting)
+            .filter(lane => rankPriority(lane.priority) <= rankPriority(request.profile.priority))
+            .flatMap(lane => lane === lanes.get(getLaneKey(request)) ? listUntil(lane, latestStart) : lane.waiting)
             .reduce((sum, other) => sum + other.engineTime, 0);
 
     return {
-        hasRoom: request => {
-            const partner = sumsOf(request.partner);
-            return partner.requests < bounds.requests && partner.bytes + bytesOf(request) <= bounds.bytes;
+        hasCapacity: request => {
+            const partner = totalsOf(request.partner);
+            return partner.requests < bounds.requests && partner.bytes + estimateBytes(request) <= bounds.bytes;
         },
         add,
         remove,
         lanesOf,
         partners: () => [...new Set([...lanes.values()].map(lane => lane.partner))],
         all: () => [...lanes.values()].flatMap(lane => lane.waiting),
-        engineTimeBefore,
-        engineTimeOf: partner => sumsOf(partner).engineTime,
-        size: () => [...sums.values()].reduce((sum, partner) => sum + partner.requests, 0),
+        engineTimeAhead,
+        engineTimeOf: partner => totalsOf(partner).engineTime,
+        size: () => [...totals.values()].reduce((sum, partner) => sum + partner.requests, 0),
     };
 }
 
@@ -134,14 +135,14 @@
     return waiting.filter(other => other.latestStart <= latestStart);
 }
 
-function keyOf({ partner, profile }: RoutingRequest): string {
+function getLaneKey({ partner, profile }: RoutingRequest): string {
     return [partner, profile.priority, profile.model, profile.adapter ?? ""].join("/");
 }
 
-function bytesOf(request: RoutingRequest): number {
+function estimateBytes(request: RoutingRequest): number {
     return request.promptTokens * charactersPerToken;
 }
 
-function rank(priority: Priority): number {
+function rankPriority(priority: Priority): number {
     return priority === Priority.Interactive ? 0 : 1;
 }
--- a/packages/daisyturn/src/process/admission/createAdmission.ts
+++ b/packages/daisyturn/src/process/admission/createAdmission.ts
@@ -15,10 +15,10 @@
     type Lane,
     type WaitingRequest,
 } from "./admissionQueue.js";
-import { createEngineRoom, type RoomAssessment } from "./engineRoom.js";
-import { createPartnerUse } from "./partnerUse.js";
+import { type CapacityAssessment, createEngineCapacity } from "./engineCapacity.js";
+import { createEngineTurns } from "./engineTurns.js";
+import { createPartnerUsage } from "./partnerUsage.js";
 import { createRetryTimes } from "./retryTimes.js";
-import { createRoomTurns } from "./roomTurns.js";
 
 /** What {@link createAdmission} needs. */
 export interface AdmissionOptions {
@@ -32,28 +32,28 @@
     readonly bounds?: AdmissionQueueBounds;
 }
 
-/** An admission that has to be run. */
+/** An admission whose queue is processed by `run`. */
 export interface RunningAdmission extends Admission {
-    /** Lets waiting requests in as engines get room, until `signal` is aborted; then refuses those still waiting. */
+    /** Admits queued requests as engines get free capacity until `signal` is aborted, then refuses the remaining ones. */
     run(signal: AbortSignal): Promise<void>;
-    /** Requests that wait now. */
+    /** Number of queued requests. */
     waitingRequests(): number;
 }
 
 const emptyTicket: AdmissionTicket = { release: () => undefined };
 const millisecondsPerSecond = 1_000;
 
-type Answer = Result<AdmissionTicket, Failure>;
+type AdmissionResult = Result<AdmissionTicket, Failure>;
 
-/** How often waiting requests are looked at. */
-const pumpIntervalMilliseconds = 20;
-/** When to try again if no engine is open at all. */
+/** Interval at which the queue is processed. */
+const queueIntervalMilliseconds = 20;
+/** Retry delay if no engine is open. */
 const noTargetRetryMilliseconds = 1_000;
-/** Estimates err: a first token may take so many times as long, and so much longer, as estimated. */
-const cautionFactor = 1.25;
-const cautionMilliseconds = 50;
-/** Longest stay in the queue, whatever the request's own deadline allows. */
-const longestWaitMilliseconds = 30_000;
+/** Safety margin for imprecise estimates: first-token times are multiplied by the factor, and the constant is added. */
+const estimateMarginFactor = 1.25;
+const estimateMarginMilliseconds = 50;
+/** Maximum time in the queue, even if the deadline of the request is later. */
+const maxWaitMilliseconds = 30_000;
 
 /** Creates the admission of one process. */
 export function createAdmission(options: AdmissionOptions): RunningAdmission {
@@ -62,78 +62,81 @@
     const limits = createAccountLimits({ exchange, membership, configurationManager, clock });
     const weightOf = (partner: string) => configurationManager.current().shareWeight(partner);
     const { processId } = options.network.self;
-    const use = createPartnerUse({ exchange, membership, clock, processId });
-    const turns = createRoomTurns({ use, clock, processId, weightOf });
-    const room = createEngineRoom({ loadView, router, configurationManager, use, turns });
+    const partnerUsage = createPartnerUsage({ exchange, membership, clock, processId });
+    const turns = createEngineTurns({ partnerUsage, clock, processId, weightOf });
+    const engineCapacity = createEngineCapacity({ loadView, router, configurationManager, partnerUsage, turns });
     const queue = createAdmissionQueue(options.bounds ?? defaultQueueBounds);
-    const retryTimes = createRetryTimes(clock, room.drainRate);
+    const retryTimes = createRetryTimes(clock, engineCapacity.estimateAdmissionRate);
     const refusals = new Map<WaitingRequest, (failure: Failure) => void>();
 
     const admitModelRequest = async (account: CallerAccount, request: RoutingRequest, signal: AbortSignal) => {
-        const ofAccount = limits.admit(account);
-        if (ofAccount.isErr) {
-            return ofAccount;
+        const accountTicket = limits.admit(account);
+        if (accountTicket.isErr) {
+            return accountTicket;
         }
         const answer = await admitToEngines(request, signal);
         if (answer.isErr) {
-            ofAccount.value.release();
+            accountTicket.value.release();
             return answer;
         }
         return ok<AdmissionTicket, Failure>({
             release: () => {
                 router.cancelReservation(request.requestId);
-                ofAccount.value.release();
+                accountTicket.value.release();
             },
         });
     };
 
-    const admitToEngines = (request: RoutingRequest, signal: AbortSignal): Promise<Answer> | Answer => {
-        noteLimit(request);
-        const assessment = room.assess(request);
+    const admitToEngines = (
+        request: RoutingRequest,
+        signal: AbortSignal,
+    ): Promise<AdmissionResult> | AdmissionResult => {
+        recordInteractiveLimit(request);
+        const assessment = engineCapacity.assess(request);
         if (!assessment) {
             const retryAt = clock.wallNow() + noTargetRetryMilliseconds;
             return err(notRun(FailureReason.NoTarget, "No engine is open for this model.", retryAt));
         }
-        const latestStart = deadlineOf(request) - cautious(assessment.ownPrefill);
-        const before = queue.engineTimeBefore(request, latestStart);
-        const delay = before / room.drainRate(request.partner) * millisecondsPerSecond;
+        const latestStart = getFirstTokenDeadline(request) - addMargin(assessment.ownPrefill);
+        const before = queue.engineTimeAhead(request, latestStart);
+        const delay = before / engineCapacity.estimateAdmissionRate(request.partner) * millisecondsPerSecond;
         if (!isInTime(request, assessment, delay)) {
-            return err(refuseAsLate(request, assessment, delay));
+            return err(createLateFailure(request, assessment, delay));
         }
-        if (before === 0 && letIn(request)) {
+        if (before === 0 && tryAdmit(request)) {
             return ok(emptyTicket);
         }
-        if (!queue.hasRoom(request)) {
+        if (!queue.hasCapacity(request)) {
             const retryAt = retryTimes.after(request.partner, delay, assessment.engineTime);
-            return err(notRun(FailureReason.Overloaded, "Too much of this partner's work waits already.", retryAt));
+            return err(notRun(FailureReason.Overloaded, "The queue limit of this partner is reached.", retryAt));
         }
         return waitInQueue(request, assessment.engineTime, latestStart, signal);
     };
 
-    const noteLimit = ({ partner, profile }: RoutingRequest) => {
+    const recordInteractiveLimit = ({ partner, profile }: RoutingRequest) => {
         if (profile.priority === Priority.Interactive) {
-            use.recordGapLimit(partner, profile.betweenTokensLimitMilliseconds);
+            partnerUsage.recordGapLimit(partner, profile.betweenTokensLimitMilliseconds);
         }
     };
 
-    const isInTime = (request: RoutingRequest, assessment: RoomAssessment, delay: number) =>
-        clock.wallNow() + delay + cautious(assessment.firstToken)
-            <= deadlineOf(request);
+    const isInTime = (request: RoutingRequest, assessment: CapacityAssessment, delay: number) =>
+        clock.wallNow() + delay + addMargin(assessment.firstToken)
+            <= getFirstTokenDeadline(request);
 
-    /** Where not even idle engines could make it, no retry makes sense and none is named. */
-    const refuseAsLate = (request: RoutingRequest, assessment: RoomAssessment, delay: number): Failure => {
-        const allowed = deadlineOf(request) - clock.wallNow();
-        const late = delay + cautious(assessment.firstToken) - Math.max(0, allowed);
-        const isHopeless = assessment.ownPrefill > request.profile.firstTokenLimitMilliseconds;
-        const retryAt = isHopeless ? undefined : retryTimes.after(request.partner, late, assessment.engineTime);
+    /** `retryAt` is absent if even an idle engine could not meet the deadline, because a retry would not help. */
+    const createLateFailure = (request: RoutingRequest, assessment: CapacityAssessment, delay: number): Failure => {
+        const allowed = getFirstTokenDeadline(request) - clock.wallNow();
+        const late = delay + addMargin(assessment.firstToken) - Math.max(0, allowed);
+        const isUnreachable = assessment.ownPrefill > request.profile.firstTokenLimitMilliseconds;
+        const retryAt = isUnreachable ? undefined : retryTimes.after(request.partner, late, assessment.engineTime);
         return notRun(FailureReason.DeadlineUnreachable, "The first token would come too late.", retryAt);
     };
 
-    /** Lets the request in if an engine has room for it; tells whether. */
-    const letIn = (request: RoutingRequest): boolean => {
-        const reserved = room.reserve(request);
+    /** Admits the request if an engine has capacity for it; returns whether it did. */
+    const tryAdmit = (request: RoutingRequest): boolean => {
+        const reserved = engineCapacity.reserve(request);
         if (reserved) {
-            use.charge(request.partner, reserved.engineTime);
+            partnerUsage.charge(request.partner, reserved.engineTime);
         }
         return reserved !== undefined;
     };
@@ -143,97 +146,100 @@
         engineTime: number,
         latestStart: number,
         signal: AbortSignal,
-    ): Promise<Answer> =>
+    ): Promise<AdmissionResult> =>
         new Promise(resolve => {
-            const settle = (answer: Answer) => {
+            const settle = (answer: AdmissionResult) => {
                 queue.remove(waiting);
                 refusals.delete(waiting);
-                use.setWaiting(request.partner, queue.engineTimeOf(request.partner));
-                signal.removeEventListener("abort", giveUp);
+                partnerUsage.setWaiting(request.partner, queue.engineTimeOf(request.partner));
+                signal.removeEventListener("abort", cancel);
                 resolve(answer);
             };
-            const giveUp = () => settle(err(notRun(FailureReason.Cancelled, "The caller has gone.")));
+            const cancel = () => settle(err(notRun(FailureReason.Cancelled, "The caller closed the connection.")));
             const waiting: WaitingRequest = {
                 request,
                 engineTime,
                 latestStart,
-                waitingSince: clock.monotonicNow(),
+                enqueuedAt: clock.monotonicNow(),
                 admit: () => settle(ok(emptyTicket)),
             };
             if (signal.aborted) {
-                giveUp();
+                cancel();
                 return;
             }
-            signal.addEventListener("abort", giveUp);
+            signal.addEventListener("abort", cancel);
             refusals.set(waiting, failure => settle(err(failure)));
             queue.add(waiting);
-            use.setWaiting(request.partner, queue.engineTimeOf(request.partner));
+            partnerUsage.setWaiting(request.partner, queue.engineTimeOf(request.partner));
         });
 
-    /** Refuses at once what can't make it any more, so that its caller can turn elsewhere. */
-    const refuseLate = () => {
+    /** Refuses requests that can no longer meet their deadline, so that their callers can retry elsewhere early. */
+    const refuseExpired = () => {
         const wallNow = clock.wallNow();
-        const oldest = clock.monotonicNow() - longestWaitMilliseconds;
+        const oldest = clock.monotonicNow() - maxWaitMilliseconds;
         for (const waiting of queue.all()) {
-            if (wallNow > waiting.latestStart || waiting.waitingSince < oldest) {
+            if (wallNow > waiting.latestStart || waiting.enqueuedAt < oldest) {
                 const { request, engineTime } = waiting;
                 const retryAt = retryTimes.after(request.partner, 0, engineTime);
-                const message = "Its turn did not come in time.";
+                const message = "The request could not be started in time.";
                 refusals.get(waiting)?.(notRun(FailureReason.DeadlineUnreachable, message, retryAt));
             }
         }
     };
 
-    /** Lets in the first of the lane if an engine has room, or refuses it if its deadline is lost; tells whether. */
+    /**
+     * Admits the first request of the lane if an engine has capacity, or refuses it if it would miss its deadline.
+     * Returns whether it did either.
+     */
     const settleFirst = (lane: Lane) => {
         const first = lane.waiting[0]!;
-        const assessment = room.assess(first.request);
+        const assessment = engineCapacity.assess(first.request);
         if (!assessment) {
             return false;
         }
         if (!isInTime(first.request, assessment, 0)) {
-            refusals.get(first)?.(refuseAsLate(first.request, assessment, 0));
+            refusals.get(first)?.(createLateFailure(first.request, assessment, 0));
             return true;
         }
-        const isIn = letIn(first.request);
-        if (isIn) {
+        const isAdmitted = tryAdmit(first.request);
+        if (isAdmitted) {
             first.admit();
         }
-        return isIn;
+        return isAdmitted;
     };
 
-    /** Settles one request, of the partner that has used least for its weight if it can; tells whether there was one. */
+    /** Settles one request, trying partners in order of usage by weight, lowest first. Returns whether it settled one. */
     const settleNext = () => {
-        const byUse = queue.partners()
-            .map(partner => ({ partner, use: use.used(partner) / weightOf(partner) }))
-            .sort((one, other) => one.use - other.use);
-        return byUse.some(({ partner }) => queue.lanesOf(partner).some(settleFirst));
+        const byUsage = queue.partners()
+            .map(partner => ({ partner, usage: partnerUsage.usageRate(partner) / weightOf(partner) }))
+            .sort((one, other) => one.usage - other.usage);
+        return byUsage.some(({ partner }) => queue.lanesOf(partner).some(settleFirst));
     };
 
-    const pump = () => {
-        refuseLate();
+    const processQueue = () => {
+        refuseExpired();
         while (queue.size() > 0 && settleNext()) {
-            // One at a time: each one changes the room and the order of the partners.
+            // One request at a time, because each changes the free capacity and the order of the partners.
         }
     };
 
     const run = async (signal: AbortSignal) => {
         while (!signal.aborted) {
-            pump();
-            await clock.sleepUntil(clock.monotonicNow() + pumpIntervalMilliseconds, signal);
+            processQueue();
+            await clock.sleepUntil(clock.monotonicNow() + queueIntervalMilliseconds, signal);
         }
-        const failure = notRun(FailureReason.OutOfService, "This process stops.");
+        const failure = notRun(FailureReason.OutOfService, "The process is stopping.");
         [...refusals.values()].forEach(refuse => refuse(failure));
     };
 
     return { admitModelRequest, admitPlainCall: limits.admit, run, waitingRequests: queue.size };
 }
 
-/** Wall-clock time by which the first token must have come. */
-function deadlineOf({ firstTokenDeadline, totalDeadline }: RoutingRequest): number {
+/** Wall-clock time by which the first token is due. */
+function getFirstTokenDeadline({ firstTokenDeadline, totalDeadline }: RoutingRequest): number {
     return Math.min(firstTokenDeadline, totalDeadline);
 }
 
-function cautious(estimate: number): number {
-    return estimate * cautionFactor + cautionMilliseconds;
+function addMargin(estimate: number): number {
+    return estimate * estimateMarginFactor + estimateMarginMilliseconds;
 }
--- a/packages/daisyturn/src/process/admission/createRetryBudget.ts
+++ b/packages/daisyturn/src/process/admission/createRetryBudget.ts
@@ -1,23 +1,23 @@
-/** How many retries a process allows itself. */
+/** Limits of the retries of one process. */
 export interface RetryBudgetOptions {
     /** Retries earned by each request. */
     readonly fraction: number;
-    /** Most retries that can be saved up. It must cover the streams that one failing engine leaves behind. */
+    /** Maximum number of accumulated retries. It must cover the interrupted streams of one failing engine. */
     readonly maxSaved: number;
 }
 
-/** Keeps retries of the whole process to a fraction of its requests, so that they can't feed an overload. */
+/** Limits the retries of the process to a fraction of its requests, so that retries can't amplify an overload. */
 export interface RetryBudget {
-    /** Notes a request that was admitted. */
+    /** Records an admitted request. */
     recordRequest(): void;
-    /** Takes one retry if there is one. */
+    /** Acquires one retry; returns whether one was available. */
     tryAcquire(): boolean;
 }
 
-/** Used where the settings say nothing else. */
+/** Used if the settings specify no limits. */
 export const defaultRetryBudget: RetryBudgetOptions = { fraction: 0.2, maxSaved: 100 };
 
-/** Creates the budget of one process; it starts full. */
+/** Creates the budget of one process, which starts full. */
 export function createRetryBudget(options: RetryBudgetOptions): RetryBudget {
     let saved = options.maxSaved;
     return {
--- a/packages/daisyturn/src/process/admission/fairShares.ts
+++ b/packages/daisyturn/src/process/admission/fairShares.ts
@@ -1,13 +1,13 @@
-/** One party's claim on a capacity that is shared. */
+/** A claim on a shared capacity. */
 export interface ShareClaim {
     readonly weight: number;
-    /** As much as it could use; Infinity if it has work waiting. */
+    /** Upper limit of what the claimant can use; Infinity if it has work waiting. */
     readonly demand: number;
 }
 
 /**
- * Weighted max-min fair shares: nobody gets more than it demands, and what is left over goes to the others by their
- * weights. Returns one share for each claim.
+ * Computes weighted max-min fair shares: no claim gets more than its demand, and the remaining capacity is divided among
+ * the other claims by weight. Returns one share for each claim, in the order of the claims.
  * Source: Bertsekas, Gallager, "Data Networks", 1992, section 6.5.2 (progressive filling).
  */
 export function computeFairShares(capacity: number, claims: readonly ShareClaim[]): number[] {
@@ -15,7 +15,7 @@
     const byNeed = [...claims.keys()].sort((one, other) => needOf(claims[one]!) - needOf(claims[other]!));
     let left = capacity;
     let weightLeft = claims.reduce((sum, claim) => sum + claim.weight, 0);
-    // In the order of demand by weight, a claim is either met whole or gets its part of the rest, as do all after it.
+    // In order of demand per weight, each claim is met in full until one is not; it and all later claims divide the rest.
     for (const index of byNeed) {
         const { weight, demand } = claims[index]!;
         const part = weightLeft > 0 ? left * weight / weightLeft : 0;
--- a/packages/daisyturn/src/process/admission/index.ts
+++ b/packages/daisyturn/src/process/admission/index.ts
@@ -1,5 +1,5 @@
 /**
- * Whether a request may start, and when it should come back if not.
+ * Decides whether a request may start, and when a refused request can be retried.
  *
  * @module
  */
