--- a/packages/daisyturn/src/process/admission/__fixtures__/createLimitsBench.ts
+++ b/packages/daisyturn/src/process/admission/__fixtures__/createLimitsBench.ts
@@ -39,7 +39,7 @@
     let admitted = 0;
 
     /** Requests admission once at a process; returns the ticket if the request was admitted. */
-    const tryAdmit = (index: number): AdmissionTicket | undefined => {
+    const ask = (index: number): AdmissionTicket | undefined => {
         const result = processes[index]!.limits.admit(account);
         admitted += result.isOk ? 1 : 0;
         return result.isOk ? result.value : undefined;
@@ -50,11 +50,11 @@
         const before = admitted;
         const interval = 1_000 / perSecond;
         for (let round = 0; round < seconds * perSecond; round++) {
-            indexes.forEach(index => tryAdmit(index)?.release());
+            indexes.forEach(index => ask(index)?.release());
             await clock.advance(interval);
         }
         return admitted - before;
     };
 
-    return { clock, networks, account, processes, dead, tryAdmit, sendLoad, stop: () => stopper.abort() };
+    return { clock, networks, account, processes, dead, ask, sendLoad, stop: () => stopper.abort() };
 }
--- a/packages/daisyturn/src/process/admission/__tests__/accountLimits.test.ts
+++ b/packages/daisyturn/src/process/admission/__tests__/accountLimits.test.ts
@@ -10,8 +10,8 @@
     test("a refusal for the rate limit names a retry time, at which the request is admitted", async () => {
         const bench = createLimitsBench(1, 2);
         const { limits } = bench.processes[0]!;
-        bench.tryAdmit(0);
-        bench.tryAdmit(0);
+        bench.ask(0);
+        bench.ask(0);
         const refusal = limits.admit(bench.account);
         assert.ok(refusal.isErr);
         assert.equal(refusal.error.reason, FailureReason.RateLimited);
@@ -20,7 +20,7 @@
         bench.stop();
     });
 
-    test("excess load at all processes is limited to the rate, within the documented bound from the start", async () => {
+    test("excess load at all processes is limited to the rate, and to the bound from the start", async () => {
         const [rate, seconds] = [20, 10];
         const bench = createLimitsBench(all.length, rate);
         const first = await bench.sendLoad(all, 100, 1);
@@ -55,7 +55,7 @@
     test("an account far below its rate is not refused by a process to which it has sent few requests", async () => {
         const bench = createLimitsBench(all.length, 2_000);
         await bench.sendLoad([0, 1, 2], 60, 5);
-        assert.deepEqual([1, 2, 3, 4, 5].map(() => bench.tryAdmit(3) !== undefined), [true, true, true, true, true]);
+        assert.deepEqual([1, 2, 3, 4, 5].map(() => bench.ask(3) !== undefined), [true, true, true, true, true]);
         bench.stop();
     });
 
@@ -70,7 +70,7 @@
         bench.stop();
     });
 
-    test("an isolated process is limited to its even fraction, and to its last fraction until it detects the isolation", async () => {
+    test("an isolated process keeps its last fraction until it detects this, then an even fraction", async () => {
         const [rate, seconds] = [20, 10];
         const bench = createLimitsBench(all.length, rate);
         await bench.sendLoad(all, 50, 5);
@@ -99,16 +99,16 @@
 describe("concurrency of an account over several processes", () => {
     test("is enforced once the processes have received each other's reports", async () => {
         const bench = createLimitsBench(3, 1_000, 5);
-        const tickets = [bench.tryAdmit(0), bench.tryAdmit(0), bench.tryAdmit(1), bench.tryAdmit(1)];
+        const tickets = [bench.ask(0), bench.ask(0), bench.ask(1), bench.ask(1)];
         await bench.clock.advance(500);
-        assert.ok(bench.tryAdmit(2));
-        assert.equal(bench.tryAdmit(2), undefined);
+        assert.ok(bench.ask(2));
+        assert.equal(bench.ask(2), undefined);
         tickets[0]!.release();
         tickets[0]!.release();
         await bench.clock.advance(500);
-        assert.ok(bench.tryAdmit(1));
+        assert.ok(bench.ask(1));
         await bench.clock.advance(500);
-        assert.equal(bench.tryAdmit(2), undefined);
+        assert.equal(bench.ask(2), undefined);
         bench.stop();
     });
 
@@ -116,7 +116,7 @@
         const bench = createLimitsBench(3, 1_000, 5);
         let open = 0;
         for (let round = 0; round < 40; round++) {
-            [0, 1, 2].forEach(index => open += bench.tryAdmit(index) ? 1 : 0);
+            [0, 1, 2].forEach(index => open += bench.ask(index) ? 1 : 0);
             await bench.clock.advance(50);
         }
         assert.ok(open <= 3 * 5, `${open}`);
@@ -125,12 +125,12 @@
 
     test("slots of a killed process are released", async () => {
         const bench = createLimitsBench(2, 1_000, 3);
-        [1, 2, 3].forEach(() => assert.ok(bench.tryAdmit(0)));
+        [1, 2, 3].forEach(() => assert.ok(bench.ask(0)));
         await bench.clock.advance(500);
-        assert.equal(bench.tryAdmit(1), undefined);
+        assert.equal(bench.ask(1), undefined);
         bench.networks.remove("p0");
         bench.dead.add("p0");
-        assert.ok(bench.tryAdmit(1));
+        assert.ok(bench.ask(1));
         bench.stop();
     });
 });
--- a/packages/daisyturn/src/process/admission/__tests__/createAdmission.test.ts
+++ b/packages/daisyturn/src/process/admission/__tests__/createAdmission.test.ts
@@ -25,7 +25,7 @@
     let count = 0;
 
     /** Requests admission; `order` records the name when the request is admitted. */
-    const submit = (
+    const ask = (
         name: string,
         limit = 5_000,
         priority = Priority.Interactive,
@@ -54,13 +54,13 @@
         stopper.abort();
         bench.stop();
     };
-    return { bench, clock: bench.clock, admission, submit, order, stop };
+    return { bench, clock: bench.clock, admission, ask, order, stop };
 }
 
 describe("admission", () => {
     test("admits immediately while engines have capacity, and queues requests that would only wait there", async () => {
-        const { submit, clock, order, admission, stop } = await createFixture(0);
-        ["a", "b", "c", "d", "e", "f"].forEach(name => void submit(name, 2_000));
+        const { ask, clock, order, admission, stop } = await createFixture(0);
+        ["a", "b", "c", "d", "e", "f"].forEach(name => void ask(name, 2_000));
         await clock.advance(0);
         assert.ok(order.length >= 2 && order.length <= 5, order.join());
         assert.equal(admission.waitingRequests(), 6 - order.length);
@@ -69,16 +69,16 @@
         stop();
     });
 
-    test("immediately refuses a request that can't meet its deadline, and admits it at the named retry time", async () => {
-        const { submit, clock, order, stop } = await createFixture(30_000);
-        const late = submit("late", 1_600);
+    test("immediately refuses a request that can't meet its deadline, and admits it at its retry time", async () => {
+        const { ask, clock, order, stop } = await createFixture(30_000);
+        const late = ask("late", 1_600);
         await clock.advance(0);
         const failure = late.failure();
         assert.equal(failure?.reason, FailureReason.DeadlineUnreachable);
         const wait = failure!.retryAt! - clock.wallNow();
         assert.ok(wait >= 1_000 && wait <= 2_500, `${wait}`);
         await clock.advance(wait);
-        submit("again", 1_600);
+        ask("again", 1_600);
         await clock.advance(1_600);
         assert.deepEqual(order, ["again"]);
         stop();
@@ -87,15 +87,15 @@
     /**
      * Guards against refusing a long request as too late although it would be admitted before the short ones that wait.
      * This happens if all waiting requests count as ahead of it, while the queue is ordered by latest start, which is
-     * earlier for requests with more work of their own. Prompts starve in the same way if a bound grows with their length.
-     * The long request alone is in time, and it is admitted first.
+     * earlier for requests with more work of their own. Prompts starve in the same way if a bound grows with their
+     * length. The long request alone is in time, and it is admitted first.
      */
     test("a long request is not refused because of requests that would be queued behind it", async () => {
-        const { submit, clock, order, stop } = await createFixture(20_000);
-        const shorts = ["a", "b", "c", "d", "e"].map(name => submit(name, 6_000));
+        const { ask, clock, order, stop } = await createFixture(20_000);
+        const shorts = ["a", "b", "c", "d", "e"].map(name => ask(name, 6_000));
         await clock.advance(0);
         assert.ok(shorts.every(short => short.failure() === undefined));
-        const long = submit("long", 6_000, Priority.Interactive, account, 8_000);
+        const long = ask("long", 6_000, Priority.Interactive, account, 8_000);
         await clock.advance(0);
         assert.equal(long.failure(), undefined);
         await clock.advance(3_000);
@@ -104,18 +104,18 @@
     });
 
     test("refused requests get different retry times", async () => {
-        const { submit, clock, stop } = await createFixture(30_000);
-        const submitted = [1, 2, 3, 4, 5].map(() => submit("late", 1_600));
+        const { ask, clock, stop } = await createFixture(30_000);
+        const requested = [1, 2, 3, 4, 5].map(() => ask("late", 1_600));
         await clock.advance(0);
-        const times = submitted.map(one => one.failure()!.retryAt!);
+        const times = requested.map(one => one.failure()!.retryAt!);
         assert.equal(new Set(times).size, 5);
         assert.deepEqual([...times].sort(), times);
         stop();
     });
 
     test("a request that no idle engine could serve in time is refused without a retry time", async () => {
-        const { submit, clock, stop } = await createFixture(0);
-        const unreachable = submit("hopeless", 50);
+        const { ask, clock, stop } = await createFixture(0);
+        const unreachable = ask("hopeless", 50);
         await clock.advance(0);
         assert.equal(unreachable.failure()?.reason, FailureReason.DeadlineUnreachable);
         assert.equal(unreachable.failure()?.retryAt, undefined);
@@ -123,8 +123,8 @@
     });
 
     test("a waiting request is refused as soon as its deadline can no longer be met", async () => {
-        const { submit, bench, clock, stop } = await createFixture(10_500);
-        const waiting = submit("waiting", 1_500);
+        const { ask, bench, clock, stop } = await createFixture(10_500);
+        const waiting = ask("waiting", 1_500);
         await clock.advance(0);
         assert.equal(waiting.failure(), undefined);
         // The next report shows that another sender has filled the engine.
@@ -136,8 +136,8 @@
     });
 
     test("a request whose caller disconnects leaves the queue immediately", async () => {
-        const { submit, clock, admission, order, stop } = await createFixture(20_000);
-        const disconnected = submit("gone");
+        const { ask, clock, admission, order, stop } = await createFixture(20_000);
+        const disconnected = ask("gone");
         await clock.advance(0);
         assert.equal(admission.waitingRequests(), 1);
         disconnected.caller.abort();
@@ -150,18 +150,18 @@
     });
 
     test("interactive requests are admitted before bulk requests of the same partner", async () => {
-        const { submit, clock, order, stop } = await createFixture(30_000);
-        submit("bulk", 20_000, Priority.Bulk);
-        submit("interactive", 20_000);
+        const { ask, clock, order, stop } = await createFixture(30_000);
+        ask("bulk", 20_000, Priority.Bulk);
+        ask("interactive", 20_000);
         await clock.advance(5_000);
         assert.deepEqual(order, ["interactive", "bulk"]);
         stop();
     });
 
     test("queue bounds apply per partner: excess load of one partner does not displace another", async () => {
-        const { submit, clock, admission, stop } = await createFixture(40_000, { requests: 3, bytes: 1e9 });
-        const excessLoad = [1, 2, 3, 4, 5].map(() => submit("flood", 20_000));
-        const calm = submit("calm", 20_000, Priority.Interactive, other);
+        const { ask, clock, admission, stop } = await createFixture(40_000, { requests: 3, bytes: 1e9 });
+        const excessLoad = [1, 2, 3, 4, 5].map(() => ask("flood", 20_000));
+        const calm = ask("calm", 20_000, Priority.Interactive, other);
         await clock.advance(0);
         assert.deepEqual(excessLoad.map(one => one.failure()?.reason), [
             undefined,
@@ -176,27 +176,27 @@
     });
 
     test("a prompt that exceeds the bound in bytes is refused", async () => {
-        const { submit, clock, stop } = await createFixture(40_000, { requests: 100, bytes: 9_000 });
-        const submitted = [1, 2, 3].map(() => submit("large", 20_000));
+        const { ask, clock, stop } = await createFixture(40_000, { requests: 100, bytes: 9_000 });
+        const requested = [1, 2, 3].map(() => ask("large", 20_000));
         await clock.advance(0);
-        assert.deepEqual(submitted.map(one => one.failure()?.reason), [undefined, undefined, FailureReason.Overloaded]);
+        assert.deepEqual(requested.map(one => one.failure()?.reason), [undefined, undefined, FailureReason.Overloaded]);
         stop();
     });
 
     test("the partner with less usage is admitted first", async () => {
-        const { submit, clock, order, stop } = await createFixture(0);
-        [1, 2, 3, 4, 5, 6, 7, 8].forEach(() => void submit("flood", 20_000));
+        const { ask, clock, order, stop } = await createFixture(0);
+        [1, 2, 3, 4, 5, 6, 7, 8].forEach(() => void ask("flood", 20_000));
         await clock.advance(0);
         const before = order.length;
-        submit("calm", 20_000, Priority.Interactive, other);
+        ask("calm", 20_000, Priority.Interactive, other);
         await clock.advance(0);
         assert.equal(order[before], "calm");
         stop();
     });
 
     test("waiting requests are refused as not run when the process stops", async () => {
-        const { submit, clock, stop } = await createFixture(20_000);
-        const waiting = submit("waiting");
+        const { ask, clock, stop } = await createFixture(20_000);
+        const waiting = ask("waiting");
         await clock.advance(0);
         stop();
         await clock.advance(0);
--- a/packages/daisyturn/src/process/admission/accountLimits.ts
+++ b/packages/daisyturn/src/process/admission/accountLimits.ts
@@ -46,7 +46,7 @@
 const millisecondsPerSecond = 1_000;
 /** Time over which demand is averaged to compute the fractions of the processes. */
 const demandMemoryMilliseconds = 2_000;
-/** Factor by which a process may exceed its fraction; otherwise fractions that add up to less than 1 would waste rate. */
+/** Factor by which a process may exceed its fraction; otherwise fractions that add up to less than 1 waste rate. */
 const fractionSlack = 1.1;
 /** Peers are notified immediately when less than this fraction of an account's burst is left. */
 const urgentBurstFraction = 0.5;
--- a/packages/daisyturn/src/process/admission/createAdmission.ts
+++ b/packages/daisyturn/src/process/admission/createAdmission.ts
@@ -34,7 +34,7 @@
 
 /** An admission whose queue is processed by `run`. */
 export interface RunningAdmission extends Admission {
-    /** Admits queued requests as engines get free capacity until `signal` is aborted, then refuses the remaining ones. */
+    /** Admits queued requests as engines get free capacity until `signal` is aborted, then refuses the rest. */
     run(signal: AbortSignal): Promise<void>;
     /** Number of queued requests. */
     waitingRequests(): number;
@@ -208,7 +208,7 @@
         return isAdmitted;
     };
 
-    /** Settles one request, trying partners in order of usage by weight, lowest first. Returns whether it settled one. */
+    /** Settles one request, trying partners with the lowest usage by weight first. Returns whether it settled one. */
     const settleNext = () => {
         const byUsage = queue.partners()
             .map(partner => ({ partner, usage: partnerUsage.usageRate(partner) / weightOf(partner) }))
--- a/packages/daisyturn/src/process/admission/engineCapacity.ts
+++ b/packages/daisyturn/src/process/admission/engineCapacity.ts
@@ -16,8 +16,8 @@
 }
 
 /**
- * Determines whether engines have free capacity. The queues of the engines are kept short, so that the order of requests
- * is determined here by fair shares.
+ * Determines whether engines have free capacity. The queues of the engines are kept short, so that the order of
+ * requests is determined here by fair shares.
  */
 export interface EngineCapacity {
     /** Undefined if no open engine can serve the request. */
--- a/packages/daisyturn/src/process/admission/fairShares.ts
+++ b/packages/daisyturn/src/process/admission/fairShares.ts
@@ -6,8 +6,8 @@
 }
 
 /**
- * Computes weighted max-min fair shares: no claim gets more than its demand, and the remaining capacity is divided among
- * the other claims by weight. Returns one share for each claim, in the order of the claims.
+ * Computes weighted max-min fair shares: no claim gets more than its demand, and the remaining capacity is divided
+ * among the other claims by weight. Returns one share for each claim, in the order of the claims.
  * Source: Bertsekas, Gallager, "Data Networks", 1992, section 6.5.2 (progressive filling).
  */
 export function computeFairShares(capacity: number, claims: readonly ShareClaim[]): number[] {
@@ -15,7 +15,7 @@
     const byNeed = [...claims.keys()].sort((one, other) => needOf(claims[one]!) - needOf(claims[other]!));
     let left = capacity;
     let weightLeft = claims.reduce((sum, claim) => sum + claim.weight, 0);
-    // In order of demand per weight, each claim is met in full until one is not; it and all later claims divide the rest.
+    // In order of demand per weight, claims are met in full until one is not; it and all later ones divide the rest.
     for (const index of byNeed) {
         const { weight, demand } = claims[index]!;
         const part = weightLeft > 0 ? left * weight / weightLeft : 0;
--- a/packages/daisyturn/src/process/routing/__tests__/createRouter.test.ts
+++ b/packages/daisyturn/src/process/routing/__tests__/createRouter.test.ts
@@ -103,7 +103,7 @@
 });
 
 describe("several processes on the same reports", () => {
-    test("requests that a peer has sent are counted after one exchange, and later requests avoid their engine", async () => {
+    test("requests sent by a peer are counted after one exchange, and later ones avoid their engine", async () => {
         const bench = await createDecisionBench({ processes: 2, reports: [createReport("e1"), createReport("e2")] });
         const first = place(bench, { promptTokens: 5_000 }, 0).engine;
         await bench.clock.advance(260);
@@ -123,7 +123,7 @@
 describe("prefix affinity", () => {
     const reports = [...Array(8).keys()].map(index => createReport(`e${index}`));
 
-    test("processes without contact agree on the preferred engine of a prefix, and prefixes are spread over engines", async () => {
+    test("processes without contact agree on the preferred engine of a prefix, which differs by prefix", async () => {
         const bench = await createDecisionBench({ processes: 2, reports });
         bench.networks.isolate("p0");
         const preferredEngines = new Set<string>();
@@ -231,7 +231,7 @@
         bench.stop();
     });
 
-    test("a process ejects an engine that two peers have ejected, and does not report it as its own observation", async () => {
+    test("a process ejects an engine that two peers ejected, and does not report it as its own finding", async () => {
         const bench = await createFaultyBench();
         serve(bench, 100, PlacementOutcome.Failed, 0);
         serve(bench, 100, PlacementOutcome.Failed, 1);
--- a/packages/daisyturn/src/process/routing/createRouter.ts
+++ b/packages/daisyturn/src/process/routing/createRouter.ts
@@ -35,8 +35,8 @@
     /** Finds the cheapest option for serving the request now. Undefined if no engine is open to it. */
     findCheapestOption(request: RoutingRequest): PlacementOption | undefined;
     /**
-     * Chooses among the options that `hasCapacity` allows, and records the work as sent. `place` uses the reserved option
-     * if its engines are still open. Undefined if no option is allowed.
+     * Chooses among the options that `hasCapacity` allows, and records the work as sent. `place` uses the reserved
+     * option if its engines are still open. Undefined if no option is allowed.
      */
     reserve(request: RoutingRequest, hasCapacity: (option: PlacementOption) => boolean): PlacementOption | undefined;
     /** Cancels a reservation that has not been placed, and removes its work. */
@@ -88,7 +88,7 @@
         return loadView.loads().filter(isAlternative).map(load => load.engineId);
     }
 
-    /** Lists sets of engines in order of preference; failed or ejected engines are used only if no others are available. */
+    /** Lists sets of engines by preference; engines that failed or are ejected are used only if no others are left. */
     const listTiers = (request: RoutingRequest): EngineLoad[][] => {
         const capable = loadView.loads().filter(load => canServe(load, request.profile, configurationManager));
         const untried = capable.filter(load => !request.avoid.includes(load.engineId));
@@ -96,7 +96,7 @@
         return [healthy, untried, capable].filter(isComplete);
     };
 
-    /** Checks the gate only for the picked engines: it is almost always open, and checking all engines would cost more. */
+    /** Checks the gate only for the picked engines: it is almost always open, and checking all would cost more. */
     const pickOpen = (
         candidates: readonly PlacementOption[],
         match: CacheMatch,
--- a/packages/daisyturn/src/process/routing/engineChoice.ts
+++ b/packages/daisyturn/src/process/routing/engineChoice.ts
@@ -20,7 +20,7 @@
 
 /** Minimum number of options drawn from each kind. */
 const minDraws = 2;
-/** The preferred engine of a prefix may cost more than the best option by this fraction of the prefix's prefill time. */
+/** The preferred engine of a prefix may cost more than the best option by this fraction of the prefix's prefill. */
 const extraPrefillFraction = 0.5;
 
 /**
@@ -28,8 +28,8 @@
  * choose the same engine. The more processes there are, the fewer options each draws; a single process considers all.
  * Options are drawn separately by whether the engine has the longest cached prefix, and by whether prefill and decode
  * run on two engines, so that rare good kinds are always considered.
- * A prefix that is cached nowhere goes to its preferred engine: the first one in rendezvous order among those whose
- * cost is acceptable. The processes thus agree on where to build up its cache.
+ * A shared prefix that the cheapest engine has not cached goes to its preferred engine: the first one in rendezvous
+ * order among those whose cost is acceptable. The processes thus agree on where to build up its cache.
  * Source: Mitzenmacher, "The power of two choices in randomized load balancing", IEEE TPDS 2001.
  */
 export class SampledChoice extends EngineChoice {
--- a/packages/daisyturn/src/process/routing/placementOptions.ts
+++ b/packages/daisyturn/src/process/routing/placementOptions.ts
@@ -66,7 +66,7 @@
     return prefill !== decode && !(isMixed(prefill) && isMixed(decode));
 }
 
-/** Picks at random among the engines that are about as fast as the best; otherwise all processes would pick the same. */
+/** Picks at random among the engines that are about as fast as the best, so that processes don't all pick the same. */
 function pickNearBest(decodeEngines: readonly EngineLoad[], random: Random): EngineLoad | undefined {
     const limit = Math.min(...decodeEngines.map(computeTokenInterval)) * decodeTimeTolerance;
     const near = decodeEngines.filter(load => computeTokenInterval(load) <= limit);
