--- a/packages/daisyturn/src/process/admission/__tests__/accountLimits.test.ts
+++ b/packages/daisyturn/src/process/admission/__tests__/accountLimits.test.ts
@@ -20,7 +20,7 @@
         bench.stop();
     });
 
-    test("excess load at all processes is limited to the rate, and to the bound from the start", async () => {
+    test("excess load at all processes gets the rate, within the documented bound from the start", async () => {
         const [rate, seconds] = [20, 10];
         const bench = createLimitsBench(all.length, rate);
         const first = await bench.sendLoad(all, 100, 1);
--- a/packages/daisyturn/src/process/admission/__tests__/createAdmission.test.ts
+++ b/packages/daisyturn/src/process/admission/__tests__/createAdmission.test.ts
@@ -25,13 +25,7 @@
     let count = 0;
 
     /** Requests admission; `order` records the name when the request is admitted. */
-    const ask = (
-        name: string,
-        limit = 5_000,
-        priority = Priority.Interactive,
-        of = account,
-        promptTokens?: number,
-    ) => {
+    const ask = (name: string, limit = 5_000, priority = Priority.Interactive, of = account, promptTokens?: number) => {
         const profile = createProfile(of.partner, "p", { firstTokenLimitMilliseconds: limit, priority });
         count += 1;
         const caller = new AbortController();
