--- a/packages/daisyturn/src/process/forwarding/__fixtures__/placementBench.ts
+++ b/packages/daisyturn/src/process/forwarding/__fixtures__/placementBench.ts
@@ -41,7 +41,10 @@
 }
 
 /** Asks for the placement of a prompt. */
-export function createDemand(prompt: PromptDescription, changes: Partial<PromptRequirements> = {}): PromptRequirements {
+export function createRequirements(
+    prompt: PromptDescription,
+    changes: Partial<PromptRequirements> = {},
+): PromptRequirements {
     return {
         service: engineService,
         prompt,
--- a/packages/daisyturn/src/process/forwarding/coordination/createPlacementDesk.ts
+++ b/packages/daisyturn/src/process/forwarding/coordination/createPlacementDesk.ts
@@ -118,7 +118,7 @@
         decode: way && describeStep(way.decode),
         firstEvent: Math.round(way?.firstEvent ?? 0),
         soonestEvent: Math.round(way?.soonestEvent ?? 0),
-        reading: Math.round(way?.reading ?? 0),
+        reading: Math.round(way?.prefillMilliseconds ?? 0),
         isDeferred: way?.isDeferred ?? false,
         isOwed: decision?.isUnderserved ?? false,
         lateness: Math.round(decision?.lateness ?? 0),
@@ -154,7 +154,7 @@
         return undefined;
     }
     const { firstEvent, soonestEvent, reading, isDeferred, isOwed } = answer;
-    const way = { prefill, decode, firstEvent, soonestEvent, reading, isDeferred };
+    const way = { prefill, decode, firstEvent, soonestEvent, prefillMilliseconds: reading, isDeferred };
     return {
         placement: way,
         isUnderserved: isOwed,
--- a/packages/daisyturn/src/process/forwarding/coordination/messages/loadMessage.ts
+++ b/packages/daisyturn/src/process/forwarding/coordination/messages/loadMessage.ts
@@ -1,6 +1,6 @@
 import type { EndedPrompt } from "../../limits/createSizeFairness.js";
 import type { ClosingList } from "../../targets/createClosedTargets.js";
-import type { PartPlacement } from "../../views/createCacheEstimates.js";
+import type { CachedPart } from "../../views/createCacheEstimates.js";
 import type { EventIntervalObservation } from "../../views/createEventIntervals.js";
 import type { ServiceDemand } from "../../views/createPrefillDemand.js";
 import type { PrefillObservation } from "../../views/createPrefillRates.js";
@@ -28,7 +28,7 @@
     /** Number of the last placement that the sender took from the receiver; `work` has it and those before it. */
     readonly placed: number;
     readonly work: readonly WorkUnderWay[];
-    readonly kept: readonly PartPlacement[];
+    readonly kept: readonly CachedPart[];
     readonly demand: readonly ServiceDemand[];
     readonly closed: readonly ClosingList[];
     /** Targets at which calls fail, at the sender or, if `isGroup`, at any process of its group. */
--- a/packages/daisyturn/src/process/forwarding/index.ts
+++ b/packages/daisyturn/src/process/forwarding/index.ts
@@ -21,7 +21,7 @@
 export * from "./placement/createCallPlacement.js";
 export * from "./placement/createLeastRunningPlacement.js";
 export * from "./placement/decidePrompt.js";
-export { toUnsharedMilliseconds } from "./placement/estimatePrefill.js";
+export { normalizePrefillMilliseconds } from "./placement/estimatePrefill.js";
 export * from "./reportSizeCounts.js";
 export * from "./stages/changeStages.js";
 export * from "./stages/planStage.js";
--- a/packages/daisyturn/src/process/forwarding/placement/__tests__/createCallPlacement.test.ts
+++ b/packages/daisyturn/src/process/forwarding/placement/__tests__/createCallPlacement.test.ts
@@ -2,9 +2,9 @@
 import { describe, it } from "node:test";
 import { EngineStage } from "../../../../ports/listedTarget.js";
 import {
-    createDemand,
     createLongPrompt,
     createPlacementBench,
+    createRequirements,
     createShortPrompt,
     engineService,
 } from "../../__fixtures__/placementBench.js";
@@ -20,7 +20,8 @@
         for (let seed = 1; seed <= 20; seed++) {
             const { placement } = createPlacementBench(stages, seed);
             homes.add(
-                placement.placePrompt(createDemand(createLongPrompt("guide", `own-${seed}`)))?.prefill?.target.targetId,
+                placement.placePrompt(createRequirements(createLongPrompt("guide", `own-${seed}`)))?.prefill?.target
+                    .targetId,
             );
         }
         assert.equal(homes.size, 1);
@@ -30,7 +31,7 @@
         const { placement } = createPlacementBench(stages);
         const counts = new Map<string, number>();
         for (let index = 0; index < 120; index++) {
-            const way = placement.placePrompt(createDemand(createLongPrompt(`guide-${index}`, "own")));
+            const way = placement.placePrompt(createRequirements(createLongPrompt(`guide-${index}`, "own")));
             const home = way?.prefill?.target.targetId ?? "none";
             counts.set(home, (counts.get(home) ?? 0) + 1);
         }
@@ -42,25 +43,25 @@
         const withoutFetch = new Set([Mechanism.KvFetch]);
         const { placement, caches, loads } = createPlacementBench(stages, 1, withoutFetch);
         const prompt = createLongPrompt("guide", "own");
-        const home = placement.placePrompt(createDemand(prompt))?.prefill?.target.targetId ?? "";
+        const home = placement.placePrompt(createRequirements(prompt))?.prefill?.target.targetId ?? "";
         caches.record(home, prompt.parts, kvTokens);
         loads.begin(home, { work: 100, isDeferred: false, tokens: 0 });
-        assert.equal(placement.placePrompt(createDemand(prompt))?.prefill?.target.targetId, home);
+        assert.equal(placement.placePrompt(createRequirements(prompt))?.prefill?.target.targetId, home);
         loads.begin(home, { work: 1_500, isDeferred: false, tokens: 0 });
-        assert.notEqual(placement.placePrompt(createDemand(prompt))?.prefill?.target.targetId, home);
+        assert.notEqual(placement.placePrompt(createRequirements(prompt))?.prefill?.target.targetId, home);
     });
 
     it("fetches the beginning from the engine that keeps it once the queue there takes longer", () => {
         const { placement, caches, loads } = createPlacementBench(stages);
         const prompt = createLongPrompt("guide", "own");
-        const first = placement.placePrompt(createDemand(prompt));
+        const first = placement.placePrompt(createRequirements(prompt));
         const home = first?.prefill?.target.targetId ?? "";
         assert.equal(first?.prefill?.fetchFrom, undefined, "nobody keeps it yet");
         caches.record(home, prompt.parts, kvTokens);
-        const atHome = placement.placePrompt(createDemand(prompt));
+        const atHome = placement.placePrompt(createRequirements(prompt));
         assert.deepEqual([atHome?.prefill?.target.targetId, atHome?.prefill?.fetchFrom], [home, undefined]);
         loads.begin(home, { work: 150, isDeferred: false, tokens: 0 });
-        const elsewhere = placement.placePrompt(createDemand(prompt));
+        const elsewhere = placement.placePrompt(createRequirements(prompt));
         assert.notEqual(elsewhere?.prefill?.target.targetId, home);
         assert.equal(elsewhere?.prefill?.fetchFrom?.targetId, home);
         assert.ok(
@@ -73,7 +74,7 @@
         const { placement, caches } = createPlacementBench(stages);
         const prompt = createLongPrompt("guide", "own");
         ["i-3", "i-4", "i-5"].forEach(decoder => caches.record(decoder, prompt.parts, kvTokens));
-        const reader = placement.placePrompt(createDemand(prompt))?.prefill;
+        const reader = placement.placePrompt(createRequirements(prompt))?.prefill;
         assert.equal(reader?.fetchFrom?.availabilityZone, reader?.target.availabilityZone);
         assert.equal(reader?.fetchFrom?.stage, Decode);
     });
@@ -83,23 +84,23 @@
         const busy = ["i-0", "i-1"].map(targetId => ({ targetId, calls: 9, work: 2_000, deferredWork: 0, tokens: 0 }));
         loads.recordPeer("peer", busy, 100);
         for (let index = 0; index < 20; index++) {
-            const way = placement.placePrompt(createDemand(createLongPrompt(`guide-${index}`, "own")));
+            const way = placement.placePrompt(createRequirements(createLongPrompt(`guide-${index}`, "own")));
             assert.ok(!["i-0", "i-1"].includes(way?.prefill?.target.targetId ?? ""));
         }
     });
 
     it("defers what can't be on time, and nothing else", () => {
         const { placement, loads } = createPlacementBench(stages);
-        assert.equal(placement.placePrompt(createDemand(createShortPrompt("a")))?.isDeferred, false);
+        assert.equal(placement.placePrompt(createRequirements(createShortPrompt("a")))?.isDeferred, false);
         for (const target of stages.keys()) {
             loads.begin(`i-${target}`, { work: 900, isDeferred: false, tokens: 0 });
         }
-        assert.equal(placement.placePrompt(createDemand(createShortPrompt("b")))?.isDeferred, true);
+        assert.equal(placement.placePrompt(createRequirements(createShortPrompt("b")))?.isDeferred, true);
     });
 
     it("forecasts by how slow an engine seems, and refuses by how fast it can be", () => {
         const { placement, slowdowns } = createPlacementBench(stages);
-        const demand = createDemand(createLongPrompt("guide", "own"));
+        const demand = createRequirements(createLongPrompt("guide", "own"));
         const before = placement.placePrompt(demand);
         stages.forEach((...[, index]) => slowdowns.observe(`i-${index}`, 0, 100, 800));
         const after = placement.placePrompt(demand);
@@ -112,7 +113,7 @@
         for (const target of stages.keys()) {
             loads.begin(`i-${target}`, { work: 5_000, isDeferred: true, tokens: 0 });
         }
-        const way = placement.placePrompt(createDemand(createShortPrompt("a")));
+        const way = placement.placePrompt(createRequirements(createShortPrompt("a")));
         assert.equal(way?.isDeferred, false);
         assert.ok((way?.firstEvent ?? Infinity) < 100);
     });
@@ -120,7 +121,8 @@
     it("reads at an engine that decodes only what its answers bear between two events", () => {
         const { placement, loads } = createPlacementBench([Prefill, Decode, Decode]);
         loads.begin("i-0", { work: 400, isDeferred: false, tokens: 0 });
-        const place = (pauseAim: number) => placement.placePrompt(createDemand(createShortPrompt("a"), { pauseAim }));
+        const place = (pauseAim: number) =>
+            placement.placePrompt(createRequirements(createShortPrompt("a"), { pauseAim }));
         assert.equal(place(150)?.prefill, undefined);
         assert.equal(place(60)?.prefill?.target.targetId, "i-0");
         loads.begin("i-1", { work: 60, isDeferred: false, tokens: 0 });
@@ -131,7 +133,7 @@
     it("reads anything at an engine that decodes where no engine only reads", () => {
         const { placement, loads } = createPlacementBench([Decode]);
         loads.begin("i-0", { work: 400, isDeferred: false, tokens: 0 });
-        const way = placement.placePrompt(createDemand(createLongPrompt("guide", "own")));
+        const way = placement.placePrompt(createRequirements(createLongPrompt("guide", "own")));
         assert.equal(way?.decode.target.targetId, "i-0");
     });
 
@@ -141,7 +143,7 @@
             loads.begin(targetId, { work: 150, isDeferred: false, tokens: 0 });
         }
         for (let index = 0; index < 20; index++) {
-            const way = placement.placePrompt(createDemand(createLongPrompt(`guide-${index}`, "own")));
+            const way = placement.placePrompt(createRequirements(createLongPrompt(`guide-${index}`, "own")));
             assert.equal(way?.decode.target.targetId, "i-7");
         }
     });
@@ -151,7 +153,7 @@
         for (const targetId of ["i-3", "i-4", "i-5", "i-6"]) {
             loads.begin(targetId, { work: 0, isDeferred: false, tokens: kvTokens });
         }
-        const way = placement.placePrompt(createDemand(createLongPrompt("guide", "own")));
+        const way = placement.placePrompt(createRequirements(createLongPrompt("guide", "own")));
         assert.equal(way?.decode.target.targetId, "i-7");
     });
 
@@ -159,21 +161,21 @@
         const { placement, closed, clock } = createPlacementBench([undefined, undefined]);
         closed.close("i-0", clock.monotonicNow() + 1_000);
         const place = (avoid: string[]) =>
-            placement.placePrompt(createDemand(createShortPrompt("a"), { avoid: new Set(avoid) }));
+            placement.placePrompt(createRequirements(createShortPrompt("a"), { avoid: new Set(avoid) }));
         assert.equal(place([])?.decode.target.targetId, "i-1");
         assert.equal(place(["i-1"]), undefined);
     });
 
     it("places whole where no engine only reads", () => {
         const { placement } = createPlacementBench([undefined, undefined, undefined]);
-        const way = placement.placePrompt(createDemand(createLongPrompt("guide", "own")));
+        const way = placement.placePrompt(createRequirements(createLongPrompt("guide", "own")));
         assert.equal(way?.prefill, undefined);
         assert.ok(way?.decode);
     });
 
     it("has no way where only engines that read are left", () => {
         const { placement } = createPlacementBench([Prefill, Prefill]);
-        assert.equal(placement.placePrompt(createDemand(createShortPrompt("a"))), undefined);
+        assert.equal(placement.placePrompt(createRequirements(createShortPrompt("a"))), undefined);
     });
 });
 
@@ -200,7 +202,7 @@
         let onTime = 0;
         for (let step = 0; step < 400; step++) {
             const prompt = createLongPrompt(`guide-${step % 60}`, `own-${step}`);
-            const demand = createDemand(prompt, { isWholeOnly: false, aim: deferLate ? 500 : Infinity });
+            const demand = createRequirements(prompt, { isWholeOnly: false, aim: deferLate ? 500 : Infinity });
             const way = placement.placePrompt(demand);
             const reader = way?.prefill ?? way?.decode;
             if (way && reader) {
--- a/packages/daisyturn/src/process/forwarding/placement/__tests__/createLeastRunningPlacement.test.ts
+++ b/packages/daisyturn/src/process/forwarding/placement/__tests__/createLeastRunningPlacement.test.ts
@@ -2,9 +2,9 @@
 import { test } from "node:test";
 import { EngineStage } from "../../../../ports/listedTarget.js";
 import {
-    createDemand,
     createLongPrompt,
     createPlacementBench,
+    createRequirements,
     createShortPrompt,
 } from "../../__fixtures__/placementBench.js";
 import { createLeastRunningPlacement } from "../createLeastRunningPlacement.js";
@@ -26,17 +26,17 @@
     const { placement, occupy } = createBench();
     occupy("i-2", 3);
     occupy("i-3", 1);
-    const short = placement.placePrompt(createDemand(createShortPrompt("own")));
+    const short = placement.placePrompt(createRequirements(createShortPrompt("own")));
     assert.deepEqual([short?.prefill, short?.decode.target.targetId], [undefined, "i-4"]);
-    const long = placement.placePrompt(createDemand(createLongPrompt("guide", "own")));
+    const long = placement.placePrompt(createRequirements(createLongPrompt("guide", "own")));
     assert.equal(long?.prefill?.target.stage, Prefill);
-    const whole = placement.placePrompt(createDemand(createLongPrompt("guide", "own"), { isWholeOnly: true }));
+    const whole = placement.placePrompt(createRequirements(createLongPrompt("guide", "own"), { isWholeOnly: true }));
     assert.equal(whole?.prefill, undefined);
 });
 
 test("reads at the home of a beginning until it is far busier than the other engines", () => {
     const { placement, occupy } = createBench();
-    const demand = createDemand(createLongPrompt("guide", "own"));
+    const demand = createRequirements(createLongPrompt("guide", "own"));
     const home = placement.placePrompt(demand)?.prefill?.target.targetId ?? "";
     occupy(home, 8);
     assert.equal(placement.placePrompt(demand)?.prefill?.target.targetId, home);
--- a/packages/daisyturn/src/process/forwarding/placement/__tests__/decidePrompt.test.ts
+++ b/packages/daisyturn/src/process/forwarding/placement/__tests__/decidePrompt.test.ts
@@ -1,6 +1,6 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { createDemand, createLongPrompt, createPlacementBench } from "../../__fixtures__/placementBench.js";
+import { createLongPrompt, createPlacementBench, createRequirements } from "../../__fixtures__/placementBench.js";
 import { createLongPrefillTimes } from "../../limits/createLongPrefillTimes.js";
 import type { CallPlacement, PromptPlacement, PromptRequirements } from "../callPlacement.js";
 import { decidePrompt } from "../decidePrompt.js";
@@ -12,34 +12,41 @@
     /** Milliseconds of waiting before a prompt that is deferred. */
     readonly deferredWait: number;
     /** Milliseconds to read the prompt. */
-    readonly reading: number;
+    readonly prefillMilliseconds: number;
     readonly isUnderserved?: boolean;
     readonly areLongestUnderserved?: boolean;
     /** Milliseconds to read other prompts of the route. */
-    readonly otherReadings?: readonly number[];
+    readonly otherPrefills?: readonly number[];
     readonly mayDefer?: boolean;
 }
 
 /** A placement that defers every prompt that may be deferred. */
-function createPlacement({ deferredWait, reading }: SceneOptions): CallPlacement {
+function createPlacement({ deferredWait, prefillMilliseconds }: SceneOptions): CallPlacement {
     const [target] = createPlacementBench([undefined]).listed;
     assert.ok(target);
     const placePrompt = ({ mayDefer }: PromptRequirements): PromptPlacement => {
         const wait = mayDefer ? deferredWait : undeferredWait;
-        const step = { target, wait, work: reading, leastWork: reading, keptTokens: 0, sharedWork: 0 };
-        const event = wait + reading;
-        return { decode: step, firstEvent: event, soonestEvent: event, reading, isDeferred: mayDefer };
+        const step = {
+            target,
+            wait,
+            work: prefillMilliseconds,
+            leastWork: prefillMilliseconds,
+            keptTokens: 0,
+            sharedWork: 0,
+        };
+        const event = wait + prefillMilliseconds;
+        return { decode: step, firstEvent: event, soonestEvent: event, prefillMilliseconds, isDeferred: mayDefer };
     };
     return { placePlain: () => target, placePrompt };
 }
 
 function decide(options: SceneOptions) {
     const longPrefillTimes = createLongPrefillTimes();
-    options.otherReadings?.forEach(reading => longPrefillTimes.record("ask", reading));
+    options.otherPrefills?.forEach(prefillMilliseconds => longPrefillTimes.record("ask", prefillMilliseconds));
     const parts = { placement: createPlacement(options), longPrefillTimes, switchedOff: new Set<never>() };
     const decision = decidePrompt(parts, {
         route: "ask",
-        demand: createDemand(createLongPrompt("shared", "own"), { mayDefer: options.mayDefer ?? true }),
+        demand: createRequirements(createLongPrompt("shared", "own"), { mayDefer: options.mayDefer ?? true }),
         patience,
         isUnderserved: () => options.isUnderserved ?? false,
         areLongestUnderserved: () => options.areLongestUnderserved ?? false,
@@ -52,7 +59,7 @@
 test("a prompt that is owed service is not deferred, also if its forecast would let it be", () => {
     const { placement: way, isUnderserved, lateness } = decide({
         deferredWait: 1_000,
-        reading: 1_300,
+        prefillMilliseconds: 1_300,
         isUnderserved: true,
     });
     assert.equal(way.isDeferred, false);
@@ -61,35 +68,39 @@
 });
 
 test("a prompt that is owed nothing stays deferred", () => {
-    const { placement: way, isUnderserved } = decide({ deferredWait: 1_000, reading: 1_300 });
+    const { placement: way, isUnderserved } = decide({ deferredWait: 1_000, prefillMilliseconds: 1_300 });
     assert.equal(way.isDeferred, true);
     assert.equal(isUnderserved, false);
 });
 
 test("an owed prompt that no engine can begin in time is refused", () => {
-    const { isUnderserved, lateness } = decide({ deferredWait: 1_000, reading: 2_300, isUnderserved: true });
+    const { isUnderserved, lateness } = decide({
+        deferredWait: 1_000,
+        prefillMilliseconds: 2_300,
+        isUnderserved: true,
+    });
     assert.equal(isUnderserved, false);
     assert.ok(lateness > 0);
 });
 
-const otherReadings = [200, 300, 1_200];
+const otherPrefills = [200, 300, 1_200];
 
 // Guards against queues that settle where short prompts just fit, so that long ones never do.
 test("while the longest are owed service, short prompts are refused where a long one would be too late", () => {
-    const short = { reading: 200, otherReadings, areLongestUnderserved: true };
+    const short = { prefillMilliseconds: 200, otherPrefills, areLongestUnderserved: true };
     assert.equal(decide({ ...short, deferredWait: 1_700 }).lateness, 1_700 + 300 - patience);
-    assert.ok(decide({ ...short, otherReadings: [...otherReadings, 1_200], deferredWait: 1_700 }).lateness > 0);
-    assert.ok(decide({ ...short, otherReadings: [...otherReadings, 1_200], deferredWait: 1_100 }).lateness <= 0);
+    assert.ok(decide({ ...short, otherPrefills: [...otherPrefills, 1_200], deferredWait: 1_700 }).lateness > 0);
+    assert.ok(decide({ ...short, otherPrefills: [...otherPrefills, 1_200], deferredWait: 1_100 }).lateness <= 0);
 });
 
 test("short prompts are judged by themselves while nothing is owed, or where they are not deferred", () => {
-    const short = { deferredWait: 1_700, reading: 200, otherReadings: [1_200, 1_200, 1_200] };
+    const short = { deferredWait: 1_700, prefillMilliseconds: 200, otherPrefills: [1_200, 1_200, 1_200] };
     assert.equal(decide(short).lateness, 1_900 - patience);
     const undeferred = decide({ ...short, mayDefer: false, areLongestUnderserved: true });
     assert.equal(undeferred.lateness, undeferredWait + 200 - patience);
 });
 
 test("prompts longer than a caller waits do not close the queue for all others", () => {
-    const short = { reading: 200, otherReadings: [5_000, 5_000, 5_000], areLongestUnderserved: true };
+    const short = { prefillMilliseconds: 200, otherPrefills: [5_000, 5_000, 5_000], areLongestUnderserved: true };
     assert.ok(decide({ ...short, deferredWait: 500 }).lateness <= 0);
 });
--- a/packages/daisyturn/src/process/forwarding/placement/__tests__/groupEngines.test.ts
+++ b/packages/daisyturn/src/process/forwarding/placement/__tests__/groupEngines.test.ts
@@ -29,8 +29,8 @@
     const engines = createEngines(4, 9);
     for (let index = 0; index < 40; index++) {
         const groups = groupEngines(engines, createLongPrompt(`guide-${index}`, "own"), "zone-1");
-        assert.equal(zoneOf(engines, groups.readerHome), "zone-1");
-        assert.equal(zoneOf(engines, groups.decoderHome), "zone-1");
+        assert.equal(zoneOf(engines, groups.preferredPrefillEngine), "zone-1");
+        assert.equal(zoneOf(engines, groups.preferredDecodeEngine), "zone-1");
     }
 });
 
@@ -38,7 +38,7 @@
     const engines = createEngines(1, 2);
     const homes = (zone: string) =>
         [...Array(40).keys()].map(index =>
-            groupEngines(engines, createLongPrompt(`guide-${index}`, "own"), zone).readerHome
+            groupEngines(engines, createLongPrompt(`guide-${index}`, "own"), zone).preferredPrefillEngine
         );
     assert.deepEqual(homes("zone-0"), homes("zone-2"));
     assert.deepEqual(new Set(homes("zone-0").map(home => zoneOf(engines, home))).size, 3);
@@ -47,7 +47,7 @@
 test("an engine that goes moves only the homes that it was", () => {
     const engines = createEngines(4, 9);
     const homeOf = (all: readonly ListedTarget[], index: number) =>
-        groupEngines(all, createLongPrompt(`guide-${index}`, "own"), "zone-0").readerHome;
+        groupEngines(all, createLongPrompt(`guide-${index}`, "own"), "zone-0").preferredPrefillEngine;
     const gone = homeOf(engines, 0);
     const left = engines.filter(engine => engine.targetId !== gone);
     for (let index = 0; index < 40; index++) {
@@ -65,12 +65,12 @@
             { partId: "own", tokens: 900 },
         ];
         const prompt = { ...createLongPrompt("profile", "own"), promptTokens: 6_500, parts };
-        return groupEngines(engines, prompt, "zone-0").readerHome;
+        return groupEngines(engines, prompt, "zone-0").preferredPrefillEngine;
     });
     assert.equal(new Set(homes).size, 4);
 });
 
 test("a prompt that shares little has no home", () => {
     const groups = groupEngines(createEngines(4, 9), createShortPrompt("own"), "zone-0");
-    assert.deepEqual([groups.readerHome, groups.decoderHome], [undefined, undefined]);
+    assert.deepEqual([groups.preferredPrefillEngine, groups.preferredDecodeEngine], [undefined, undefined]);
 });
--- a/packages/daisyturn/src/process/forwarding/placement/__tests__/placementDifferential.test.ts
+++ b/packages/daisyturn/src/process/forwarding/placement/__tests__/placementDifferential.test.ts
@@ -4,9 +4,9 @@
 import type { PromptDescription } from "../../../../ports/forwardedCall.js";
 import { EngineStage, type ListedTarget } from "../../../../ports/listedTarget.js";
 import {
-    createDemand,
     createLongPrompt,
     createPlacementBench,
+    createRequirements,
     createShortPrompt,
     engineService,
 } from "../../__fixtures__/placementBench.js";
@@ -50,10 +50,10 @@
 /** The soonest first event over all pairs of engines and all single ones, by the same estimates. */
 function findSoonest(world: World): number {
     const { listed, prompt } = world;
-    const readers = listed.filter(engine => engine.stage === EngineStage.Prefill);
-    const decoders = listed.filter(engine => engine.stage === EngineStage.Decode);
-    const pairs = readers.flatMap(reader => decoders.map(decoder => estimatePair(world, reader, decoder)));
-    const whole = decoders
+    const prefillEngines = listed.filter(engine => engine.stage === EngineStage.Prefill);
+    const decodeEngines = listed.filter(engine => engine.stage === EngineStage.Decode);
+    const pairs = prefillEngines.flatMap(reader => decodeEngines.map(decoder => estimatePair(world, reader, decoder)));
+    const whole = decodeEngines
         .filter(decoder => bearsReading(world, decoder))
         .map(decoder => readAt(world, decoder, prompt) + hopMilliseconds);
     return Math.min(...pairs, ...whole);
@@ -62,7 +62,7 @@
 /** Answers that are decoded there keep their pauses while the prompt is read. */
 function bearsReading(world: World, decoder: ListedTarget): boolean {
     const interval = world.eventIntervals.interval(engineService.name);
-    return interval + readAt(world, decoder, world.prompt) * pauseReserve <= createDemand(world.prompt).pauseAim;
+    return interval + readAt(world, decoder, world.prompt) * pauseReserve <= createRequirements(world.prompt).pauseAim;
 }
 
 /** Reading with what the engine keeps, or with what it fetches from any other engine. */
@@ -97,7 +97,7 @@
     for (let seed = 1; seed <= worlds; seed++) {
         const world = createWorld(seed);
         const soonest = findSoonest(world);
-        const way = world.placement.placePrompt(createDemand(world.prompt));
+        const way = world.placement.placePrompt(createRequirements(world.prompt));
         assert.ok(way);
         assert.ok(
             way.firstEvent >= soonest - 1,
--- a/packages/daisyturn/src/process/forwarding/placement/callPlacement.ts
+++ b/packages/daisyturn/src/process/forwarding/placement/callPlacement.ts
@@ -30,7 +30,7 @@
      */
     readonly soonestEvent: number;
     /** Milliseconds that an engine which only reads would need for the prompt. */
-    readonly reading: number;
+    readonly prefillMilliseconds: number;
     /** Whether the answer will be late anyway and lets those go first that can still be on time. */
     readonly isDeferred: boolean;
 }
--- a/packages/daisyturn/src/process/forwarding/placement/createCallPlacement.ts
+++ b/packages/daisyturn/src/process/forwarding/placement/createCallPlacement.ts
@@ -6,8 +6,8 @@
 import { CallPlacement, type PlacedStep, type PromptPlacement, type PromptRequirements } from "./callPlacement.js";
 import { createStepCosts } from "./createStepCosts.js";
 import { createStepEstimates, type StepEstimates } from "./createStepEstimates.js";
-import { sharedEngineFactor } from "./estimatePrefill.js";
-import { findLeast } from "./findLeast.js";
+import { decodeEngineFactor } from "./estimatePrefill.js";
+import { findMinBy } from "./findMinBy.js";
 import { type EngineGroups, groupEngines } from "./groupEngines.js";
 
 /** What {@link createCallPlacement} needs. */
@@ -44,42 +44,53 @@
         { demand, engines, estimates }: PromptCase,
         traits: EngineTraits,
         isDeferred: boolean,
-    ): CostedWay | undefined => {
-        const readCost = costs.ofReading(demand, engines);
-        const decodeCost = costs.ofDecoding(demand, engines);
-        const reads = engines.readers.map(engine => estimates.read(engine, isDeferred));
-        const prefill = findLeast(reads, readCost);
+    ): CostedPlacement | undefined => {
+        const readCost = costs.createPrefillCost(demand, engines);
+        const decodeCost = costs.createDecodeCost(demand, engines);
+        const reads = engines.prefillEngines.map(engine => estimates.prefill(engine, isDeferred));
+        const prefill = findMinBy(reads, readCost);
         if (!prefill) {
             return undefined;
         }
-        const decodes = engines.decoders.map(engine => estimates.decode(engine, prefill.target, traits, isDeferred));
-        const decode = findLeast(decodes, decodeCost);
+        const decodes = engines.decodeEngines.map(engine =>
+            estimates.decode(engine, prefill.target, traits, isDeferred)
+        );
+        const decode = findMinBy(decodes, decodeCost);
         if (!decode) {
             return undefined;
         }
         const cost = readCost(prefill) + decodeCost(decode) + hopMilliseconds;
-        return { prefill, decode, ...forecastEvent([prefill, decode]), reading: prefill.work, isDeferred, cost };
+        return {
+            prefill,
+            decode,
+            ...forecastFirstEvent([prefill, decode]),
+            prefillMilliseconds: prefill.work,
+            isDeferred,
+            cost,
+        };
     };
 
     /**
      * A prompt that is read between the steps of a batch holds up all its answers. Where other engines only read, it goes
      * there unless every answer still keeps its pauses.
      */
-    const listBearing = ({ demand, engines, estimates }: PromptCase, isDeferred: boolean) => {
-        const steps = engines.decoders.map(engine => estimates.read(engine, isDeferred));
-        if (engines.readers.length === 0) {
+    const listWholeSteps = ({ demand, engines, estimates }: PromptCase, isDeferred: boolean) => {
+        const steps = engines.decodeEngines.map(engine => estimates.prefill(engine, isDeferred));
+        if (engines.prefillEngines.length === 0) {
             return steps;
         }
-        return isOn(Mechanism.ReadingAtDecoders) ? steps.filter(step => costs.bearsReading(step, demand)) : [];
+        return isOn(Mechanism.ReadingAtDecoders) ? steps.filter(step => costs.meetsPauseAim(step, demand)) : [];
     };
 
-    const placeWhole = (promptCase: PromptCase, isDeferred: boolean): CostedWay | undefined => {
-        const cost = costs.ofBoth(promptCase.demand, promptCase.engines);
-        const decode = findLeast(listBearing(promptCase, isDeferred), cost);
+    const placeWhole = (promptCase: PromptCase, isDeferred: boolean): CostedPlacement | undefined => {
+        const cost = costs.createWholeCost(promptCase.demand, promptCase.engines);
+        const decode = findMinBy(listWholeSteps(promptCase, isDeferred), cost);
         return decode && {
             decode,
-            ...forecastEvent([decode]),
-            reading: decode.target.stage === EngineStage.Decode ? decode.work / sharedEngineFactor : decode.work,
+            ...forecastFirstEvent([decode]),
+            prefillMilliseconds: decode.target.stage === EngineStage.Decode
+                ? decode.work / decodeEngineFactor
+                : decode.work,
             isDeferred,
             cost: cost(decode),
         };
@@ -95,7 +106,9 @@
     const placePrompt = (demand: PromptRequirements): PromptPlacement | undefined => {
         const usable = listUsable(demand.service.name, demand.avoid);
         const groups = groupEngines(usable, demand.prompt, demand.availabilityZone);
-        const engines = isOn(Mechanism.Homes) ? groups : { ...groups, readerHome: undefined, decoderHome: undefined };
+        const engines = isOn(Mechanism.Homes)
+            ? groups
+            : { ...groups, preferredPrefillEngine: undefined, preferredDecodeEngine: undefined };
         const promptCase = { demand, engines, estimates: createStepEstimates(options, demand, usable) };
         const way = findCheapest(promptCase, false);
         const isLate = way !== undefined && way.firstEvent > demand.aim;
@@ -104,7 +117,7 @@
 
     class EstimatedPlacement extends CallPlacement {
         override placePlain(service: string, avoid: ReadonlySet<string>): ListedTarget | undefined {
-            return findLeast(listUsable(service, avoid), costs.plain);
+            return findMinBy(listUsable(service, avoid), costs.plain);
         }
 
         override placePrompt = placePrompt;
@@ -119,10 +132,10 @@
     readonly estimates: StepEstimates;
 }
 
-type CostedWay = PromptPlacement & { readonly cost: number; };
+type CostedPlacement = PromptPlacement & { readonly cost: number; };
 
 /** When the first event comes if these steps follow each other. */
-function forecastEvent(steps: readonly PlacedStep[]): Pick<PromptPlacement, "firstEvent" | "soonestEvent"> {
+function forecastFirstEvent(steps: readonly PlacedStep[]): Pick<PromptPlacement, "firstEvent" | "soonestEvent"> {
     const wait = steps.reduce((sum, step) => sum + step.wait, hopMilliseconds);
     return {
         firstEvent: steps.reduce((sum, step) => sum + step.work, wait),
--- a/packages/daisyturn/src/process/forwarding/placement/createLeastRunningPlacement.ts
+++ b/packages/daisyturn/src/process/forwarding/placement/createLeastRunningPlacement.ts
@@ -4,7 +4,7 @@
 import type { TargetList } from "../targets/createTargetList.js";
 import type { TargetLoads } from "../views/createTargetLoads.js";
 import { CallPlacement, type PlacedStep, type PromptPlacement, type PromptRequirements } from "./callPlacement.js";
-import { findLeast } from "./findLeast.js";
+import { findMinBy } from "./findMinBy.js";
 import { groupEngines } from "./groupEngines.js";
 
 /** What {@link createLeastRunningPlacement} needs. */
@@ -31,21 +31,21 @@
         targets.open(service).filter(target => !closed.isClosed(target.targetId) && !avoid.has(target.targetId));
 
     const findReader = (engines: readonly ListedTarget[], prompt: PromptDescription, availabilityZone: string) => {
-        const { readers, readerHome } = groupEngines(engines, prompt, availabilityZone);
-        const least = findLeast(readers, callsAt);
-        const home = readers.find(reader => reader.targetId === readerHome);
+        const { prefillEngines, preferredPrefillEngine } = groupEngines(engines, prompt, availabilityZone);
+        const least = findMinBy(prefillEngines, callsAt);
+        const home = prefillEngines.find(reader => reader.targetId === preferredPrefillEngine);
         return home && least && callsAt(home) <= callsAt(least) + homeBound ? home : least;
     };
 
     class LeastRunningPlacement extends CallPlacement {
         override placePlain(service: string, avoid: ReadonlySet<string>): ListedTarget | undefined {
-            return findLeast(listUsable(service, avoid), callsAt);
+            return findMinBy(listUsable(service, avoid), callsAt);
         }
 
         override placePrompt(demand: PromptRequirements): PromptPlacement | undefined {
             const { service, prompt, avoid, isWholeOnly, availabilityZone } = demand;
             const engines = listUsable(service.name, avoid);
-            const decode = findLeast(engines.filter(engine => engine.stage !== EngineStage.Prefill), callsAt);
+            const decode = findMinBy(engines.filter(engine => engine.stage !== EngineStage.Prefill), callsAt);
             const isSplit = !isWholeOnly && prompt.promptTokens > leastSplitTokens;
             const reader = isSplit ? findReader(engines, prompt, availabilityZone) : undefined;
             return decode && {
@@ -53,7 +53,7 @@
                 prefill: reader && createStep(reader),
                 firstEvent: 0,
                 soonestEvent: 0,
-                reading: 0,
+                prefillMilliseconds: 0,
                 isDeferred: false,
             };
         }
--- a/packages/daisyturn/src/process/forwarding/placement/createStepCosts.ts
+++ b/packages/daisyturn/src/process/forwarding/placement/createStepCosts.ts
@@ -14,13 +14,13 @@
     /** How full a plain target is, in parts of its slots. */
     plain(target: ListedTarget): number;
     /** Of reading a prompt at an engine that only reads. */
-    ofReading(demand: PromptRequirements, engines: EngineGroups): StepCost;
+    createPrefillCost(demand: PromptRequirements, engines: EngineGroups): StepCost;
     /** Of decoding what another engine has read. */
-    ofDecoding(demand: PromptRequirements, engines: EngineGroups): StepCost;
+    createDecodeCost(demand: PromptRequirements, engines: EngineGroups): StepCost;
     /** Of reading and decoding at one engine. */
-    ofBoth(demand: PromptRequirements, engines: EngineGroups): StepCost;
+    createWholeCost(demand: PromptRequirements, engines: EngineGroups): StepCost;
     /** Whether all answers of a decoding engine keep their pauses while it reads the prompt. */
-    bearsReading(step: PlacedStep, demand: PromptRequirements): boolean;
+    meetsPauseAim(step: PlacedStep, demand: PromptRequirements): boolean;
 }
 
 /** What {@link createStepCosts} needs. */
@@ -106,15 +106,16 @@
             const fill = (loads.calls(target.targetId) + 1) / Math.max(1, target.slots);
             return fill * scatter() + (isNear(target, availabilityZone) ? 0 : otherZonePenalty);
         },
-        ofReading: (demand, { readerHome }) => step =>
-            workCost(step, demand) + (isStray(step, readerHome) ? step.sharedWork * strayReadingFraction : 0),
-        ofDecoding: (demand, { decoderHome }) => step =>
+        createPrefillCost: (demand, { preferredPrefillEngine }) => step =>
+            workCost(step, demand)
+            + (isStray(step, preferredPrefillEngine) ? step.sharedWork * strayReadingFraction : 0),
+        createDecodeCost: (demand, { preferredDecodeEngine }) => step =>
             step.wait * scatter() + zoneCost(step.target, demand) + pauseCost(demand, step.target)
-            + (isStray(step, decoderHome) ? strayDecodingMilliseconds : 0),
-        ofBoth: (demand, { decoders }) => step =>
+            + (isStray(step, preferredDecodeEngine) ? strayDecodingMilliseconds : 0),
+        createWholeCost: (demand, { decodeEngines }) => step =>
             workCost(step, demand) + pauseCost(demand, step.target)
-            + decoders.indexOf(step.target) * readingOrderMilliseconds,
-        bearsReading: ({ target, work }, { pauseAim, service }) => {
+            + decodeEngines.indexOf(step.target) * readingOrderMilliseconds,
+        meetsPauseAim: ({ target, work }, { pauseAim, service }) => {
             const reading = loads.wait(target.targetId, true) + work;
             return eventIntervals.interval(service.name) + reading * pauseReserve <= pauseAim || !hasPauseForecast;
         },
--- a/packages/daisyturn/src/process/forwarding/placement/createStepEstimates.ts
+++ b/packages/daisyturn/src/process/forwarding/placement/createStepEstimates.ts
@@ -7,14 +7,14 @@
 import type { TargetLoads } from "../views/createTargetLoads.js";
 import { countTokens, type PlacedStep, type PromptRequirements } from "./callPlacement.js";
 import { estimatePrefill, estimateTransfer } from "./estimatePrefill.js";
-import { findLeast } from "./findLeast.js";
-import { findPrefixHolders, type PrefixHolder } from "./findPrefixHolders.js";
-import { sumShared } from "./groupEngines.js";
+import { findMinBy } from "./findMinBy.js";
+import { findPrefixSources, type PrefixSource } from "./findPrefixSources.js";
+import { countSharedTokens } from "./groupEngines.js";
 
 /** How long one prompt would wait and be worked on at each engine. */
 export interface StepEstimates {
     /** Reading the prompt there. */
-    read(engine: ListedTarget, isDeferred: boolean): PlacedStep;
+    prefill(engine: ListedTarget, isDeferred: boolean): PlacedStep;
     /** Decoding there what the reader has read. */
     decode(engine: ListedTarget, reader: ListedTarget, traits: EngineTraits, isDeferred: boolean): PlacedStep;
 }
@@ -50,9 +50,9 @@
     );
     const keptAt = ({ targetId }: ListedTarget) => kept.get(targetId) ?? 0;
     const rate = prefillRates.rate(service.name);
-    const readingShared = estimatePrefill(rate, sumShared(prompt), 0, false);
+    const readingShared = estimatePrefill(rate, countSharedTokens(prompt), 0, false);
     const mayFetch = service.engine !== undefined && !switchedOff.has(Mechanism.KvFetch);
-    const holders = mayFetch ? findPrefixHolders(engines, keptAt) : [];
+    const holders = mayFetch ? findPrefixSources(engines, keptAt) : [];
 
     /** With all places of the batch taken, or all memory, a call waits until others end. */
     const placeWait = (engine: ListedTarget) => {
@@ -83,7 +83,7 @@
         sharedWork: readingShared,
     });
 
-    const readFetched = (engine: ListedTarget, holder: PrefixHolder, queued: number): PlacedStep => {
+    const readFetched = (engine: ListedTarget, holder: PrefixSource, queued: number): PlacedStep => {
         const missing = holder.tokens - keptAt(engine);
         const fetching = service.engine ? transferTime(missing, holder.engine, engine, service.engine) : 0;
         return {
@@ -95,12 +95,12 @@
     };
 
     return {
-        read: (engine, isDeferred) => {
+        prefill: (engine, isDeferred) => {
             const queued = loads.wait(engine.targetId, isDeferred) + placeWait(engine);
             const useful = holders.filter(holder => holder.tokens > keptAt(engine));
             const fetched = useful.map(holder => readFetched(engine, holder, queued));
             const here = readHere(engine, queued);
-            return findLeast([here, ...fetched], step => step.wait + step.work) ?? here;
+            return findMinBy([here, ...fetched], step => step.wait + step.work) ?? here;
         },
         decode: (engine, reader, traits, isDeferred) => {
             const moved = prompt.promptTokens - keptAt(engine);
--- a/packages/daisyturn/src/process/forwarding/placement/estimatePrefill.ts
+++ b/packages/daisyturn/src/process/forwarding/placement/estimatePrefill.ts
@@ -3,7 +3,7 @@
 /** Fixed part of each prefill: its share of a step, which it often has in common with others. */
 const stepMilliseconds = 2;
 /** An engine that also decodes reads prompts at half the speed, between the tokens of other requests. */
-export const sharedEngineFactor = 2;
+export const decodeEngineFactor = 2;
 /** Setting up a transfer of KV cache. */
 const transferSetupMilliseconds = 3;
 /** Links between availability zones take twice as long. */
@@ -26,12 +26,12 @@
     const tokens = Math.max(1, promptTokens - keptTokens);
     const pairs = tokens * (keptTokens + tokens / 2) / pairsPerMillion;
     const own = tokens * rate.tokenMilliseconds + pairs * rate.pairMilliseconds;
-    return stepMilliseconds + own * (isShared ? sharedEngineFactor : 1);
+    return stepMilliseconds + own * (isShared ? decodeEngineFactor : 1);
 }
 
 /** What a prefill that took so long tells of the rates of engines that only prefill, in milliseconds without its fixed part. */
-export function toUnsharedMilliseconds(milliseconds: number, isShared: boolean): number {
-    return Math.max(0, milliseconds - stepMilliseconds) / (isShared ? sharedEngineFactor : 1);
+export function normalizePrefillMilliseconds(milliseconds: number, isShared: boolean): number {
+    return Math.max(0, milliseconds - stepMilliseconds) / (isShared ? decodeEngineFactor : 1);
 }
 
 /** Time to move the KV cache of a prompt between two engines. */
--- a/packages/daisyturn/src/process/forwarding/placement/findPrefixHolders.ts
+++ b/packages/daisyturn/src/process/forwarding/placement/findPrefixSources.ts
@@ -1,7 +1,7 @@
 import type { ListedTarget } from "../../../ports/listedTarget.js";
 
 /** An engine that keeps the beginning of a prompt in its KV cache. */
-export interface PrefixHolder {
+export interface PrefixSource {
     readonly engine: ListedTarget;
     /** Tokens of the beginning. */
     readonly tokens: number;
@@ -14,11 +14,11 @@
  * The engines from which a prompt's beginning may be fetched: in each availability zone the one that keeps most of it,
  * since transfers between zones take longer.
  */
-export function findPrefixHolders(
+export function findPrefixSources(
     engines: readonly ListedTarget[],
     keptAt: (engine: ListedTarget) => number,
-): readonly PrefixHolder[] {
-    const byZone = new Map<string, PrefixHolder>();
+): readonly PrefixSource[] {
+    const byZone = new Map<string, PrefixSource>();
     for (const engine of engines) {
         const tokens = keptAt(engine);
         const most = byZone.get(engine.availabilityZone)?.tokens ?? leastFetchedTokens;
--- a/packages/daisyturn/src/process/forwarding/placement/groupEngines.ts
+++ b/packages/daisyturn/src/process/forwarding/placement/groupEngines.ts
@@ -1,15 +1,15 @@
 import { hashTextTo32Bits, rendezvousWeight } from "daisyturn-utils";
 import type { PromptDescription } from "../../../ports/forwardedCall.js";
 import { EngineStage, type ListedTarget } from "../../../ports/listedTarget.js";
-import { findLeast } from "./findLeast.js";
+import { findMinBy } from "./findMinBy.js";
 
 /** The engines of a service by what they do, and where each kind looks first for what a prompt begins with. */
 export interface EngineGroups {
-    readonly readers: readonly ListedTarget[];
+    readonly prefillEngines: readonly ListedTarget[];
     /** In an order that all processes share. */
-    readonly decoders: readonly ListedTarget[];
-    readonly readerHome?: string;
-    readonly decoderHome?: string;
+    readonly decodeEngines: readonly ListedTarget[];
+    readonly preferredPrefillEngine?: string;
+    readonly preferredDecodeEngine?: string;
 }
 
 /** Prompts that share less than this are placed by load alone: reading it again takes less than a step. */
@@ -28,18 +28,18 @@
     availabilityZone: string,
 ): EngineGroups {
     const key = findAffinityKey(prompt);
-    const readers = engines.filter(target => target.stage === EngineStage.Prefill);
-    const decoders = sortByHash(engines.filter(target => target.stage !== EngineStage.Prefill));
+    const prefillEngines = engines.filter(target => target.stage === EngineStage.Prefill);
+    const decodeEngines = sortByHash(engines.filter(target => target.stage !== EngineStage.Prefill));
     return {
-        readers,
-        decoders,
-        readerHome: findHome(readers, key, availabilityZone),
-        decoderHome: findHome(decoders, key, availabilityZone),
+        prefillEngines,
+        decodeEngines,
+        preferredPrefillEngine: findHome(prefillEngines, key, availabilityZone),
+        preferredDecodeEngine: findHome(decodeEngines, key, availabilityZone),
     };
 }
 
 /** Tokens that other prompts may begin with too: all parts but the last one, which is the prompt's own. */
-export function sumShared(prompt: PromptDescription): number {
+export function countSharedTokens(prompt: PromptDescription): number {
     return prompt.parts.slice(0, -1).reduce((sum, part) => sum + part.tokens, 0);
 }
 
@@ -61,7 +61,7 @@
     }
     const near = engines.filter(engine => engine.availabilityZone === availabilityZone);
     const candidates = near.length >= leastEnginesForZoneHomes ? near : engines;
-    return findLeast(candidates, engine => -rendezvousWeight(key, hashTextTo32Bits(engine.targetId)))?.targetId;
+    return findMinBy(candidates, engine => -rendezvousWeight(key, hashTextTo32Bits(engine.targetId)))?.targetId;
 }
 
 /**
@@ -70,5 +70,5 @@
  */
 function findAffinityKey(prompt: PromptDescription): number | undefined {
     const lastShared = prompt.parts.at(-2);
-    return lastShared && sumShared(prompt) >= affinityTokens ? hashTextTo32Bits(lastShared.partId) : undefined;
+    return lastShared && countSharedTokens(prompt) >= affinityTokens ? hashTextTo32Bits(lastShared.partId) : undefined;
 }
--- a/packages/daisyturn/src/process/forwarding/views/__tests__/targetViews.test.ts
+++ b/packages/daisyturn/src/process/forwarding/views/__tests__/targetViews.test.ts
@@ -92,7 +92,7 @@
         assert.equal(loads.wait("a", true), 110);
         assert.equal(loads.calls("a"), 5);
         assert.equal(loads.tokens("a"), 1_300);
-        own.finishHeavyPart();
+        own.finishExpensiveWork();
         assert.equal(loads.wait("a", false), 20);
         own.end();
         own.end();
--- a/packages/daisyturn/src/process/forwarding/views/createCacheEstimates.ts
+++ b/packages/daisyturn/src/process/forwarding/views/createCacheEstimates.ts
@@ -2,7 +2,7 @@
 import type { PromptPart } from "../../../ports/forwardedCall.js";
 
 /** A part of a prompt that was placed at a target: target, part, tokens. */
-export type PartPlacement = readonly [targetId: string, partId: string, tokens: number];
+export type CachedPart = readonly [targetId: string, partId: string, tokens: number];
 
 /** Which parts of prompts the engines are believed to keep, from where this process and its peers have placed them. */
 export interface CacheEstimates {
@@ -11,7 +11,7 @@
     /** Takes in what a peer has placed. */
     recordRemote(targetId: string, partId: string, tokens: number): void;
     /** Called with each part that was noted and that peers need to know of. */
-    onRecorded(listener: (placement: PartPlacement) => void): void;
+    onRecorded(listener: (placement: CachedPart) => void): void;
     /** Tokens at the start of the prompt that the engine need not compute. */
     keptTokens(targetId: string, parts: readonly PromptPart[]): number;
     forget(targetId: string): void;
@@ -39,7 +39,7 @@
 /** Creates the beliefs of one process. */
 export function createCacheEstimates(clock: Clock): CacheEstimates {
     const caches = new Map<string, EngineCache>();
-    const listeners: ((placement: PartPlacement) => void)[] = [];
+    const listeners: ((placement: CachedPart) => void)[] = [];
 
     const find = (targetId: string): EngineCache => {
         let cache = caches.get(targetId);
--- a/packages/daisyturn/src/process/forwarding/views/createTargetLoads.ts
+++ b/packages/daisyturn/src/process/forwarding/views/createTargetLoads.ts
@@ -7,7 +7,7 @@
 /** Work that this process has placed at a target. */
 export interface PlacedWork {
     /** The expensive part (of a prompt: its prefill) is done; the call itself still runs. */
-    finishHeavyPart(): void;
+    finishExpensiveWork(): void;
     end(): void;
 }
 
@@ -108,7 +108,7 @@
         }
         let isHeavy = true;
         let isRunning = true;
-        const finishHeavyPart = () => {
+        const finishExpensiveWork = () => {
             if (isHeavy) {
                 isHeavy = false;
                 load[kind] = Math.max(0, load[kind] - work);
@@ -118,9 +118,9 @@
             }
         };
         return {
-            finishHeavyPart,
+            finishExpensiveWork,
             end: () => {
-                finishHeavyPart();
+                finishExpensiveWork();
                 if (isRunning) {
                     isRunning = false;
                     load.calls -= 1;
--- a/packages/daisyturn/src/request/forwarding/runPromptCall.ts
+++ b/packages/daisyturn/src/request/forwarding/runPromptCall.ts
@@ -6,9 +6,9 @@
 import {
     countTokens,
     measureSize,
+    normalizePrefillMilliseconds,
     type PlacedStep,
     type PromptPlacement,
-    toUnsharedMilliseconds,
     type TrackedPrompt,
 } from "../../process/forwarding/index.js";
 import { admitPrompt } from "./admitPrompt.js";
@@ -62,7 +62,7 @@
         }
         const way = admitted.value;
         prefills += way.prefill ? 1 : 0;
-        parts.demand.record(run.service.name, way.reading);
+        parts.demand.record(run.service.name, way.prefillMilliseconds);
         const answer = await takeWay(parts, run, prompt, way, relay);
         if (answer.isOk) {
             return ok(answer.value);
@@ -196,7 +196,7 @@
 ): void {
     slowdowns.observe(target.targetId, wait, work, milliseconds);
     if (wait <= work * mostWaitFraction) {
-        const own = toUnsharedMilliseconds(milliseconds, target.stage === EngineStage.Decode);
+        const own = normalizePrefillMilliseconds(milliseconds, target.stage === EngineStage.Decode);
         prefillRates.observe([run.service.name, promptTokens - keptTokens, keptTokens, Math.round(own)]);
     }
 }
--- a/packages/daisyturn/src/request/forwarding/sendToTarget.ts
+++ b/packages/daisyturn/src/request/forwarding/sendToTarget.ts
@@ -71,7 +71,7 @@
         calls: Math.round(loads.calls(target.targetId)),
     });
     const noteFirstByte = () => {
-        work.finishHeavyPart();
+        work.finishExpensiveWork();
         wait.end();
         send.onFirstByte?.();
     };
