--- a/packages/daisyturn/src/process/forwarding/placement/callPlacement.ts
+++ b/packages/daisyturn/src/process/forwarding/placement/callPlacement.ts
@@ -2,36 +2,36 @@
 import type { ListedTarget } from "../../../ports/listedTarget.js";
 import type { ForwardService } from "../../../version/forwarding/forwardingConfiguration.js";
 
-/** Where one part of a call goes. */
+/** The target of one step of a call, with the estimates for that step. */
 export interface PlacedStep {
     readonly target: ListedTarget;
-    /** Estimated milliseconds of expensive work there, and before the target turns to it. */
+    /** Estimated milliseconds of expensive work at the target, and of waiting before this work begins. */
     readonly work: number;
     readonly wait: number;
-    /** The same work at an engine that nothing slows. */
+    /** The same work without the target's slowdown. */
     readonly leastWork: number;
-    /** Tokens of the prompt that need not be read there, since they are kept or fetched. */
+    /** Tokens of the prompt that the target need not prefill, since they are cached there or fetched. */
     readonly keptTokens: number;
-    /** Estimated milliseconds to read what the prompt shares with others, or to fetch it where that is done. */
+    /** Estimated milliseconds to prefill the prefix that other prompts share, or to fetch it if the step does so. */
     readonly sharedWork: number;
-    /** The engine from which it fetches the KV cache of a beginning that it lacks. */
+    /** The engine from which the target fetches the KV cache of a prefix that it lacks. */
     readonly fetchFrom?: ListedTarget;
 }
 
-/** How a prompt is served: read at one engine and decoded at another, or both at one. */
+/** How a prompt is served: prefilled at one engine and decoded at another, or both at one. */
 export interface PromptPlacement {
     readonly prefill?: PlacedStep;
     readonly decode: PlacedStep;
     /** Estimated milliseconds to the first event. */
     readonly firstEvent: number;
     /**
-     * The same, with the prompt read as fast as an engine can. Refusals go by it: how slow engines seem to be also holds
-     * work that nobody has told of, and would have long prompts refused that are served in time.
+     * The same without slowdowns. Prompts are refused by this value: an observed slowdown also contains work that no
+     * process has reported, so with it long prompts would be refused that can be served in time.
      */
     readonly soonestEvent: number;
-    /** Milliseconds that an engine which only reads would need for the prompt. */
+    /** Milliseconds that an engine which only prefills would need for the prompt. */
     readonly prefillMilliseconds: number;
-    /** Whether the answer will be late anyway and lets those go first that can still be on time. */
+    /** Whether the answer will be late in any case and yields to calls that can still be on time. */
     readonly isDeferred: boolean;
 }
 
@@ -40,28 +40,28 @@
     readonly service: ForwardService;
     readonly prompt: PromptDescription;
     readonly bodyBytes: number;
-    /** Targets that failed the call. */
+    /** Ids of the targets that failed the call. */
     readonly avoid: ReadonlySet<string>;
-    /** Whether both parts have to be done by one engine. */
+    /** Whether one engine has to prefill and decode the prompt. */
     readonly isWholeOnly: boolean;
     /** Milliseconds within which the first event is on time. */
     readonly aim: number;
-    /** Whether the prompt may be made to wait for others once it can't be on time. */
+    /** Whether the prompt may be deferred once it can't be on time. */
     readonly mayDefer: boolean;
-    /** Shortest pause that the service's answers may make, in milliseconds. */
+    /** Target pause between two events in milliseconds, the shortest of all routes of the service. */
     readonly pauseAim: number;
-    /** Where the process stands that sends the prompt. */
+    /** Availability zone of the process that sends the prompt. */
     readonly availabilityZone: string;
 }
 
 /** Chooses targets for calls. */
 export abstract class CallPlacement {
     abstract placePlain(service: string, avoid: ReadonlySet<string>): ListedTarget | undefined;
-    /** The way that a prompt is to go; undefined if no engine can take it. */
+    /** Chooses the placement of a prompt; undefined if no engine can serve it. */
     abstract placePrompt(demand: PromptRequirements): PromptPlacement | undefined;
 }
 
-/** KV cache that a call holds until its end. */
+/** Tokens of KV cache that a call occupies until its end. */
 export function countTokens({ promptTokens, expectedOutputTokens, maxOutputTokens }: PromptDescription): number {
     return promptTokens + Math.min(expectedOutputTokens, maxOutputTokens);
 }
--- a/packages/daisyturn/src/process/forwarding/placement/createCallPlacement.ts
+++ b/packages/daisyturn/src/process/forwarding/placement/createCallPlacement.ts
@@ -13,19 +13,19 @@
 /** What {@link createCallPlacement} needs. */
 export interface CallPlacementOptions extends TargetViews {
     readonly random: Random;
-    /** Where the process stands; plain calls go out from there. */
+    /** Availability zone of the process, which sends the plain calls. */
     readonly availabilityZone: string;
-    /** What an experiment takes out. */
+    /** Mechanisms that an experiment switches off. */
     readonly switchedOff: ReadonlySet<Mechanism>;
 }
 
-/** One hop to an engine and back, with the engine's step, in milliseconds. */
+/** Round trip to an engine, with the engine's step. */
 const hopMilliseconds = 8;
 
 /**
- * Creates the placement policy of one process: the way that is the soonest, with regard to what it costs others. A call
- * that can't be on time by any way is deferred: with all in one queue, an overload makes every answer late, while so
- * only those are that exceed what the engines can do.
+ * Creates the placement policy of one process. It chooses the placement with the earliest first event, with regard to
+ * its cost for other calls. A call that can't be on time with any placement is deferred. With all calls in one queue,
+ * an overload would make every answer late; with deferral, only the answers that exceed the engines' capacity are late.
  */
 export function createCallPlacement(options: CallPlacementOptions): CallPlacement {
     const { targets, health, closed, switchedOff } = options;
@@ -45,21 +45,21 @@
         traits: EngineTraits,
         isDeferred: boolean,
     ): CostedPlacement | undefined => {
-        const readCost = costs.createPrefillCost(demand, engines);
+        const prefillCost = costs.createPrefillCost(demand, engines);
         const decodeCost = costs.createDecodeCost(demand, engines);
-        const reads = engines.prefillEngines.map(engine => estimates.prefill(engine, isDeferred));
-        const prefill = findMinBy(reads, readCost);
+        const prefillSteps = engines.prefillEngines.map(engine => estimates.prefill(engine, isDeferred));
+        const prefill = findMinBy(prefillSteps, prefillCost);
         if (!prefill) {
             return undefined;
         }
-        const decodes = engines.decodeEngines.map(engine =>
+        const decodeSteps = engines.decodeEngines.map(engine =>
             estimates.decode(engine, prefill.target, traits, isDeferred)
         );
-        const decode = findMinBy(decodes, decodeCost);
+        const decode = findMinBy(decodeSteps, decodeCost);
         if (!decode) {
             return undefined;
         }
-        const cost = readCost(prefill) + decodeCost(decode) + hopMilliseconds;
+        const cost = prefillCost(prefill) + decodeCost(decode) + hopMilliseconds;
         return {
             prefill,
             decode,
@@ -71,8 +71,8 @@
     };
 
     /**
-     * A prompt that is read between the steps of a batch holds up all its answers. Where other engines only read, it goes
-     * there unless every answer still keeps its pauses.
+     * A prefill between the steps of a batch delays all answers of the batch. If there are engines that only prefill, a
+     * decode engine prefills a prompt only if all its answers stay within the target pause.
      */
     const listWholeSteps = ({ demand, engines, estimates }: PromptCase, isDeferred: boolean) => {
         const steps = engines.decodeEngines.map(engine => estimates.prefill(engine, isDeferred));
@@ -110,9 +110,9 @@
             ? groups
             : { ...groups, preferredPrefillEngine: undefined, preferredDecodeEngine: undefined };
         const promptCase = { demand, engines, estimates: createStepEstimates(options, demand, usable) };
-        const way = findCheapest(promptCase, false);
-        const isLate = way !== undefined && way.firstEvent > demand.aim;
-        return isLate && demand.mayDefer && isOn(Mechanism.Deferral) ? findCheapest(promptCase, true) : way;
+        const undeferred = findCheapest(promptCase, false);
+        const isLate = undeferred !== undefined && undeferred.firstEvent > demand.aim;
+        return isLate && demand.mayDefer && isOn(Mechanism.Deferral) ? findCheapest(promptCase, true) : undeferred;
     };
 
     class EstimatedPlacement extends CallPlacement {
@@ -125,7 +125,7 @@
     return new EstimatedPlacement();
 }
 
-/** One prompt before the engines that it may go to. */
+/** A prompt with the engines that may serve it. */
 interface PromptCase {
     readonly demand: PromptRequirements;
     readonly engines: EngineGroups;
@@ -134,7 +134,7 @@
 
 type CostedPlacement = PromptPlacement & { readonly cost: number; };
 
-/** When the first event comes if these steps follow each other. */
+/** Milliseconds to the first event if these steps follow each other. */
 function forecastFirstEvent(steps: readonly PlacedStep[]): Pick<PromptPlacement, "firstEvent" | "soonestEvent"> {
     const wait = steps.reduce((sum, step) => sum + step.wait, hopMilliseconds);
     return {
--- a/packages/daisyturn/src/process/forwarding/placement/createLeastRunningPlacement.ts
+++ b/packages/daisyturn/src/process/forwarding/placement/createLeastRunningPlacement.ts
@@ -14,14 +14,15 @@
     readonly closed: ClosedTargets;
 }
 
-/** Shorter prompts are read where they are decoded: moving their cache takes as long as reading them. */
-const leastSplitTokens = 2_000;
-/** The home of a prompt's beginning is left once so many more calls run there than at the least busy engine. */
-const homeBound = 8;
+/** Shorter prompts are prefilled where they are decoded: moving their KV cache takes as long as prefilling them. */
+const minSplitTokens = 2_000;
+/** The preferred engine is used while it runs at most this many calls more than the least busy engine. */
+const maxExtraCalls = 8;
 
 /**
- * Creates the plain policy that the estimating one is measured against: the target with the least running calls, long
- * prompts read apart at the home of their beginning. It estimates nothing, knows no caches and defers no call.
+ * Creates the baseline policy to which the estimating policy is compared. It chooses the target with the fewest running
+ * calls and prefills long prompts at the preferred engine of their prefix. It makes no estimates, does not know caches
+ * and defers no call.
  */
 export function createLeastRunningPlacement(options: LeastRunningPlacementOptions): CallPlacement {
     const { targets, loads, closed } = options;
@@ -30,11 +31,17 @@
     const listUsable = (service: string, avoid: ReadonlySet<string>) =>
         targets.open(service).filter(target => !closed.isClosed(target.targetId) && !avoid.has(target.targetId));
 
-    const findReader = (engines: readonly ListedTarget[], prompt: PromptDescription, availabilityZone: string) => {
+    const findPrefillEngine = (
+        engines: readonly ListedTarget[],
+        prompt: PromptDescription,
+        availabilityZone: string,
+    ) => {
         const { prefillEngines, preferredPrefillEngine } = groupEngines(engines, prompt, availabilityZone);
-        const least = findMinBy(prefillEngines, callsAt);
-        const home = prefillEngines.find(reader => reader.targetId === preferredPrefillEngine);
-        return home && least && callsAt(home) <= callsAt(least) + homeBound ? home : least;
+        const leastBusy = findMinBy(prefillEngines, callsAt);
+        const preferred = prefillEngines.find(engine => engine.targetId === preferredPrefillEngine);
+        return preferred && leastBusy && callsAt(preferred) <= callsAt(leastBusy) + maxExtraCalls
+            ? preferred
+            : leastBusy;
     };
 
     class LeastRunningPlacement extends CallPlacement {
@@ -46,11 +53,11 @@
             const { service, prompt, avoid, isWholeOnly, availabilityZone } = demand;
             const engines = listUsable(service.name, avoid);
             const decode = findMinBy(engines.filter(engine => engine.stage !== EngineStage.Prefill), callsAt);
-            const isSplit = !isWholeOnly && prompt.promptTokens > leastSplitTokens;
-            const reader = isSplit ? findReader(engines, prompt, availabilityZone) : undefined;
+            const isSplit = !isWholeOnly && prompt.promptTokens > minSplitTokens;
+            const prefill = isSplit ? findPrefillEngine(engines, prompt, availabilityZone) : undefined;
             return decode && {
                 decode: createStep(decode),
-                prefill: reader && createStep(reader),
+                prefill: prefill && createStep(prefill),
                 firstEvent: 0,
                 soonestEvent: 0,
                 prefillMilliseconds: 0,
--- a/packages/daisyturn/src/process/forwarding/placement/createStepCosts.ts
+++ b/packages/daisyturn/src/process/forwarding/placement/createStepCosts.ts
@@ -6,20 +6,22 @@
 import type { PlacedStep, PromptRequirements } from "./callPlacement.js";
 import type { EngineGroups } from "./groupEngines.js";
 
-/** Tells one step of a prompt from another; what is the same at all engines is worked out once. */
+/**
+ * Cost of a step of one prompt. It is created once per prompt, so that what is equal at all engines is computed once.
+ */
 export type StepCost = (step: PlacedStep) => number;
 
-/** What taking a target costs the call and all others, in milliseconds but for plain targets. */
+/** What choosing a target costs the call and all other calls, in milliseconds except for plain targets. */
 export interface StepCosts {
-    /** How full a plain target is, in parts of its slots. */
+    /** How full a plain target is, as a fraction of its slots. */
     plain(target: ListedTarget): number;
-    /** Of reading a prompt at an engine that only reads. */
+    /** Creates the cost of prefilling a prompt at an engine that only prefills. */
     createPrefillCost(demand: PromptRequirements, engines: EngineGroups): StepCost;
-    /** Of decoding what another engine has read. */
+    /** Creates the cost of decoding a prompt that another engine has prefilled. */
     createDecodeCost(demand: PromptRequirements, engines: EngineGroups): StepCost;
-    /** Of reading and decoding at one engine. */
+    /** Creates the cost of prefilling and decoding at one engine. */
     createWholeCost(demand: PromptRequirements, engines: EngineGroups): StepCost;
-    /** Whether all answers of a decoding engine keep their pauses while it reads the prompt. */
+    /** Whether all answers of a decode engine stay within the target pause while it prefills the prompt. */
     meetsPauseAim(step: PlacedStep, demand: PromptRequirements): boolean;
 }
 
@@ -29,95 +31,102 @@
     readonly eventIntervals: EventIntervals;
     readonly random: Random;
     readonly availabilityZone: string;
-    /** What an experiment takes out. */
+    /** Mechanisms that an experiment switches off. */
     readonly switchedOff: ReadonlySet<Mechanism>;
 }
 
-/** Work counts beyond the time it takes itself: it delays whatever comes after it at the same engine. */
+/** Cost of work beyond its own duration, as a fraction of it: work delays all later work at the same engine. */
 const externality = 0.8;
-/** Reading at an engine that decodes stretches the steps of all answers it has under way. */
-const decodingExternality = 2.5;
-/** Estimates differ at random by this fraction, so that processes which know the same don't all choose the same. */
-const spread = 0.15;
+/** The same at a decode engine, where a prefill also prolongs the steps of all answers under way. */
+const decodeExternality = 2.5;
+/** Range of the random factor on costs, which keeps processes with the same data from all choosing the same target. */
+const jitterRange = 0.15;
 /**
- * Bytes between availability zones are paid for: a target in another one is taken where that saves so many
- * milliseconds, and so many more for each kilobyte sent.
+ * Traffic between availability zones is charged, so a target in another zone costs a fixed number of milliseconds more,
+ * and another number for each kilobyte sent.
  */
 const otherZoneMilliseconds = 8;
 const otherZoneMillisecondsPerKilobyte = 1.2;
 const bytesPerKilobyte = 1_024;
-/** A plain target in another availability zone is taken only if it has this many calls fewer, in parts of its slots. */
+/** A plain target in another availability zone is chosen only if it is emptier by this fraction of its slots. */
 const otherZonePenalty = 0.35;
 /**
- * Reading elsewhere than at the home of a prompt's beginning counts as so much later, in parts of the time to read or fetch
- * the beginning there: what the home keeps serves all that begin alike, and a second copy pushes out what others begin with.
+ * Cost of a prefill at another engine than the preferred one, as a fraction of the time to prefill or fetch the shared
+ * prefix there. The cache of the preferred engine serves all prompts with this prefix; a second copy evicts other
+ * prefixes.
+ */
+const otherEnginePrefillFraction = 0.5;
+/**
+ * The same for decoding. The preferred engine caches what it fetches, and can prefill such prompts if others are full.
  */
-const strayReadingFraction = 0.5;
-/** The same for decoding: the home keeps what it fetches, and can read such prompts when the others are full. */
-const strayDecodingMilliseconds = 70;
+const otherEngineDecodeMilliseconds = 70;
 /**
- * Prompts that are read between the steps of a batch stretch each step, and with it the pause between two events of an
- * answer. A millisecond of such reading counts so many for an answer of several events, up to a limit.
+ * Prompts that are prefilled between the steps of a batch prolong each step, and with it the pause between two events
+ * of an answer. For an answer of several events, a millisecond of such prefill costs this many milliseconds, up to a
+ * limit.
  */
 const pauseFactor = 2;
-const mostPauseMilliseconds = 300;
+const maxPauseCostMilliseconds = 300;
 /**
- * Decoding engines are asked to read prompts in an order that all processes share, each so much later than the one
- * before: the reading gathers at a few of them, and the others keep short steps for answers of several events.
+ * Decode engines are preferred for prefill in an order that is the same at all processes, and each costs this much more
+ * than the one before. So prefills concentrate at a few of them, and the others keep short steps for answers of several
+ * events.
  */
-const readingOrderMilliseconds = 12;
+const prefillOrderMilliseconds = 12;
 /**
- * A pause is forecast as if so many times as much were read: other processes place prompts at the same engine before
- * they hear of this one.
+ * Factor on the prefill time in the forecast of a pause: other processes place prompts at the same engine before they
+ * receive a report of this one.
  */
-const pauseReserve = 1.5;
+const pauseSafetyFactor = 1.5;
 
-/** Creates the costs as one process sees them. */
+/** Creates the costs from the data of one process. */
 export function createStepCosts(options: StepCostsOptions): StepCosts {
     const { loads, eventIntervals, random, availabilityZone, switchedOff } = options;
     const hasZones = !switchedOff.has(Mechanism.ZonePreference);
     const hasPauseForecast = !switchedOff.has(Mechanism.PauseForecast);
 
-    const isNear = (target: ListedTarget, zone: string) => target.availabilityZone === zone || !hasZones;
+    const isPreferredZone = (target: ListedTarget, zone: string) => target.availabilityZone === zone || !hasZones;
 
-    const scatter = () => 1 + spread * (random.fraction() - 0.5);
+    const drawJitter = () => 1 + jitterRange * (random.fraction() - 0.5);
 
     const zoneCost = (engine: ListedTarget, { bodyBytes, availabilityZone: zone }: PromptRequirements) =>
-        isNear(engine, zone)
+        isPreferredZone(engine, zone)
             ? 0
             : otherZoneMilliseconds + bodyBytes / bytesPerKilobyte * otherZoneMillisecondsPerKilobyte;
 
     const externalityOf = (engine: ListedTarget) =>
-        engine.stage === EngineStage.Decode ? decodingExternality : externality;
+        engine.stage === EngineStage.Decode ? decodeExternality : externality;
 
     const workCost = (step: PlacedStep, demand: PromptRequirements) =>
-        (step.wait + step.work * (1 + externalityOf(step.target))) * scatter() + zoneCost(step.target, demand);
+        (step.wait + step.work * (1 + externalityOf(step.target))) * drawJitter() + zoneCost(step.target, demand);
 
-    const isStray = (step: PlacedStep, home: string | undefined) => home !== undefined && step.target.targetId !== home;
+    const isOtherEngine = (step: PlacedStep, preferred: string | undefined) =>
+        preferred !== undefined && step.target.targetId !== preferred;
 
     const pauseCost = ({ prompt, service }: PromptRequirements, engine: ListedTarget) => {
         const hasPauses = prompt.expectedOutputTokens > (service.engine?.tokensPerEvent ?? 1);
-        const reading = loads.wait(engine.targetId, true) * pauseFactor;
-        return hasPauses && hasPauseForecast ? Math.min(mostPauseMilliseconds, reading) : 0;
+        const prefillTime = loads.wait(engine.targetId, true) * pauseFactor;
+        return hasPauses && hasPauseForecast ? Math.min(maxPauseCostMilliseconds, prefillTime) : 0;
     };
 
     return {
         plain: target => {
             const fill = (loads.calls(target.targetId) + 1) / Math.max(1, target.slots);
-            return fill * scatter() + (isNear(target, availabilityZone) ? 0 : otherZonePenalty);
+            return fill * drawJitter() + (isPreferredZone(target, availabilityZone) ? 0 : otherZonePenalty);
         },
         createPrefillCost: (demand, { preferredPrefillEngine }) => step =>
             workCost(step, demand)
-            + (isStray(step, preferredPrefillEngine) ? step.sharedWork * strayReadingFraction : 0),
+            + (isOtherEngine(step, preferredPrefillEngine) ? step.sharedWork * otherEnginePrefillFraction : 0),
         createDecodeCost: (demand, { preferredDecodeEngine }) => step =>
-            step.wait * scatter() + zoneCost(step.target, demand) + pauseCost(demand, step.target)
-            + (isStray(step, preferredDecodeEngine) ? strayDecodingMilliseconds : 0),
+            step.wait * drawJitter() + zoneCost(step.target, demand) + pauseCost(demand, step.target)
+            + (isOtherEngine(step, preferredDecodeEngine) ? otherEngineDecodeMilliseconds : 0),
         createWholeCost: (demand, { decodeEngines }) => step =>
             workCost(step, demand) + pauseCost(demand, step.target)
-            + decodeEngines.indexOf(step.target) * readingOrderMilliseconds,
+            + decodeEngines.indexOf(step.target) * prefillOrderMilliseconds,
         meetsPauseAim: ({ target, work }, { pauseAim, service }) => {
-            const reading = loads.wait(target.targetId, true) + work;
-            return eventIntervals.interval(service.name) + reading * pauseReserve <= pauseAim || !hasPauseForecast;
+            const prefillTime = loads.wait(target.targetId, true) + work;
+            return eventIntervals.interval(service.name) + prefillTime * pauseSafetyFactor <= pauseAim
+                || !hasPauseForecast;
         },
     };
 }
--- a/packages/daisyturn/src/process/forwarding/placement/createStepEstimates.ts
+++ b/packages/daisyturn/src/process/forwarding/placement/createStepEstimates.ts
@@ -11,12 +11,12 @@
 import { findPrefixSources, type PrefixSource } from "./findPrefixSources.js";
 import { countSharedTokens } from "./groupEngines.js";
 
-/** How long one prompt would wait and be worked on at each engine. */
+/** Estimates the waiting and the work of one prompt at an engine. */
 export interface StepEstimates {
-    /** Reading the prompt there. */
+    /** Estimates the prefill of the prompt, with a fetch of a prefix if this is faster. */
     prefill(engine: ListedTarget, isDeferred: boolean): PlacedStep;
-    /** Decoding there what the reader has read. */
-    decode(engine: ListedTarget, reader: ListedTarget, traits: EngineTraits, isDeferred: boolean): PlacedStep;
+    /** Estimates decoding after the prefill at another engine. */
+    decode(engine: ListedTarget, prefillEngine: ListedTarget, traits: EngineTraits, isDeferred: boolean): PlacedStep;
 }
 
 /** What {@link createStepEstimates} needs. */
@@ -25,41 +25,41 @@
     readonly caches: CacheEstimates;
     readonly slowdowns: SlowdownEstimates;
     readonly prefillRates: PrefillRates;
-    /** What an experiment takes out. */
+    /** Mechanisms that an experiment switches off. */
     readonly switchedOff: ReadonlySet<Mechanism>;
 }
 
-/** A chunk of a prompt, read between two steps of a batch. */
+/** Time to prefill a chunk of a prompt between two steps of a batch. */
 const chunkMilliseconds = 20;
-/** A place in a full batch comes free about this often. */
-const turnMilliseconds = 8;
-/** Tokens of KV cache that the ends of calls free in a millisecond, once memory is full. */
+/** A slot of a full batch becomes free about this often. */
+const slotReleaseMilliseconds = 8;
+/** Tokens of KV cache that ending calls free per millisecond once the memory is full. */
 const tokensFreedPerMillisecond = 150;
-/** What is beyond this part of the memory is kept free: a call that outgrows it is put back and read again. */
+/** The rest of the memory is left free: an engine requeues a call that outgrows its memory and prefills it again. */
 const usableMemoryFraction = 0.85;
 
-/** Creates the estimates of one prompt at the engines of its service, from the views of one process. */
+/** Creates the estimates for one prompt at the engines of its service, from the data of one process. */
 export function createStepEstimates(
     { loads, caches, slowdowns, prefillRates, switchedOff }: StepEstimatesOptions,
     demand: PromptRequirements,
     engines: readonly ListedTarget[],
 ): StepEstimates {
     const { prompt, service } = demand;
-    const kept = new Map(
+    const cachedTokens = new Map(
         engines.map(({ targetId }) => [targetId, caches.keptTokens(targetId, prompt.parts)] as const),
     );
-    const keptAt = ({ targetId }: ListedTarget) => kept.get(targetId) ?? 0;
+    const cachedTokensAt = ({ targetId }: ListedTarget) => cachedTokens.get(targetId) ?? 0;
     const rate = prefillRates.rate(service.name);
-    const readingShared = estimatePrefill(rate, countSharedTokens(prompt), 0, false);
+    const sharedPrefillTime = estimatePrefill(rate, countSharedTokens(prompt), 0, false);
     const mayFetch = service.engine !== undefined && !switchedOff.has(Mechanism.KvFetch);
-    const holders = mayFetch ? findPrefixSources(engines, keptAt) : [];
+    const sources = mayFetch ? findPrefixSources(engines, cachedTokensAt) : [];
 
-    /** With all places of the batch taken, or all memory, a call waits until others end. */
-    const placeWait = (engine: ListedTarget) => {
+    /** Milliseconds until other calls end and free a slot and memory, if the batch or the memory is full. */
+    const capacityWait = (engine: ListedTarget) => {
         const excess = Math.max(0, loads.calls(engine.targetId) + 1 - engine.slots);
-        const room = (service.engine?.kvTokens ?? Infinity) * usableMemoryFraction;
-        const missing = Math.max(0, loads.tokens(engine.targetId) + countTokens(prompt) - room);
-        return excess * turnMilliseconds + missing / tokensFreedPerMillisecond;
+        const usableTokens = (service.engine?.kvTokens ?? Infinity) * usableMemoryFraction;
+        const missingTokens = Math.max(0, loads.tokens(engine.targetId) + countTokens(prompt) - usableTokens);
+        return excess * slotReleaseMilliseconds + missingTokens / tokensFreedPerMillisecond;
     };
 
     const transferTime = (tokens: number, from: ListedTarget, to: ListedTarget, traits: EngineTraits) =>
@@ -70,43 +70,43 @@
             from.availabilityZone !== to.availabilityZone,
         );
 
-    /** How long the engine is busy reading all but the first `keptTokens`. */
-    const workWith = (engine: ListedTarget, keptTokens: number) => {
-        const isShared = engine.stage === EngineStage.Decode;
-        const leastWork = estimatePrefill(rate, prompt.promptTokens, keptTokens, isShared);
+    /** Work of the engine to prefill all but the first `keptTokens`. */
+    const estimateWork = (engine: ListedTarget, keptTokens: number) => {
+        const isDecodeEngine = engine.stage === EngineStage.Decode;
+        const leastWork = estimatePrefill(rate, prompt.promptTokens, keptTokens, isDecodeEngine);
         return { target: engine, keptTokens, leastWork, work: leastWork * slowdowns.factor(engine.targetId) };
     };
 
-    const readHere = (engine: ListedTarget, wait: number): PlacedStep => ({
-        ...workWith(engine, keptAt(engine)),
+    const prefillWithoutFetch = (engine: ListedTarget, wait: number): PlacedStep => ({
+        ...estimateWork(engine, cachedTokensAt(engine)),
         wait,
-        sharedWork: readingShared,
+        sharedWork: sharedPrefillTime,
     });
 
-    const readFetched = (engine: ListedTarget, holder: PrefixSource, queued: number): PlacedStep => {
-        const missing = holder.tokens - keptAt(engine);
-        const fetching = service.engine ? transferTime(missing, holder.engine, engine, service.engine) : 0;
+    const prefillWithFetch = (engine: ListedTarget, source: PrefixSource, queueWait: number): PlacedStep => {
+        const fetchedTokens = source.tokens - cachedTokensAt(engine);
+        const fetchTime = service.engine ? transferTime(fetchedTokens, source.engine, engine, service.engine) : 0;
         return {
-            ...workWith(engine, holder.tokens),
-            wait: Math.max(queued, fetching),
-            sharedWork: fetching,
-            fetchFrom: holder.engine,
+            ...estimateWork(engine, source.tokens),
+            wait: Math.max(queueWait, fetchTime),
+            sharedWork: fetchTime,
+            fetchFrom: source.engine,
         };
     };
 
     return {
         prefill: (engine, isDeferred) => {
-            const queued = loads.wait(engine.targetId, isDeferred) + placeWait(engine);
-            const useful = holders.filter(holder => holder.tokens > keptAt(engine));
-            const fetched = useful.map(holder => readFetched(engine, holder, queued));
-            const here = readHere(engine, queued);
-            return findMinBy([here, ...fetched], step => step.wait + step.work) ?? here;
+            const queueWait = loads.wait(engine.targetId, isDeferred) + capacityWait(engine);
+            const useful = sources.filter(source => source.tokens > cachedTokensAt(engine));
+            const withFetch = useful.map(source => prefillWithFetch(engine, source, queueWait));
+            const withoutFetch = prefillWithoutFetch(engine, queueWait);
+            return findMinBy([withoutFetch, ...withFetch], step => step.wait + step.work) ?? withoutFetch;
         },
-        decode: (engine, reader, traits, isDeferred) => {
-            const moved = prompt.promptTokens - keptAt(engine);
-            // Prompts read there delay the answer's first step by a chunk, not by the whole queue.
+        decode: (engine, prefillEngine, traits, isDeferred) => {
+            const moved = prompt.promptTokens - cachedTokensAt(engine);
+            // Prefills at the decode engine delay the answer's first step by a chunk, not by the whole queue.
             const chunk = Math.min(loads.wait(engine.targetId, isDeferred), chunkMilliseconds);
-            const wait = placeWait(engine) + chunk + transferTime(moved, reader, engine, traits);
+            const wait = capacityWait(engine) + chunk + transferTime(moved, prefillEngine, engine, traits);
             return { target: engine, work: 0, leastWork: 0, keptTokens: prompt.promptTokens, sharedWork: 0, wait };
         },
     };
--- a/packages/daisyturn/src/process/forwarding/placement/decidePrompt.ts
+++ b/packages/daisyturn/src/process/forwarding/placement/decidePrompt.ts
@@ -2,35 +2,35 @@
 import type { LongPrefillTimes } from "../limits/createLongPrefillTimes.js";
 import type { CallPlacement, PromptPlacement, PromptRequirements } from "./callPlacement.js";
 
-/** A prompt that asks for its way. */
+/** A prompt whose placement is to be decided. */
 export interface DecisionRequest {
     readonly route: string;
     readonly demand: PromptRequirements;
     /** Milliseconds until the caller leaves, unless its answer has begun by then. */
     readonly patience: number;
-    /** Whether prompts as long as this one were served too seldom, as far as this process knows. */
+    /** Whether prompts of this length are underserved, according to the data of this process. */
     readonly isUnderserved: () => boolean;
-    /** Whether the longest prompts of the route were served too seldom. */
+    /** Whether the longest prompts of the route are underserved. */
     readonly areLongestUnderserved: () => boolean;
 }
 
-/** Which way a prompt goes. */
+/** The placement that was decided for a prompt. */
 export interface PromptDecision {
     readonly placement: PromptPlacement;
-    /** Whether it goes among those that can be on time though it can't, since it is owed service. */
+    /** Whether the prompt is placed without deferral although it can't be on time, since it is underserved. */
     readonly isUnderserved: boolean;
     /**
-     * Milliseconds by which its answer, or while the longest prompts are owed service that of a long prompt in its place,
-     * would begin after the caller has left; 0 or less if it begins before.
+     * Milliseconds by which its answer would begin after the caller has left; 0 or less if it begins before. While the
+     * longest prompts are underserved, the answer of a long prompt in its place counts instead.
      */
     readonly lateness: number;
-    /** The process that has decided, where that can be another one than asked. */
+    /** The process that has decided, if another process may have done so. */
     readonly decidedBy?: string;
 }
 
-/** Decides which way prompts go. */
+/** Decides how prompts are placed. */
 export abstract class PromptDecisions {
-    /** Undefined if no engine can take the prompt. */
+    /** Undefined if no engine can serve the prompt. */
     abstract decide(request: DecisionRequest): Promise<PromptDecision | undefined>;
 }
 
@@ -41,7 +41,7 @@
     readonly switchedOff: ReadonlySet<Mechanism>;
 }
 
-/** Decides by what this process knows. */
+/** Decides with the data of this process. */
 export class LocalDecisions extends PromptDecisions {
     constructor(private readonly parts: DecisionParts) {
         super();
@@ -52,41 +52,42 @@
     }
 }
 
-/** The queue is kept short for long prompts up to this part of a caller's patience. */
-const mostReserveFraction = 0.75;
+/** The time that is reserved for long prompts in the queue is at most this fraction of the caller's patience. */
+const maxReserveFraction = 0.75;
 
 /**
- * The way that placement prefers. Where it is deferred or too late for a prompt that is owed service, the prompt goes among
- * those that can be on time instead: there the wait is short enough for any length, and nothing that comes later goes first.
+ * Decides on the placement that the policy prefers. If an underserved prompt would be deferred or too late, it is
+ * placed without deferral instead, among those that can be on time: their wait is short enough for a prompt of any
+ * length, and no later call overtakes it.
  *
- * While the longest prompts of a route are owed service, a deferred prompt of any length is admitted only where a long one
+ * While the longest prompts of a route are underserved, a deferred prompt of any length is admitted only if a long one
  * in its place would begin before its caller leaves. Otherwise the queue would grow until only short prompts fit.
  */
 export function decidePrompt(
     { placement, longPrefillTimes, switchedOff }: DecisionParts,
     { route, demand, patience, isUnderserved, areLongestUnderserved }: DecisionRequest,
 ): PromptDecision | undefined {
-    const way = placement.placePrompt(demand);
-    if (!way) {
+    const preferred = placement.placePrompt(demand);
+    if (!preferred) {
         return undefined;
     }
-    const reading = findReading(way);
-    longPrefillTimes.record(route, reading);
+    const prefillTime = findPrefillTime(preferred);
+    longPrefillTimes.record(route, prefillTime);
     const isFair = !switchedOff.has(Mechanism.SizeFairness);
     const latenessOf = ({ soonestEvent }: PromptPlacement) => soonestEvent - patience;
-    if ((way.isDeferred || latenessOf(way) > 0) && isFair && isUnderserved()) {
+    if ((preferred.isDeferred || latenessOf(preferred) > 0) && isFair && isUnderserved()) {
         const undeferred = placement.placePrompt({ ...demand, mayDefer: false });
         if (undeferred && latenessOf(undeferred) <= 0) {
             return { placement: undeferred, isUnderserved: true, lateness: latenessOf(undeferred) };
         }
     }
-    const reserve = way.isDeferred && isFair && areLongestUnderserved()
-        ? Math.min(longPrefillTimes.find(route), patience * mostReserveFraction) - reading
+    const reserve = preferred.isDeferred && isFair && areLongestUnderserved()
+        ? Math.min(longPrefillTimes.find(route), patience * maxReserveFraction) - prefillTime
         : 0;
-    return { placement: way, isUnderserved: false, lateness: latenessOf(way) + Math.max(0, reserve) };
+    return { placement: preferred, isUnderserved: false, lateness: latenessOf(preferred) + Math.max(0, reserve) };
 }
 
-/** Milliseconds that the prompt is read for at an engine that nothing slows. */
-function findReading({ prefill, decode }: PromptPlacement): number {
+/** Milliseconds to prefill the prompt at an engine without slowdown. */
+function findPrefillTime({ prefill, decode }: PromptPlacement): number {
     return (prefill ?? decode).leastWork;
 }
--- a/packages/daisyturn/src/process/forwarding/placement/findMinBy.ts
+++ b/packages/daisyturn/src/process/forwarding/placement/findMinBy.ts
@@ -1,4 +1,4 @@
-/** The item of the least cost; the first of several, and undefined if there is none of finite cost. */
+/** Finds the item of the lowest cost: the first of several, and undefined if no item has a finite cost. */
 export function findMinBy<Item>(items: readonly Item[], cost: (item: Item) => number): Item | undefined {
     let best: Item | undefined;
     let bestCost = Infinity;
--- a/packages/daisyturn/src/process/forwarding/placement/findPrefixSources.ts
+++ b/packages/daisyturn/src/process/forwarding/placement/findPrefixSources.ts
@@ -1,28 +1,28 @@
 import type { ListedTarget } from "../../../ports/listedTarget.js";
 
-/** An engine that keeps the beginning of a prompt in its KV cache. */
+/** An engine that has a prefix of the prompt in its KV cache. */
 export interface PrefixSource {
     readonly engine: ListedTarget;
-    /** Tokens of the beginning. */
+    /** Length of the prefix. */
     readonly tokens: number;
 }
 
-/** Shorter beginnings are read as fast as a transfer is set up. */
-const leastFetchedTokens = 512;
+/** Prefilling a prefix of up to this length takes no longer than setting up a transfer. */
+const minFetchedTokens = 512;
 
 /**
- * The engines from which a prompt's beginning may be fetched: in each availability zone the one that keeps most of it,
- * since transfers between zones take longer.
+ * Finds the engines from which a prefix of a prompt may be fetched: in each availability zone the one that has cached
+ * the longest prefix, since transfers between zones take longer.
  */
 export function findPrefixSources(
     engines: readonly ListedTarget[],
-    keptAt: (engine: ListedTarget) => number,
+    cachedTokensAt: (engine: ListedTarget) => number,
 ): readonly PrefixSource[] {
     const byZone = new Map<string, PrefixSource>();
     for (const engine of engines) {
-        const tokens = keptAt(engine);
-        const most = byZone.get(engine.availabilityZone)?.tokens ?? leastFetchedTokens;
-        if (tokens > most) {
+        const tokens = cachedTokensAt(engine);
+        const longest = byZone.get(engine.availabilityZone)?.tokens ?? minFetchedTokens;
+        if (tokens > longest) {
             byZone.set(engine.availabilityZone, { engine, tokens });
         }
     }
--- a/packages/daisyturn/src/process/forwarding/placement/groupEngines.ts
+++ b/packages/daisyturn/src/process/forwarding/placement/groupEngines.ts
@@ -3,25 +3,25 @@
 import { EngineStage, type ListedTarget } from "../../../ports/listedTarget.js";
 import { findMinBy } from "./findMinBy.js";
 
-/** The engines of a service by what they do, and where each kind looks first for what a prompt begins with. */
+/** The engines of a service by stage, and the target ids of the preferred engines for the prefix of one prompt. */
 export interface EngineGroups {
     readonly prefillEngines: readonly ListedTarget[];
-    /** In an order that all processes share. */
+    /** In the same order at all processes. */
     readonly decodeEngines: readonly ListedTarget[];
     readonly preferredPrefillEngine?: string;
     readonly preferredDecodeEngine?: string;
 }
 
-/** Prompts that share less than this are placed by load alone: reading it again takes less than a step. */
-const affinityTokens = 512;
+/** Prompts with a shorter shared prefix are placed by load alone: prefilling it again takes less than a step. */
+const minAffinityTokens = 512;
 /**
- * With so many engines of a kind in an availability zone, prompts have their homes there, and neither they nor what is
- * told of them crosses zones. With fewer, each would have to keep the beginnings of all prompts, and reading them again
- * costs more than the way to another zone.
+ * With at least this many engines of a stage in an availability zone, the preferred engine is chosen within the zone,
+ * and neither prompts nor the reports about them cross zones. With fewer, each engine would have to cache the prefixes
+ * of all prompts, and prefilling them again costs more than sending the prompt to another zone.
  */
-const leastEnginesForZoneHomes = 3;
+const minEnginesForZoneAffinity = 3;
 
-/** Groups the engines for one prompt, as seen from an availability zone. */
+/** Groups the engines for one prompt that is sent from an availability zone. */
 export function groupEngines(
     engines: readonly ListedTarget[],
     prompt: PromptDescription,
@@ -33,8 +33,8 @@
     return {
         prefillEngines,
         decodeEngines,
-        preferredPrefillEngine: findHome(prefillEngines, key, availabilityZone),
-        preferredDecodeEngine: findHome(decodeEngines, key, availabilityZone),
+        preferredPrefillEngine: findPreferredEngine(prefillEngines, key, availabilityZone),
+        preferredDecodeEngine: findPreferredEngine(decodeEngines, key, availabilityZone),
     };
 }
 
@@ -50,8 +50,8 @@
         .map(({ engine }) => engine);
 }
 
-/** The engine that all processes of a zone try first for prompts that begin alike. */
-function findHome(
+/** Finds by rendezvous hashing the engine that all processes of a zone prefer for prompts with the same prefix. */
+function findPreferredEngine(
     engines: readonly ListedTarget[],
     key: number | undefined,
     availabilityZone: string,
@@ -60,15 +60,18 @@
         return undefined;
     }
     const near = engines.filter(engine => engine.availabilityZone === availabilityZone);
-    const candidates = near.length >= leastEnginesForZoneHomes ? near : engines;
+    const candidates = near.length >= minEnginesForZoneAffinity ? near : engines;
     return findMinBy(candidates, engine => -rendezvousWeight(key, hashTextTo32Bits(engine.targetId)))?.targetId;
 }
 
 /**
- * Prompts that are alike up to their own part get the same key. The first part alone would not do: where it is a profile
- * that all prompts of a kind begin with, they would all have one home, and what they share beyond it none.
+ * Computes the key that prompts with the same shared prefix have in common, from their last shared part. The first part
+ * would not do: where it is a profile that all prompts of a kind begin with, they would all prefer one engine, and the
+ * longer prefixes that only some of them share would have none.
  */
 function findAffinityKey(prompt: PromptDescription): number | undefined {
     const lastShared = prompt.parts.at(-2);
-    return lastShared && countSharedTokens(prompt) >= affinityTokens ? hashTextTo32Bits(lastShared.partId) : undefined;
+    return lastShared && countSharedTokens(prompt) >= minAffinityTokens
+        ? hashTextTo32Bits(lastShared.partId)
+        : undefined;
 }
