--- a/packages/daisyturn/src/process/forwarding/placement/__tests__/createCallPlacement.test.ts
+++ b/packages/daisyturn/src/process/forwarding/placement/__tests__/createCallPlacement.test.ts
@@ -15,81 +15,84 @@
 const kvTokens = engineService.engine?.kvTokens ?? 0;
 
 describe("placement of prompts", () => {
-    it("reads prompts that begin alike at one engine while it has room, whichever process asks", () => {
-        const homes = new Set<string | undefined>();
+    it("prefills prompts with the same prefix at one engine while it has capacity, at any process", () => {
+        const engines = new Set<string | undefined>();
         for (let seed = 1; seed <= 20; seed++) {
             const { placement } = createPlacementBench(stages, seed);
-            homes.add(
+            engines.add(
                 placement.placePrompt(createRequirements(createLongPrompt("guide", `own-${seed}`)))?.prefill?.target
                     .targetId,
             );
         }
-        assert.equal(homes.size, 1);
+        assert.equal(engines.size, 1);
     });
 
-    it("spreads beginnings over the reading engines", () => {
+    it("distributes prefixes over the prefill engines", () => {
         const { placement } = createPlacementBench(stages);
         const counts = new Map<string, number>();
         for (let index = 0; index < 120; index++) {
-            const way = placement.placePrompt(createRequirements(createLongPrompt(`guide-${index}`, "own")));
-            const home = way?.prefill?.target.targetId ?? "none";
-            counts.set(home, (counts.get(home) ?? 0) + 1);
+            const placed = placement.placePrompt(createRequirements(createLongPrompt(`guide-${index}`, "own")));
+            const preferred = placed?.prefill?.target.targetId ?? "none";
+            counts.set(preferred, (counts.get(preferred) ?? 0) + 1);
         }
         assert.deepEqual([...counts.keys()].sort(), ["i-0", "i-1", "i-2"]);
         assert.ok(Math.min(...counts.values()) >= 120 / 3 / 2, JSON.stringify([...counts]));
     });
 
-    it("reads elsewhere once the queue of the engine that keeps the beginning costs more than reading it again", () => {
+    it("prefills at another engine once the queue of the one that has cached the prefix costs more", () => {
         const withoutFetch = new Set([Mechanism.KvFetch]);
         const { placement, caches, loads } = createPlacementBench(stages, 1, withoutFetch);
         const prompt = createLongPrompt("guide", "own");
-        const home = placement.placePrompt(createRequirements(prompt))?.prefill?.target.targetId ?? "";
-        caches.record(home, prompt.parts, kvTokens);
-        loads.begin(home, { work: 100, isDeferred: false, tokens: 0 });
-        assert.equal(placement.placePrompt(createRequirements(prompt))?.prefill?.target.targetId, home);
-        loads.begin(home, { work: 1_500, isDeferred: false, tokens: 0 });
-        assert.notEqual(placement.placePrompt(createRequirements(prompt))?.prefill?.target.targetId, home);
+        const preferred = placement.placePrompt(createRequirements(prompt))?.prefill?.target.targetId ?? "";
+        caches.record(preferred, prompt.parts, kvTokens);
+        loads.begin(preferred, { work: 100, isDeferred: false, tokens: 0 });
+        assert.equal(placement.placePrompt(createRequirements(prompt))?.prefill?.target.targetId, preferred);
+        loads.begin(preferred, { work: 1_500, isDeferred: false, tokens: 0 });
+        assert.notEqual(placement.placePrompt(createRequirements(prompt))?.prefill?.target.targetId, preferred);
     });
 
-    it("fetches the beginning from the engine that keeps it once the queue there takes longer", () => {
+    it("fetches the prefix from the engine that has cached it once the queue there takes longer", () => {
         const { placement, caches, loads } = createPlacementBench(stages);
         const prompt = createLongPrompt("guide", "own");
         const first = placement.placePrompt(createRequirements(prompt));
-        const home = first?.prefill?.target.targetId ?? "";
-        assert.equal(first?.prefill?.fetchFrom, undefined, "nobody keeps it yet");
-        caches.record(home, prompt.parts, kvTokens);
-        const atHome = placement.placePrompt(createRequirements(prompt));
-        assert.deepEqual([atHome?.prefill?.target.targetId, atHome?.prefill?.fetchFrom], [home, undefined]);
-        loads.begin(home, { work: 150, isDeferred: false, tokens: 0 });
+        const preferred = first?.prefill?.target.targetId ?? "";
+        assert.equal(first?.prefill?.fetchFrom, undefined, "no engine has cached it yet");
+        caches.record(preferred, prompt.parts, kvTokens);
+        const atPreferred = placement.placePrompt(createRequirements(prompt));
+        assert.deepEqual([atPreferred?.prefill?.target.targetId, atPreferred?.prefill?.fetchFrom], [
+            preferred,
+            undefined,
+        ]);
+        loads.begin(preferred, { work: 150, isDeferred: false, tokens: 0 });
         const elsewhere = placement.placePrompt(createRequirements(prompt));
-        assert.notEqual(elsewhere?.prefill?.target.targetId, home);
-        assert.equal(elsewhere?.prefill?.fetchFrom?.targetId, home);
+        assert.notEqual(elsewhere?.prefill?.target.targetId, preferred);
+        assert.equal(elsewhere?.prefill?.fetchFrom?.targetId, preferred);
         assert.ok(
             (elsewhere?.prefill?.work ?? Infinity) < (first?.prefill?.work ?? 0) / 2,
-            "only its own part is read",
+            "only its own part is prefilled",
         );
     });
 
-    it("fetches a beginning that only a decoding engine keeps, from the own zone where there is a choice", () => {
+    it("fetches a prefix that only decode engines have cached, preferably from the same zone", () => {
         const { placement, caches } = createPlacementBench(stages);
         const prompt = createLongPrompt("guide", "own");
         ["i-3", "i-4", "i-5"].forEach(decoder => caches.record(decoder, prompt.parts, kvTokens));
-        const reader = placement.placePrompt(createRequirements(prompt))?.prefill;
-        assert.equal(reader?.fetchFrom?.availabilityZone, reader?.target.availabilityZone);
-        assert.equal(reader?.fetchFrom?.stage, Decode);
+        const prefillStep = placement.placePrompt(createRequirements(prompt))?.prefill;
+        assert.equal(prefillStep?.fetchFrom?.availabilityZone, prefillStep?.target.availabilityZone);
+        assert.equal(prefillStep?.fetchFrom?.stage, Decode);
     });
 
-    it("counts what peers have under way", () => {
+    it("takes the reported work of peers into account", () => {
         const { placement, loads } = createPlacementBench(stages);
         const busy = ["i-0", "i-1"].map(targetId => ({ targetId, calls: 9, work: 2_000, deferredWork: 0, tokens: 0 }));
         loads.recordPeer("peer", busy, 100);
         for (let index = 0; index < 20; index++) {
-            const way = placement.placePrompt(createRequirements(createLongPrompt(`guide-${index}`, "own")));
-            assert.ok(!["i-0", "i-1"].includes(way?.prefill?.target.targetId ?? ""));
+            const placed = placement.placePrompt(createRequirements(createLongPrompt(`guide-${index}`, "own")));
+            assert.ok(!["i-0", "i-1"].includes(placed?.prefill?.target.targetId ?? ""));
         }
     });
 
-    it("defers what can't be on time, and nothing else", () => {
+    it("defers only prompts that can't be on time", () => {
         const { placement, loads } = createPlacementBench(stages);
         assert.equal(placement.placePrompt(createRequirements(createShortPrompt("a")))?.isDeferred, false);
         for (const target of stages.keys()) {
@@ -98,7 +101,7 @@
         assert.equal(placement.placePrompt(createRequirements(createShortPrompt("b")))?.isDeferred, true);
     });
 
-    it("forecasts by how slow an engine seems, and refuses by how fast it can be", () => {
+    it("includes slowdowns in the forecast of the first event, but not in the soonest event", () => {
         const { placement, slowdowns } = createPlacementBench(stages);
         const demand = createRequirements(createLongPrompt("guide", "own"));
         const before = placement.placePrompt(demand);
@@ -108,17 +111,17 @@
         assert.ok(Math.abs(after.soonestEvent - before.soonestEvent) < 1, JSON.stringify(after));
     });
 
-    it("lets calls that can be on time pass those that are deferred", () => {
+    it("does not let calls that can be on time wait for deferred ones", () => {
         const { placement, loads } = createPlacementBench(stages);
         for (const target of stages.keys()) {
             loads.begin(`i-${target}`, { work: 5_000, isDeferred: true, tokens: 0 });
         }
-        const way = placement.placePrompt(createRequirements(createShortPrompt("a")));
-        assert.equal(way?.isDeferred, false);
-        assert.ok((way?.firstEvent ?? Infinity) < 100);
+        const placed = placement.placePrompt(createRequirements(createShortPrompt("a")));
+        assert.equal(placed?.isDeferred, false);
+        assert.ok((placed?.firstEvent ?? Infinity) < 100);
     });
 
-    it("reads at an engine that decodes only what its answers bear between two events", () => {
+    it("prefills at a decode engine only while its answers stay within the target pause", () => {
         const { placement, loads } = createPlacementBench([Prefill, Decode, Decode]);
         loads.begin("i-0", { work: 400, isDeferred: false, tokens: 0 });
         const place = (pauseAim: number) =>
@@ -130,34 +133,34 @@
         assert.equal(place(150)?.prefill?.target.targetId, "i-0");
     });
 
-    it("reads anything at an engine that decodes where no engine only reads", () => {
+    it("prefills any prompt at a decode engine if there is no prefill engine", () => {
         const { placement, loads } = createPlacementBench([Decode]);
         loads.begin("i-0", { work: 400, isDeferred: false, tokens: 0 });
-        const way = placement.placePrompt(createRequirements(createLongPrompt("guide", "own")));
-        assert.equal(way?.decode.target.targetId, "i-0");
+        const placed = placement.placePrompt(createRequirements(createLongPrompt("guide", "own")));
+        assert.equal(placed?.decode.target.targetId, "i-0");
     });
 
-    it("decodes long answers where no prompts are read", () => {
+    it("decodes long answers at engines without pending prefills", () => {
         const { placement, loads } = createPlacementBench(stages);
         for (const targetId of ["i-3", "i-4", "i-5", "i-6"]) {
             loads.begin(targetId, { work: 150, isDeferred: false, tokens: 0 });
         }
         for (let index = 0; index < 20; index++) {
-            const way = placement.placePrompt(createRequirements(createLongPrompt(`guide-${index}`, "own")));
-            assert.equal(way?.decode.target.targetId, "i-7");
+            const placed = placement.placePrompt(createRequirements(createLongPrompt(`guide-${index}`, "own")));
+            assert.equal(placed?.decode.target.targetId, "i-7");
         }
     });
 
-    it("avoids engines whose memory is taken", () => {
+    it("avoids engines whose memory is full", () => {
         const { placement, loads } = createPlacementBench(stages);
         for (const targetId of ["i-3", "i-4", "i-5", "i-6"]) {
             loads.begin(targetId, { work: 0, isDeferred: false, tokens: kvTokens });
         }
-        const way = placement.placePrompt(createRequirements(createLongPrompt("guide", "own")));
-        assert.equal(way?.decode.target.targetId, "i-7");
+        const placed = placement.placePrompt(createRequirements(createLongPrompt("guide", "own")));
+        assert.equal(placed?.decode.target.targetId, "i-7");
     });
 
-    it("uses no engine that is closed or that failed the call, and none at all if nothing is left", () => {
+    it("uses no engine that is closed or that failed the call, and returns undefined if none is left", () => {
         const { placement, closed, clock } = createPlacementBench([undefined, undefined]);
         closed.close("i-0", clock.monotonicNow() + 1_000);
         const place = (avoid: string[]) =>
@@ -166,21 +169,21 @@
         assert.equal(place(["i-1"]), undefined);
     });
 
-    it("places whole where no engine only reads", () => {
+    it("prefills and decodes at one engine if there is no prefill engine", () => {
         const { placement } = createPlacementBench([undefined, undefined, undefined]);
-        const way = placement.placePrompt(createRequirements(createLongPrompt("guide", "own")));
-        assert.equal(way?.prefill, undefined);
-        assert.ok(way?.decode);
+        const placed = placement.placePrompt(createRequirements(createLongPrompt("guide", "own")));
+        assert.equal(placed?.prefill, undefined);
+        assert.ok(placed?.decode);
     });
 
-    it("has no way where only engines that read are left", () => {
+    it("returns no placement if only prefill engines are left", () => {
         const { placement } = createPlacementBench([Prefill, Prefill]);
         assert.equal(placement.placePrompt(createRequirements(createShortPrompt("a"))), undefined);
     });
 });
 
 describe("placement of plain calls", () => {
-    it("prefers the own availability zone until its target is fuller than another", () => {
+    it("prefers the process's availability zone until its target is fuller than another", () => {
         const { placement, loads } = createPlacementBench([undefined, undefined, undefined]);
         const place = () => placement.placePlain(engineService.name, new Set())?.targetId;
         assert.equal(place(), "i-0");
@@ -192,26 +195,26 @@
 });
 
 /**
- * A burst of long prompts at twice what the engines can read, played without a network: reading engines work through
- * their queue at the estimated pace, calls that are on time before those that are deferred.
+ * Simulates a burst of long prompts at twice the prefill capacity, without a network. Prefill engines process their
+ * queue at the estimated speed, calls that can be on time before deferred ones.
  */
 describe("a burst of long prompts", () => {
-    const play = async (deferLate: boolean) => {
+    const simulate = async (deferLate: boolean) => {
         const { placement, loads, caches, clock } = createPlacementBench(stages, 7);
         const running = new Map<string, { work: number; isDeferred: boolean; begin: number; end: () => void; }[]>();
         let onTime = 0;
         for (let step = 0; step < 400; step++) {
             const prompt = createLongPrompt(`guide-${step % 60}`, `own-${step}`);
             const demand = createRequirements(prompt, { isWholeOnly: false, aim: deferLate ? 500 : Infinity });
-            const way = placement.placePrompt(demand);
-            const reader = way?.prefill ?? way?.decode;
-            if (way && reader) {
-                const cost = { work: reader.work, isDeferred: way.isDeferred, tokens: 0 };
-                const placed = loads.begin(reader.target.targetId, cost);
-                caches.record(reader.target.targetId, prompt.parts, kvTokens);
-                const queue = running.get(reader.target.targetId) ?? [];
-                queue.push({ ...cost, begin: clock.monotonicNow(), end: placed.end });
-                running.set(reader.target.targetId, queue);
+            const placed = placement.placePrompt(demand);
+            const prefillStep = placed?.prefill ?? placed?.decode;
+            if (placed && prefillStep) {
+                const cost = { work: prefillStep.work, isDeferred: placed.isDeferred, tokens: 0 };
+                const placedWork = loads.begin(prefillStep.target.targetId, cost);
+                caches.record(prefillStep.target.targetId, prompt.parts, kvTokens);
+                const queue = running.get(prefillStep.target.targetId) ?? [];
+                queue.push({ ...cost, begin: clock.monotonicNow(), end: placedWork.end });
+                running.set(prefillStep.target.targetId, queue);
             }
             await clock.advance(12);
             running.forEach(queue => {
@@ -232,9 +235,9 @@
         return onTime;
     };
 
-    it("answers more on time with late calls deferred than with all in one queue", async () => {
-        const one = await play(false);
-        const deferred = await play(true);
-        assert.ok(deferred > one * 1.2, `on time: ${deferred} deferred, ${one} in one queue`);
+    it("answers more calls on time with deferral than with all calls in one queue", async () => {
+        const inOneQueue = await simulate(false);
+        const deferred = await simulate(true);
+        assert.ok(deferred > inOneQueue * 1.2, `on time: ${deferred} deferred, ${inOneQueue} in one queue`);
     });
 });
--- a/packages/daisyturn/src/process/forwarding/placement/__tests__/createLeastRunningPlacement.test.ts
+++ b/packages/daisyturn/src/process/forwarding/placement/__tests__/createLeastRunningPlacement.test.ts
@@ -22,7 +22,7 @@
     return { ...bench, placement, occupy };
 }
 
-test("takes the engine with the least running calls, and reads only long prompts apart", () => {
+test("chooses the engine with the fewest running calls, and prefills only long prompts at another engine", () => {
     const { placement, occupy } = createBench();
     occupy("i-2", 3);
     occupy("i-3", 1);
@@ -34,14 +34,14 @@
     assert.equal(whole?.prefill, undefined);
 });
 
-test("reads at the home of a beginning until it is far busier than the other engines", () => {
+test("prefills at the preferred engine of a prefix until it is far busier than the other engines", () => {
     const { placement, occupy } = createBench();
     const demand = createRequirements(createLongPrompt("guide", "own"));
-    const home = placement.placePrompt(demand)?.prefill?.target.targetId ?? "";
-    occupy(home, 8);
-    assert.equal(placement.placePrompt(demand)?.prefill?.target.targetId, home);
-    occupy(home, 1);
-    assert.notEqual(placement.placePrompt(demand)?.prefill?.target.targetId, home);
+    const preferred = placement.placePrompt(demand)?.prefill?.target.targetId ?? "";
+    occupy(preferred, 8);
+    assert.equal(placement.placePrompt(demand)?.prefill?.target.targetId, preferred);
+    occupy(preferred, 1);
+    assert.notEqual(placement.placePrompt(demand)?.prefill?.target.targetId, preferred);
 });
 
 test("places nothing at targets that failed the call or are closed", () => {
--- a/packages/daisyturn/src/process/forwarding/placement/__tests__/groupEngines.test.ts
+++ b/packages/daisyturn/src/process/forwarding/placement/__tests__/groupEngines.test.ts
@@ -4,8 +4,8 @@
 import { createLongPrompt, createShortPrompt } from "../../__fixtures__/placementBench.js";
 import { groupEngines } from "../groupEngines.js";
 
-/** So many engines of each kind in each of three zones. */
-function createEngines(readersPerZone: number, decodersPerZone: number): ListedTarget[] {
+/** Creates engines in three zones. */
+function createEngines(prefillEnginesPerZone: number, decodeEnginesPerZone: number): ListedTarget[] {
     const create = (stage: EngineStage, index: number): ListedTarget => ({
         targetId: `${stage}-${index}`,
         name: `${stage}-${index}`,
@@ -17,15 +17,15 @@
         stage,
     });
     return [
-        ...[...Array(readersPerZone * 3).keys()].map(index => create(EngineStage.Prefill, index)),
-        ...[...Array(decodersPerZone * 3).keys()].map(index => create(EngineStage.Decode, index)),
+        ...[...Array(prefillEnginesPerZone * 3).keys()].map(index => create(EngineStage.Prefill, index)),
+        ...[...Array(decodeEnginesPerZone * 3).keys()].map(index => create(EngineStage.Decode, index)),
     ];
 }
 
 const zoneOf = (engines: readonly ListedTarget[], targetId: string | undefined) =>
     engines.find(engine => engine.targetId === targetId)?.availabilityZone;
 
-test("with many engines in a zone, prompts have their homes there", () => {
+test("with many engines in a zone, the preferred engines of its prompts are in the zone", () => {
     const engines = createEngines(4, 9);
     for (let index = 0; index < 40; index++) {
         const groups = groupEngines(engines, createLongPrompt(`guide-${index}`, "own"), "zone-1");
@@ -34,31 +34,31 @@
     }
 });
 
-test("with few engines in a zone, all zones share the homes of all engines", () => {
+test("with few engines in a zone, the preferred engine is the same for all zones", () => {
     const engines = createEngines(1, 2);
-    const homes = (zone: string) =>
+    const preferredEngines = (zone: string) =>
         [...Array(40).keys()].map(index =>
             groupEngines(engines, createLongPrompt(`guide-${index}`, "own"), zone).preferredPrefillEngine
         );
-    assert.deepEqual(homes("zone-0"), homes("zone-2"));
-    assert.deepEqual(new Set(homes("zone-0").map(home => zoneOf(engines, home))).size, 3);
+    assert.deepEqual(preferredEngines("zone-0"), preferredEngines("zone-2"));
+    assert.deepEqual(new Set(preferredEngines("zone-0").map(targetId => zoneOf(engines, targetId))).size, 3);
 });
 
-test("an engine that goes moves only the homes that it was", () => {
+test("removing an engine changes the preferred engine only of prompts that preferred it", () => {
     const engines = createEngines(4, 9);
-    const homeOf = (all: readonly ListedTarget[], index: number) =>
+    const preferredOf = (all: readonly ListedTarget[], index: number) =>
         groupEngines(all, createLongPrompt(`guide-${index}`, "own"), "zone-0").preferredPrefillEngine;
-    const gone = homeOf(engines, 0);
-    const left = engines.filter(engine => engine.targetId !== gone);
+    const removed = preferredOf(engines, 0);
+    const remaining = engines.filter(engine => engine.targetId !== removed);
     for (let index = 0; index < 40; index++) {
-        const before = homeOf(engines, index);
-        assert.ok(before === gone || homeOf(left, index) === before);
+        const before = preferredOf(engines, index);
+        assert.ok(before === removed || preferredOf(remaining, index) === before);
     }
 });
 
-test("prompts that share only a profile have homes by what they share beyond it", () => {
+test("prompts that share a profile are distributed by the longer prefix that they share", () => {
     const engines = createEngines(4, 9);
-    const homes = Array.from({ length: 40 }, (...[, index]) => {
+    const preferredEngines = Array.from({ length: 40 }, (...[, index]) => {
         const parts = [
             { partId: "profile", tokens: 600 },
             { partId: `dossier-${index}`, tokens: 5_000 },
@@ -67,10 +67,10 @@
         const prompt = { ...createLongPrompt("profile", "own"), promptTokens: 6_500, parts };
         return groupEngines(engines, prompt, "zone-0").preferredPrefillEngine;
     });
-    assert.equal(new Set(homes).size, 4);
+    assert.equal(new Set(preferredEngines).size, 4);
 });
 
-test("a prompt that shares little has no home", () => {
+test("a prompt with a short shared prefix has no preferred engine", () => {
     const groups = groupEngines(createEngines(4, 9), createShortPrompt("own"), "zone-0");
     assert.deepEqual([groups.preferredPrefillEngine, groups.preferredDecodeEngine], [undefined, undefined]);
 });
--- a/packages/daisyturn/src/process/forwarding/placement/__tests__/placementDifferential.test.ts
+++ b/packages/daisyturn/src/process/forwarding/placement/__tests__/placementDifferential.test.ts
@@ -13,14 +13,14 @@
 import { estimatePrefill, estimateTransfer } from "../estimatePrefill.js";
 
 const hopMilliseconds = 8;
-/** A pause is forecast as if so many times as much were read as is known. */
-const pauseReserve = 1.5;
-const worlds = 300;
+/** Factor on the prefill time in the forecast of a pause. */
+const pauseSafetyFactor = 1.5;
+const scenarios = 300;
 
-/** A few engines with random queues and caches, and one prompt, long or short. */
-function createWorld(seed: number) {
+/** Creates a few engines with random queues and caches, and one prompt, long or short. */
+function createScenario(seed: number) {
     const random = createSeededRandom(seed);
-    const stageCount = (most: number) => 1 + random.integerBelow(most);
+    const stageCount = (max: number) => 1 + random.integerBelow(max);
     const stages = [
         ...Array<EngineStage>(stageCount(3)).fill(EngineStage.Prefill),
         ...Array<EngineStage>(stageCount(4)).fill(EngineStage.Decode),
@@ -31,7 +31,7 @@
     return { ...bench, prompt };
 }
 
-type World = ReturnType<typeof createWorld>;
+type Scenario = ReturnType<typeof createScenario>;
 
 function occupy(
     { loads, caches }: ReturnType<typeof createPlacementBench>,
@@ -47,36 +47,45 @@
     }
 }
 
-/** The soonest first event over all pairs of engines and all single ones, by the same estimates. */
-function findSoonest(world: World): number {
-    const { listed, prompt } = world;
+/** Computes the soonest first event over all pairs of engines and all single engines, with the same estimates. */
+function findSoonestEvent(scenario: Scenario): number {
+    const { listed, prompt } = scenario;
     const prefillEngines = listed.filter(engine => engine.stage === EngineStage.Prefill);
     const decodeEngines = listed.filter(engine => engine.stage === EngineStage.Decode);
-    const pairs = prefillEngines.flatMap(reader => decodeEngines.map(decoder => estimatePair(world, reader, decoder)));
+    const pairs = prefillEngines.flatMap(prefillEngine =>
+        decodeEngines.map(decodeEngine => estimatePair(scenario, prefillEngine, decodeEngine))
+    );
     const whole = decodeEngines
-        .filter(decoder => bearsReading(world, decoder))
-        .map(decoder => readAt(world, decoder, prompt) + hopMilliseconds);
+        .filter(decodeEngine => meetsPauseAim(scenario, decodeEngine))
+        .map(decodeEngine => estimatePrefillAt(scenario, decodeEngine, prompt) + hopMilliseconds);
     return Math.min(...pairs, ...whole);
 }
 
-/** Answers that are decoded there keep their pauses while the prompt is read. */
-function bearsReading(world: World, decoder: ListedTarget): boolean {
-    const interval = world.eventIntervals.interval(engineService.name);
-    return interval + readAt(world, decoder, world.prompt) * pauseReserve <= createRequirements(world.prompt).pauseAim;
+/** Whether answers of the decode engine stay within the target pause while it prefills the prompt. */
+function meetsPauseAim(scenario: Scenario, decodeEngine: ListedTarget): boolean {
+    const interval = scenario.eventIntervals.interval(engineService.name);
+    return interval + estimatePrefillAt(scenario, decodeEngine, scenario.prompt) * pauseSafetyFactor
+        <= createRequirements(scenario.prompt).pauseAim;
 }
 
-/** Reading with what the engine keeps, or with what it fetches from any other engine. */
-function readAt(world: World, engine: ListedTarget, prompt: PromptDescription): number {
-    const { loads, caches, listed, prefillRates } = world;
+/**
+ * Milliseconds to prefill with the engine's own cache, or with a prefix fetched from another engine if this is faster.
+ */
+function estimatePrefillAt(scenario: Scenario, engine: ListedTarget, prompt: PromptDescription): number {
+    const { loads, caches, listed, prefillRates } = scenario;
     const rate = prefillRates.rate(engineService.name);
-    const keptAt = ({ targetId }: ListedTarget) => caches.keptTokens(targetId, prompt.parts);
-    const isShared = engine.stage === EngineStage.Decode;
+    const cachedTokensAt = ({ targetId }: ListedTarget) => caches.keptTokens(targetId, prompt.parts);
+    const isDecodeEngine = engine.stage === EngineStage.Decode;
     const wait = loads.wait(engine.targetId, false);
-    const fetched = listed.filter(holder => keptAt(holder) > keptAt(engine)).map(holder => {
-        const transfer = estimateMove(keptAt(holder) - keptAt(engine), holder, engine);
-        return Math.max(wait, transfer) + estimatePrefill(rate, prompt.promptTokens, keptAt(holder), isShared);
+    const withFetch = listed.filter(source => cachedTokensAt(source) > cachedTokensAt(engine)).map(source => {
+        const transfer = estimateMove(cachedTokensAt(source) - cachedTokensAt(engine), source, engine);
+        return Math.max(wait, transfer)
+            + estimatePrefill(rate, prompt.promptTokens, cachedTokensAt(source), isDecodeEngine);
     });
-    return Math.min(wait + estimatePrefill(rate, prompt.promptTokens, keptAt(engine), isShared), ...fetched);
+    return Math.min(
+        wait + estimatePrefill(rate, prompt.promptTokens, cachedTokensAt(engine), isDecodeEngine),
+        ...withFetch,
+    );
 }
 
 function estimateMove(tokens: number, from: ListedTarget, to: ListedTarget): number {
@@ -84,30 +93,34 @@
     return estimateTransfer(tokens, bytesPerToken, linkMegabits, from.availabilityZone !== to.availabilityZone);
 }
 
-function estimatePair(world: World, reader: ListedTarget, decoder: ListedTarget): number {
-    const { loads, caches, prompt } = world;
-    const moved = prompt.promptTokens - caches.keptTokens(decoder.targetId, prompt.parts);
-    const chunk = Math.min(loads.wait(decoder.targetId, false), 20);
-    return readAt(world, reader, prompt) + chunk + estimateMove(moved, reader, decoder) + hopMilliseconds;
+function estimatePair(scenario: Scenario, prefillEngine: ListedTarget, decodeEngine: ListedTarget): number {
+    const { loads, caches, prompt } = scenario;
+    const moved = prompt.promptTokens - caches.keptTokens(decodeEngine.targetId, prompt.parts);
+    const chunk = Math.min(loads.wait(decodeEngine.targetId, false), 20);
+    return estimatePrefillAt(scenario, prefillEngine, prompt) + chunk + estimateMove(moved, prefillEngine, decodeEngine)
+        + hopMilliseconds;
 }
 
-test("the way that is chosen is nearly as soon as the soonest of all ways", () => {
+test("the first event of the chosen placement is nearly as soon as that of the best of all placements", () => {
     let gaps = 0;
     let lateThoughPossible = 0;
-    for (let seed = 1; seed <= worlds; seed++) {
-        const world = createWorld(seed);
-        const soonest = findSoonest(world);
-        const way = world.placement.placePrompt(createRequirements(world.prompt));
-        assert.ok(way);
+    for (let seed = 1; seed <= scenarios; seed++) {
+        const scenario = createScenario(seed);
+        const soonest = findSoonestEvent(scenario);
+        const placed = scenario.placement.placePrompt(createRequirements(scenario.prompt));
+        assert.ok(placed);
         assert.ok(
-            way.firstEvent >= soonest - 1,
-            `seed ${seed}: ${way.firstEvent} is sooner than the soonest ${soonest}`,
+            placed.firstEvent >= soonest - 1,
+            `seed ${seed}: ${placed.firstEvent} is sooner than the computed minimum ${soonest}`,
         );
-        gaps += way.firstEvent - soonest;
-        lateThoughPossible += way.firstEvent > 500 && soonest <= 500 ? 1 : 0;
+        gaps += placed.firstEvent - soonest;
+        lateThoughPossible += placed.firstEvent > 500 && soonest <= 500 ? 1 : 0;
     }
-    // It is not the soonest always: what a way costs others, and bytes between zones, count too.
-    assert.ok(gaps / worlds <= 25, `${gaps / worlds} ms later on average`);
-    // A cost of late ways made this nought, and starved the largest prompts behind those that it kept on time.
-    assert.ok(lateThoughPossible <= worlds * 0.04, `${lateThoughPossible} of ${worlds} late though one was on time`);
+    // The soonest placement is not always chosen: its cost for other calls and the traffic between zones count too.
+    assert.ok(gaps / scenarios <= 25, `${gaps / scenarios} ms later on average`);
+    // An extra cost of late placements would make this zero, but starve the largest prompts behind those kept on time.
+    assert.ok(
+        lateThoughPossible <= scenarios * 0.04,
+        `${lateThoughPossible} of ${scenarios} late though one was on time`,
+    );
 });
