--- a/packages/daisyturn/src/process/forwarding/views/__tests__/targetViews.test.ts
+++ b/packages/daisyturn/src/process/forwarding/views/__tests__/targetViews.test.ts
@@ -16,7 +16,7 @@
 }
 
 describe("health of targets", () => {
-    it("leaves a target alone that can't be reached, and tries it again with one call", async () => {
+    it("avoids a target that can't be reached, and retries it with one call", async () => {
         const { clock, health, trusted } = createHealth();
         health.record("a", TargetEvidence.Unreachable);
         assert.equal(trusted(), "bcd");
@@ -42,7 +42,7 @@
         assert.equal(trusted(), "abcd");
     });
 
-    it("takes a single broken answer for chance, and two in a row for a failure", () => {
+    it("ignores a single broken answer, and avoids a target after two in a row", () => {
         const { health, trusted } = createHealth();
         health.record("a", TargetEvidence.Broken);
         assert.equal(trusted(), "abcd");
@@ -50,13 +50,13 @@
         assert.equal(trusted(), "bcd");
     });
 
-    it("never leaves more than half of a service alone", () => {
+    it("avoids no target if more than half of a service has failed", () => {
         const { health, trusted } = createHealth();
         ["a", "b", "c"].forEach(targetId => health.record(targetId, TargetEvidence.Unreachable));
         assert.equal(trusted(), "abcd");
     });
 
-    it("leaves a target alone whose answers fail much more often than those of its group", () => {
+    it("avoids a target whose answers fail much more often than those of its group", () => {
         const { health, trusted } = createHealth();
         const random = createSeededRandom(3);
         for (let round = 0; round < 40; round++) {
@@ -68,7 +68,7 @@
         assert.equal(trusted(), "acd");
     });
 
-    it("takes a target for silent only where calls wait and nothing at all is heard", async () => {
+    it("considers a target silent only if calls wait and no bytes at all are received", async () => {
         const { clock, health, trusted } = createHealth();
         health.beginWait("a");
         health.beginWait("b");
@@ -82,7 +82,7 @@
 });
 
 describe("loads of targets", () => {
-    it("adds up own work and what fresh peers told", async () => {
+    it("add up the process's own work and unexpired reports of peers", async () => {
         const clock = new FakeClock();
         const loads = createTargetLoads(clock);
         const own = loads.begin("a", { work: 30, isDeferred: false, tokens: 100 });
@@ -101,7 +101,7 @@
         assert.equal(loads.calls("a"), 1);
     });
 
-    it("goes by the target's own report where no peer is heard, less and less as it ages", async () => {
+    it("use the target's report if there is none of a peer, with a weight that decreases with its age", async () => {
         const clock = new FakeClock();
         const loads = createTargetLoads(clock);
         loads.begin("a", { work: 0, isDeferred: false, tokens: 0 });
@@ -112,10 +112,10 @@
     });
 });
 
-describe("beliefs about caches", () => {
+describe("cache estimates", () => {
     const part = (partId: string, tokens: number) => ({ partId, tokens });
 
-    it("counts the parts at the start that are kept, without the request's own", () => {
+    it("count the cached parts at the start, without the request's own", () => {
         const caches = createCacheEstimates(new FakeClock());
         caches.record("a", [part("x", 1_000), part("y", 500), part("own", 9)], 10_000);
         assert.equal(caches.keptTokens("a", [part("x", 1_000), part("y", 500), part("other", 9)]), 1_500);
@@ -124,29 +124,29 @@
         assert.equal(caches.keptTokens("b", [part("x", 1_000), part("own", 9)]), 0);
     });
 
-    it("drops the parts used least recently beyond the engine's memory, and what is old", async () => {
+    it("evict the least recently used parts beyond the engine's memory, and expire", async () => {
         const clock = new FakeClock();
         const caches = createCacheEstimates(clock);
         for (const partId of ["p", "q", "r"]) {
             caches.record("a", [part(partId, 3_000), part("own", 1)], 10_000);
         }
-        const kept = (partId: string) => caches.keptTokens("a", [part(partId, 3_000), part("own", 1)]);
-        assert.deepEqual([kept("p"), kept("q"), kept("r")], [0, 3_000, 3_000]);
+        const cachedTokens = (partId: string) => caches.keptTokens("a", [part(partId, 3_000), part("own", 1)]);
+        assert.deepEqual([cachedTokens("p"), cachedTokens("q"), cachedTokens("r")], [0, 3_000, 3_000]);
         await clock.advance(60_000);
-        assert.equal(kept("r"), 0);
+        assert.equal(cachedTokens("r"), 0);
     });
 
-    it("tells long parts to the peers once", () => {
+    it("report long parts to peers once", () => {
         const caches = createCacheEstimates(new FakeClock());
-        const told: unknown[] = [];
-        caches.onRecorded(placement => told.push(placement));
+        const reported: unknown[] = [];
+        caches.onRecorded(cachedPart => reported.push(cachedPart));
         caches.record("a", [part("long", 3_000), part("short", 10), part("own", 1)], 10_000);
-        assert.deepEqual(told, [["a", "long", 3_000]]);
+        assert.deepEqual(reported, [["a", "long", 3_000]]);
     });
 });
 
-describe("the budget of repeated sends", () => {
-    it("stays below its part of the requests in every window, over many seeds", async () => {
+describe("retry budget", () => {
+    it("stays below its fraction of the requests in every window, over many seeds", async () => {
         for (let seed = 1; seed <= 20; seed++) {
             const random = createSeededRandom(seed);
             const clock = new FakeClock();
@@ -166,16 +166,16 @@
                 const before = events.filter(event => event.at > at - 20_000 && event.at <= at - 10_000);
                 const repeats = inWindow.filter(event => event.isRepeat).length;
                 const requests = Math.max(inWindow.length - repeats, before.filter(event => !event.isRepeat).length);
-                // The allowance of the fleet, with this process's part of the slack.
+                // The limit is the configured ratio plus this process's share of the slack.
                 assert.ok(repeats <= 0.2 * requests + 7, `seed ${seed}: ${repeats} repeats for ${requests}`);
             }
         }
     });
 
-    it("keeps services apart", () => {
+    it("is separate for each service", () => {
         const budget = createWindowedRetryBudget(new FakeClock(), () => ({ ratio: 0.2, windowMilliseconds: 10_000 }));
         while (budget.tryAcquire("s")) {
-            // Until the budget of this service is spent.
+            // Spends the whole budget of this service.
         }
         assert.equal(budget.tryAcquire("t"), true);
     });
--- a/packages/daisyturn/src/process/forwarding/views/computeExpiry.ts
+++ b/packages/daisyturn/src/process/forwarding/views/computeExpiry.ts
@@ -1,11 +1,11 @@
-/** How many pauses between two messages of a peer its last one counts for: one may be lost. */
-const rememberedPauses = 2.2;
+/** A report of a peer is valid for this many report intervals, so that one report may be lost. */
+const validIntervals = 2.2;
 
 /**
- * Monotonic time after which what a peer told is forgotten: it has ended, or is cut off.
- * @param pause milliseconds until the peer tells it anew
- * @param least milliseconds for which it counts in any case
+ * Computes the monotonic time at which the report of a peer expires, since the peer has ended or can't be reached.
+ * @param reportInterval milliseconds until the peer's next report
+ * @param minMilliseconds milliseconds for which the report is valid in any case
  */
-export function computeExpiry(now: number, pause: number, least: number): number {
-    return now + Math.max(least, pause * rememberedPauses);
+export function computeExpiry(now: number, reportInterval: number, minMilliseconds: number): number {
+    return now + Math.max(minMilliseconds, reportInterval * validIntervals);
 }
--- a/packages/daisyturn/src/process/forwarding/views/createPeerLoads.ts
+++ b/packages/daisyturn/src/process/forwarding/views/createPeerLoads.ts
@@ -1,48 +1,48 @@
 import type { Clock } from "daisyturn-utils";
 import type { WorkUnderWay } from "./workUnderWay.js";
 
-/** What all peers together have under way, by target. */
+/** Sums of the work that all peers have under way, by target. */
 export interface PeerLoads {
     /**
-     * Replaces what a peer told before.
-     * @param forgottenAt monotonic time after which it no longer counts
+     * Replaces the previous report of a peer.
+     * @param expiresAt monotonic time after which the report no longer counts
      */
-    record(peerId: string, underWay: readonly WorkUnderWay[], forgottenAt: number): void;
+    record(peerId: string, underWay: readonly WorkUnderWay[], expiresAt: number): void;
     forget(peerId: string): void;
-    /** Undefined while no peer is heard. */
+    /** Undefined while there is no report of any peer. */
     sum(targetId: string): PeerLoad | undefined;
-    /** The sums of all targets at which there is any. */
+    /** The sums of all targets at which peers have work under way. */
     list(): readonly WorkUnderWay[];
 }
 
-/** What peers have under way at one target. */
+/** Work that peers have under way at one target. */
 export type PeerLoad = Omit<WorkUnderWay, "targetId">;
 
-const nothing: PeerLoad = { calls: 0, work: 0, deferredWork: 0, tokens: 0 };
+const noLoad: PeerLoad = { calls: 0, work: 0, deferredWork: 0, tokens: 0 };
 
 /**
- * Creates the sums of one process. They are kept up to date with each message: every placement asks for each engine, and
- * adding up 67 peers for 98 engines each time took a third of its time.
+ * Creates the sums of one process. They are updated with each message, since every placement needs the sum for each
+ * engine: with 67 peers and 98 engines, adding the reports up each time took a third of the time of a placement.
  */
 export function createPeerLoads(clock: Clock): PeerLoads {
-    const peers = new Map<string, { readonly forgottenAt: number; readonly underWay: readonly WorkUnderWay[]; }>();
+    const peers = new Map<string, { readonly expiresAt: number; readonly underWay: readonly WorkUnderWay[]; }>();
     const sums = new Map<string, PeerLoad>();
-    let firstForgottenAt = Infinity;
+    let nextExpiryAt = Infinity;
 
     const add = (underWay: readonly WorkUnderWay[], sign: 1 | -1) => {
-        for (const told of underWay) {
-            const known = sums.get(told.targetId) ?? nothing;
+        for (const entry of underWay) {
+            const known = sums.get(entry.targetId) ?? noLoad;
             const sum: PeerLoad = {
-                calls: known.calls + sign * told.calls,
-                work: known.work + sign * told.work,
-                deferredWork: known.deferredWork + sign * told.deferredWork,
-                tokens: known.tokens + sign * told.tokens,
+                calls: known.calls + sign * entry.calls,
+                work: known.work + sign * entry.work,
+                deferredWork: known.deferredWork + sign * entry.deferredWork,
+                tokens: known.tokens + sign * entry.tokens,
             };
             if (Object.values(sum).every(amount => amount === 0)) {
-                sums.delete(told.targetId);
+                sums.delete(entry.targetId);
             }
             else {
-                sums.set(told.targetId, sum);
+                sums.set(entry.targetId, sum);
             }
         }
     };
@@ -52,29 +52,29 @@
         peers.delete(peerId);
     };
 
-    const forgetOld = () => {
+    const removeExpired = () => {
         const now = clock.monotonicNow();
-        if (now <= firstForgottenAt) {
+        if (now <= nextExpiryAt) {
             return;
         }
-        [...peers].filter(([, { forgottenAt }]) => forgottenAt < now).forEach(([peerId]) => forget(peerId));
-        firstForgottenAt = Math.min(...[...peers.values()].map(({ forgottenAt }) => forgottenAt));
+        [...peers].filter(([, { expiresAt }]) => expiresAt < now).forEach(([peerId]) => forget(peerId));
+        nextExpiryAt = Math.min(...[...peers.values()].map(({ expiresAt }) => expiresAt));
     };
 
     return {
         forget,
-        record: (peerId, underWay, forgottenAt) => {
+        record: (peerId, underWay, expiresAt) => {
             forget(peerId);
-            peers.set(peerId, { forgottenAt, underWay });
+            peers.set(peerId, { expiresAt, underWay });
             add(underWay, 1);
-            firstForgottenAt = Math.min(firstForgottenAt, forgottenAt);
+            nextExpiryAt = Math.min(nextExpiryAt, expiresAt);
         },
         sum: targetId => {
-            forgetOld();
-            return peers.size > 0 ? sums.get(targetId) ?? nothing : undefined;
+            removeExpired();
+            return peers.size > 0 ? sums.get(targetId) ?? noLoad : undefined;
         },
         list: () => {
-            forgetOld();
+            removeExpired();
             return [...sums].map(([targetId, sum]) => ({ targetId, ...sum }));
         },
     };
--- a/packages/daisyturn/src/process/forwarding/views/createPrefillDemand.ts
+++ b/packages/daisyturn/src/process/forwarding/views/createPrefillDemand.ts
@@ -1,62 +1,62 @@
 import { type Clock, createDecayingRate, type DecayingRate } from "daisyturn-utils";
 import { computeExpiry } from "./computeExpiry.js";
 
-/** Milliseconds of reading a second, as an engine that only reads would need them. */
+/** Milliseconds of prefill per second, as needed at an engine that only prefills. */
 export type ServiceDemand = readonly [service: string, millisecondsPerSecond: number];
 
-/** How much reading of prompts is asked of a service's engines, by all processes together. */
+/** Measures the prefill demand on the engines of a service, summed over all processes. */
 export interface PrefillDemand {
     record(service: string, milliseconds: number): void;
     listOwn(): readonly ServiceDemand[];
-    /** That of this process and of those that have told theirs, other groups not counted. */
+    /** The demand of this process and of the peers of its group that have reported theirs. */
     listGroup(): readonly ServiceDemand[];
-    /** @param pause milliseconds until the peer tells it anew */
-    recordPeer(peerId: string, demand: readonly ServiceDemand[], pause: number): void;
-    /** The same of another group of processes, told by its coordinator. */
-    recordGroup(coordinatorId: string, demand: readonly ServiceDemand[], pause: number): void;
-    /** Engines that would read without a pause. */
+    /** @param reportInterval milliseconds until the peer's next report */
+    recordPeer(peerId: string, demand: readonly ServiceDemand[], reportInterval: number): void;
+    /** Records the demand of another group of processes, reported by its coordinator. */
+    recordGroup(coordinatorId: string, demand: readonly ServiceDemand[], reportInterval: number): void;
+    /** Number of engines that the demand would keep fully busy. */
     engines(service: string): number;
 }
 
-/** Prompts of the last seconds count: long enough to even out single long ones. */
-const memoryMilliseconds = 2_500;
-/** What a peer told counts for so long at least. */
-const peerMemoryMilliseconds = 3_000;
+/** Time constant of the decaying rate; long enough to average out single long prompts. */
+const rateDecayMilliseconds = 2_500;
+/** A report is valid for at least this long. */
+const minReportValidityMilliseconds = 3_000;
 const millisecondsPerSecond = 1_000;
 
-interface ToldDemand {
+interface ReportedDemand {
     /** Monotonic time. */
-    readonly forgottenAt: number;
+    readonly expiresAt: number;
     readonly demand: ReadonlyMap<string, number>;
 }
 
-/** Creates the view of one process. */
+/** Creates the measurement of one process. */
 export function createPrefillDemand(clock: Clock): PrefillDemand {
     const own = new Map<string, DecayingRate>();
-    const peers = new Map<string, ToldDemand>();
-    const groups = new Map<string, ToldDemand>();
+    const peers = new Map<string, ReportedDemand>();
+    const groups = new Map<string, ReportedDemand>();
     const ownRate = (service: string) => own.get(service)?.perSecond(clock.monotonicNow()) ?? 0;
 
-    const noteIn = (
-        told: Map<string, ToldDemand>,
-        teller: string,
+    const recordIn = (
+        reports: Map<string, ReportedDemand>,
+        senderId: string,
         demand: readonly ServiceDemand[],
-        pause: number,
+        reportInterval: number,
     ) => {
-        const forgottenAt = computeExpiry(clock.monotonicNow(), pause, peerMemoryMilliseconds);
-        told.set(teller, { forgottenAt, demand: new Map(demand) });
+        const expiresAt = computeExpiry(clock.monotonicNow(), reportInterval, minReportValidityMilliseconds);
+        reports.set(senderId, { expiresAt, demand: new Map(demand) });
     };
 
-    const sumTold = (told: ReadonlyMap<string, ToldDemand>, service: string) => {
+    const sumReported = (reports: ReadonlyMap<string, ReportedDemand>, service: string) => {
         const now = clock.monotonicNow();
         let sum = 0;
-        for (const { forgottenAt, demand } of told.values()) {
-            sum += forgottenAt >= now ? demand.get(service) ?? 0 : 0;
+        for (const { expiresAt, demand } of reports.values()) {
+            sum += expiresAt >= now ? demand.get(service) ?? 0 : 0;
         }
         return sum;
     };
 
-    const groupRate = (service: string) => ownRate(service) + sumTold(peers, service);
+    const groupRate = (service: string) => ownRate(service) + sumReported(peers, service);
     const listServices = () =>
         new Set([...own.keys(), ...[...peers.values()].flatMap(({ demand }) => [...demand.keys()])]);
 
@@ -64,15 +64,15 @@
         record: (service, milliseconds) => {
             let rate = own.get(service);
             if (!rate) {
-                rate = createDecayingRate(memoryMilliseconds, clock.monotonicNow());
+                rate = createDecayingRate(rateDecayMilliseconds, clock.monotonicNow());
                 own.set(service, rate);
             }
             rate.add(milliseconds, clock.monotonicNow());
         },
         listOwn: () => [...own.keys()].map(service => [service, ownRate(service)] as const),
         listGroup: () => [...listServices()].map(service => [service, groupRate(service)] as const),
-        recordPeer: (peerId, demand, pause) => noteIn(peers, peerId, demand, pause),
-        recordGroup: (coordinatorId, demand, pause) => noteIn(groups, coordinatorId, demand, pause),
-        engines: service => (groupRate(service) + sumTold(groups, service)) / millisecondsPerSecond,
+        recordPeer: (peerId, demand, reportInterval) => recordIn(peers, peerId, demand, reportInterval),
+        recordGroup: (coordinatorId, demand, reportInterval) => recordIn(groups, coordinatorId, demand, reportInterval),
+        engines: service => (groupRate(service) + sumReported(groups, service)) / millisecondsPerSecond,
     };
 }
--- a/packages/daisyturn/src/process/forwarding/views/createPrefillRates.ts
+++ b/packages/daisyturn/src/process/forwarding/views/createPrefillRates.ts
@@ -1,106 +1,112 @@
 import { createLineFit, type LineFit } from "../../load/index.js";
 
-/** How fast engines of a service prefill prompts while nothing else holds them up. */
+/** How fast the engines of a service prefill prompts while nothing delays them. */
 export interface PrefillRate {
-    /** Milliseconds for a token, without attention to what stands before it. */
+    /** Milliseconds for a token, without attention to the tokens before it. */
     readonly tokenMilliseconds: number;
     /** Milliseconds of attention for a million pairs of a token and one before it. */
     readonly pairMilliseconds: number;
 }
 
-/** A prompt that was prefilled: service, tokens read, tokens kept before them, milliseconds at an engine that only prefills. */
+/**
+ * A prompt that was prefilled: service, prefilled tokens, cached tokens before them, milliseconds at an engine that
+ * only prefills.
+ */
 export type PrefillObservation = readonly [service: string, tokens: number, keptTokens: number, milliseconds: number];
 
-/** The rates at which engines prefill, learned from prompts that hardly waited. */
+/** Learns the rates at which engines prefill, from prompts that hardly waited. */
 export interface PrefillRates {
     rate(service: string): PrefillRate;
     observe(observation: PrefillObservation): void;
-    /** Takes in what a peer has observed. */
+    /** Records the observation of a peer. */
     recordRemote(observation: PrefillObservation): void;
-    /** Own observations since the last call, for the peers. */
+    /** Returns the process's own observations since the last call, to be sent to its peers. */
     drainUnsent(): readonly PrefillObservation[];
 }
 
-/** Rates before anything was observed: those of a model of some ten billion active parameters. */
-const startingTokenMilliseconds = 1 / 65;
-const startingPairMilliseconds = 0.25;
-/** The starting rates hold the line at these mean positions, in tokens, with this weight in observations. */
-const startingPositions = [0, 10_000] as const;
-const startingWeight = 0.05;
-/** Shorter prompts are read within one step, which says little of the rate. */
-const leastTokens = 1_024;
-/** Far beyond any prompt: peers may tell anything, and a single far point would turn the line. */
-const mostTokens = 1e6;
+/** Rates before the first observation: those of a model with about ten billion active parameters. */
+const initialTokenMilliseconds = 1 / 65;
+const initialPairMilliseconds = 0.25;
+/**
+ * The initial rates are added to the line fit as points at these mean positions, in tokens, with this weight in
+ * observations.
+ */
+const initialPositions = [0, 10_000] as const;
+const initialWeight = 0.05;
+/** Shorter prompts are prefilled within one step, so that their duration says little about the rate. */
+const minTokens = 1_024;
+/** Far longer than any prompt. Values from peers are not trusted, and a single distant point would tilt the line. */
+const maxTokens = 1e6;
 /**
- * Weight of an observation above the line, where one below it has the weight 1: prompts may have waited for work that this
- * process does not know of, while none is read faster than the engine can.
+ * Weight of an observation above the line; one below it has the weight 1. Prompts may have waited for work that this
+ * process does not know of, while none is prefilled faster than the engine can.
  */
 const weightAbove = 0.05;
-/** One observation counts as at most this many times too slow or too fast. */
-const largestRatio = 1.5;
-/** What is left of the evidence after one more observation, whatever its weight. */
-const memory = 0.96;
+/** An observation is limited to this factor above or below the estimate. */
+const maxRatio = 1.5;
+/** Factor on the weight of all earlier observations when one is added, whatever its weight. */
+const evidenceDecay = 0.96;
 const pairsPerMillion = 1e6;
-/** Observations kept for the peers; older ones say less. */
-const mostUntold = 16;
-/** Services with rates of their own; beyond, the one that was observed first is dropped. */
-const mostServices = 64;
+/** Observations retained for the peers; the oldest are dropped, since they matter least. */
+const maxUnsent = 16;
+/** Services with rates of their own; beyond this number, the one that was observed first is dropped. */
+const maxServices = 64;
 
-/** Creates the rates as one process learns them. */
+/** Creates the estimates of one process. */
 export function createPrefillRates(): PrefillRates {
     const fits = new Map<string, LineFit>();
-    let untold: PrefillObservation[] = [];
+    let unsent: PrefillObservation[] = [];
 
     const find = (service: string): LineFit => {
         let fit = fits.get(service);
         if (!fit) {
             fit = createLineFit({
-                points: startingPositions.map(position => [
+                points: initialPositions.map(position => [
                     position,
-                    startingTokenMilliseconds + position * startingPairMilliseconds / pairsPerMillion,
+                    initialTokenMilliseconds + position * initialPairMilliseconds / pairsPerMillion,
                 ]),
-                weight: startingWeight,
+                weight: initialWeight,
             });
             fits.set(service, fit);
             const oldest = fits.keys().next().value;
-            if (fits.size > mostServices && oldest !== undefined) {
+            if (fits.size > maxServices && oldest !== undefined) {
                 fits.delete(oldest);
             }
         }
         return fit;
     };
 
-    /** Each token attends to all before it, so milliseconds for a token grow in a line with the mean position. */
+    /** Each token attends to all tokens before it, so the time per token grows linearly with the mean position. */
     const learn = ([service, tokens, keptTokens, milliseconds]: PrefillObservation) => {
-        if (tokens < leastTokens || keptTokens + tokens > mostTokens) {
+        if (tokens < minTokens || keptTokens + tokens > maxTokens) {
             return;
         }
         const fit = find(service);
         const position = keptTokens + tokens / 2;
         const known = fit.at(position);
-        const observed = Math.min(known * largestRatio, Math.max(known / largestRatio, milliseconds / tokens));
-        fit.fade(memory);
+        const observed = Math.min(known * maxRatio, Math.max(known / maxRatio, milliseconds / tokens));
+        fit.fade(evidenceDecay);
         fit.add(position, observed, observed < known ? 1 : weightAbove);
     };
 
     return {
         rate: service => {
             const fit = fits.get(service);
-            const tokenMilliseconds = fit?.at(0) ?? startingTokenMilliseconds;
+            const tokenMilliseconds = fit?.at(0) ?? initialTokenMilliseconds;
             return {
                 tokenMilliseconds,
-                pairMilliseconds: fit ? fit.at(pairsPerMillion) - tokenMilliseconds : startingPairMilliseconds,
+                pairMilliseconds: fit ? fit.at(pairsPerMillion) - tokenMilliseconds : initialPairMilliseconds,
             };
         },
         observe: observation => {
             learn(observation);
-            untold = [...untold, observation].slice(-mostUntold);
+            unsent = [...unsent, observation].slice(-maxUnsent);
         },
         recordRemote: learn,
         drainUnsent: () => {
-            const told = untold;
-            untold = [];
-            return told;
+            const drained = unsent;
+            unsent = [];
+            return drained;
         },
     };
 }
--- a/packages/daisyturn/src/process/forwarding/views/createSlowdownEstimates.ts
+++ b/packages/daisyturn/src/process/forwarding/views/createSlowdownEstimates.ts
@@ -1,37 +1,39 @@
-/** How long a target took: the estimated milliseconds of waiting and of work, and the actual ones of both. */
+/**
+ * How long a target took: target, estimated milliseconds of waiting, of work, and actual milliseconds of both together.
+ */
 export type DurationObservation = readonly [targetId: string, waited: number, estimated: number, actual: number];
 
-/** How much slower than estimated each target really is. */
+/** Estimates how much slower each target is than the prefill estimates say. */
 export interface SlowdownEstimates {
-    /** Factor by which estimates for a target are to be multiplied. */
+    /** Factor on the estimates for a target. */
     factor(targetId: string): number;
-    /** @param waited estimated milliseconds before the target turned to the call */
+    /** @param waited estimated milliseconds before the target began to work on the call */
     observe(targetId: string, waited: number, estimated: number, actual: number): void;
-    /** Takes in what a peer has observed. */
+    /** Records the observation of a peer. */
     recordRemote(observation: DurationObservation): void;
-    /** Own observations since the last call, for the peers. */
+    /** Returns the process's own observations since the last call, to be sent to its peers. */
     drainUnsent(): readonly DurationObservation[];
     forget(targetId: string): void;
 }
 
 /** Weight of one observation. */
 const weight = 0.15;
-const smallestFactor = 0.3;
-const largestFactor = 8;
-/** Calls that mostly waited tell of the queue and not of the target's speed. */
-const leastOwnFraction = 0.5;
-/** Observations kept for the peers; older ones say less. */
-const mostUntold = 16;
+const minFactor = 0.3;
+const maxFactor = 8;
+/** The duration of calls that mostly waited depends on the queue and not on the target's speed. */
+const minWorkFraction = 0.5;
+/** Observations retained for the peers; the oldest are dropped, since they matter least. */
+const maxUnsent = 16;
 
-/** Creates the view of one process. */
+/** Creates the estimates of one process. */
 export function createSlowdownEstimates(): SlowdownEstimates {
     const factors = new Map<string, number>();
-    let untold: DurationObservation[] = [];
-    const tellsOfPace = (waited: number, estimated: number) => estimated >= (waited + estimated) * leastOwnFraction;
+    let unsent: DurationObservation[] = [];
+    const isMostlyWork = (waited: number, estimated: number) => estimated >= (waited + estimated) * minWorkFraction;
 
     const learn = ([targetId, waited, estimated, actual]: DurationObservation) => {
-        if (tellsOfPace(waited, estimated)) {
-            const ratio = Math.min(largestFactor, Math.max(smallestFactor, actual / (waited + estimated)));
+        if (isMostlyWork(waited, estimated)) {
+            const ratio = Math.min(maxFactor, Math.max(minFactor, actual / (waited + estimated)));
             const known = factors.get(targetId) ?? 1;
             factors.set(targetId, known + (ratio - known) * weight);
         }
@@ -41,16 +43,16 @@
         factor: targetId => factors.get(targetId) ?? 1,
         observe: (targetId, waited, estimated, actual) => {
             learn([targetId, waited, estimated, actual]);
-            if (tellsOfPace(waited, estimated)) {
+            if (isMostlyWork(waited, estimated)) {
                 const rounded = [waited, estimated, actual].map(Math.round) as [number, number, number];
-                untold = [...untold, [targetId, ...rounded] as const].slice(-mostUntold);
+                unsent = [...unsent, [targetId, ...rounded] as const].slice(-maxUnsent);
             }
         },
         recordRemote: learn,
         drainUnsent: () => {
-            const told = untold;
-            untold = [];
-            return told;
+            const drained = unsent;
+            unsent = [];
+            return drained;
         },
         forget: targetId => factors.delete(targetId),
     };
--- a/packages/daisyturn/src/process/forwarding/views/createTargetLoads.ts
+++ b/packages/daisyturn/src/process/forwarding/views/createTargetLoads.ts
@@ -4,53 +4,56 @@
 import { createPeerLoads, type PeerLoad } from "./createPeerLoads.js";
 import type { WorkUnderWay } from "./workUnderWay.js";
 
-/** Work that this process has placed at a target. */
+/** A call that this process has placed at a target. */
 export interface PlacedWork {
-    /** The expensive part (of a prompt: its prefill) is done; the call itself still runs. */
+    /** Records that the expensive part, for a prompt its prefill, is done while the call still runs. */
     finishExpensiveWork(): void;
     end(): void;
 }
 
-/** What a call costs its target. */
+/** Load of a call on its target. */
 export interface CallCost {
     /** Estimated milliseconds of the expensive part. */
     readonly work: number;
-    /** Whether the call lets others go first. */
+    /** Whether the call is deferred, so that others are served before it. */
     readonly isDeferred: boolean;
-    /** Tokens of KV cache that it holds until its end. */
+    /** Tokens of KV cache that it occupies until its end. */
     readonly tokens: number;
 }
 
-/** How busy targets are: from this process's own calls, from what its peers tell, and from the targets' answers. */
+/** Estimates how busy targets are, from the process's own calls, the reports of its peers and the targets' answers. */
 export interface TargetLoads {
     begin(targetId: string, cost: CallCost): PlacedWork;
     recordReport(targetId: string, load: ReportedLoad): void;
     /**
-     * Takes in all that a peer has under way.
-     * @param pause milliseconds until the peer tells it anew
+     * Records all work that a peer has under way.
+     * @param reportInterval milliseconds until the peer's next report
      */
-    recordPeer(peerId: string, work: readonly WorkUnderWay[], pause: number): void;
+    recordPeer(peerId: string, work: readonly WorkUnderWay[], reportInterval: number): void;
     forgetPeer(peerId: string): void;
-    /** The same of another group of processes, told by its coordinator. */
-    recordGroup(coordinatorId: string, work: readonly WorkUnderWay[], pause: number): void;
-    /** What this process has under way at engines, for its coordinators: plain calls end before it would be known. */
+    /** Records the work of another group of processes, reported by its coordinator. */
+    recordGroup(coordinatorId: string, work: readonly WorkUnderWay[], reportInterval: number): void;
+    /**
+     * Work of this process at engines, for its coordinators. Plain calls are left out: they end before a report
+     * arrives.
+     */
     listOwn(): readonly WorkUnderWay[];
-    /** What this process and those that have told theirs have under way at engines, other groups not counted. */
+    /** Work at engines, of this process and of the peers of its group that have reported theirs. */
     listGroup(): readonly WorkUnderWay[];
-    /** Called each time that what `listOwn` tells has changed. */
+    /** Adds a listener that is called after each change of the result of `listOwn`. */
     onChanged(listener: () => void): void;
     /** Calls that run or wait at the target, of all processes. */
     calls(targetId: string): number;
-    /** Tokens of KV cache held by calls under way, of all processes. */
+    /** Tokens of KV cache that calls under way occupy, of all processes. */
     tokens(targetId: string): number;
-    /** Milliseconds until the target turns to a new call, as far as its expensive work goes. */
+    /** Milliseconds of expensive work at the target before it would begin with a new call. */
     wait(targetId: string, isDeferred: boolean): number;
     forget(targetId: string): void;
 }
 
 interface TargetLoad {
     calls: number;
-    /** Those that hold memory or are expensive. */
+    /** Calls that occupy KV cache or are expensive. */
     engineCalls: number;
     work: number;
     deferredWork: number;
@@ -60,20 +63,22 @@
     reportedAt: number;
 }
 
-/** After this many milliseconds, a report counts 1/e: calls last a few tens to a few hundred milliseconds. */
-const reportMemoryMilliseconds = 800;
-/** What a peer told counts for so long at least. */
-const peerMemoryMilliseconds = 1_500;
-/** Expensive work of a call of which only the target's report is known: the middle of short and long prompts. */
+/**
+ * The weight of a target's report decays to 1/e within this time: calls last a few tens to a few hundred milliseconds.
+ */
+const reportDecayMilliseconds = 800;
+/** A peer's report is valid for at least this long. */
+const minReportValidityMilliseconds = 1_500;
+/** Expensive work of a call that is known only from the target's report: a value between short and long prompts. */
 const unknownWorkMilliseconds = 8;
 
-/** Creates the view of one process. */
+/** Creates the estimates of one process. */
 export function createTargetLoads(clock: Clock): TargetLoads {
     const own = new Map<string, TargetLoad>();
     const peers = createPeerLoads(clock);
     const groups = createPeerLoads(clock);
     const listeners: (() => void)[] = [];
-    const noteChange = () => listeners.forEach(listener => listener());
+    const notifyChanged = () => listeners.forEach(listener => listener());
 
     const find = (targetId: string): TargetLoad => {
         let load = own.get(targetId);
@@ -93,27 +98,27 @@
     };
 
     const reportedOthers = (load: TargetLoad | undefined) =>
-        load ? load.reportedOthers * Math.exp((load.reportedAt - clock.monotonicNow()) / reportMemoryMilliseconds) : 0;
+        load ? load.reportedOthers * Math.exp((load.reportedAt - clock.monotonicNow()) / reportDecayMilliseconds) : 0;
 
     const begin = (targetId: string, { work, isDeferred, tokens }: CallCost): PlacedWork => {
         const load = find(targetId);
-        const kind = isDeferred ? "deferredWork" : "work";
-        const isTold = tokens > 0 || work > 0;
+        const workField = isDeferred ? "deferredWork" : "work";
+        const isReported = tokens > 0 || work > 0;
         load.calls += 1;
-        load.engineCalls += isTold ? 1 : 0;
+        load.engineCalls += isReported ? 1 : 0;
         load.tokens += tokens;
-        load[kind] += work;
-        if (isTold) {
-            noteChange();
+        load[workField] += work;
+        if (isReported) {
+            notifyChanged();
         }
-        let isHeavy = true;
+        let isWorkPending = true;
         let isRunning = true;
         const finishExpensiveWork = () => {
-            if (isHeavy) {
-                isHeavy = false;
-                load[kind] = Math.max(0, load[kind] - work);
-                if (isTold) {
-                    noteChange();
+            if (isWorkPending) {
+                isWorkPending = false;
+                load[workField] = Math.max(0, load[workField] - work);
+                if (isReported) {
+                    notifyChanged();
                 }
             }
         };
@@ -124,10 +129,10 @@
                 if (isRunning) {
                     isRunning = false;
                     load.calls -= 1;
-                    load.engineCalls -= isTold ? 1 : 0;
+                    load.engineCalls -= isReported ? 1 : 0;
                     load.tokens -= tokens;
-                    if (isTold) {
-                        noteChange();
+                    if (isReported) {
+                        notifyChanged();
                     }
                 }
             },
@@ -143,10 +148,10 @@
             tokens: load.tokens,
         }));
 
-    /** What others have under way there; undefined while nobody is heard. */
-    const findTold = (targetId: string): PeerLoad | undefined => {
-        const told = [peers.sum(targetId), groups.sum(targetId)].filter(load => load !== undefined);
-        return told.length > 0 ? told.reduce(addLoads) : undefined;
+    /** Work of other processes at the target; undefined while there is no report of any process. */
+    const findOthers = (targetId: string): PeerLoad | undefined => {
+        const others = [peers.sum(targetId), groups.sum(targetId)].filter(load => load !== undefined);
+        return others.length > 0 ? others.reduce(addLoads) : undefined;
     };
 
     const listGroup = () => {
@@ -168,26 +173,26 @@
             load.reportedOthers = Math.max(0, running + waiting - load.calls);
             load.reportedAt = clock.monotonicNow();
         },
-        recordPeer: (peerId, work, pause) => {
-            const forgottenAt = computeExpiry(clock.monotonicNow(), pause, peerMemoryMilliseconds);
-            peers.record(peerId, work, forgottenAt);
+        recordPeer: (peerId, work, reportInterval) => {
+            const expiresAt = computeExpiry(clock.monotonicNow(), reportInterval, minReportValidityMilliseconds);
+            peers.record(peerId, work, expiresAt);
         },
         forgetPeer: peers.forget,
-        recordGroup: (coordinatorId, work, pause) => {
-            const forgottenAt = computeExpiry(clock.monotonicNow(), pause, peerMemoryMilliseconds);
-            groups.record(coordinatorId, work, forgottenAt);
+        recordGroup: (coordinatorId, work, reportInterval) => {
+            const expiresAt = computeExpiry(clock.monotonicNow(), reportInterval, minReportValidityMilliseconds);
+            groups.record(coordinatorId, work, expiresAt);
         },
         calls: targetId => {
             const load = own.get(targetId);
-            const told = findTold(targetId)?.calls ?? 0;
-            return (load?.calls ?? 0) + Math.max(told, reportedOthers(load));
+            const others = findOthers(targetId)?.calls ?? 0;
+            return (load?.calls ?? 0) + Math.max(others, reportedOthers(load));
         },
-        tokens: targetId => (own.get(targetId)?.tokens ?? 0) + (findTold(targetId)?.tokens ?? 0),
+        tokens: targetId => (own.get(targetId)?.tokens ?? 0) + (findOthers(targetId)?.tokens ?? 0),
         wait: (targetId, isDeferred) => {
             const load = own.get(targetId);
-            const told = findTold(targetId);
-            const behind = isDeferred ? (load?.deferredWork ?? 0) + (told?.deferredWork ?? 0) : 0;
-            return behind + (load?.work ?? 0) + (told?.work ?? reportedOthers(load) * unknownWorkMilliseconds);
+            const others = findOthers(targetId);
+            const deferredWait = isDeferred ? (load?.deferredWork ?? 0) + (others?.deferredWork ?? 0) : 0;
+            return deferredWait + (load?.work ?? 0) + (others?.work ?? reportedOthers(load) * unknownWorkMilliseconds);
         },
         forget: targetId => own.delete(targetId),
     };
--- a/packages/daisyturn/src/process/forwarding/views/createTargetViews.ts
+++ b/packages/daisyturn/src/process/forwarding/views/createTargetViews.ts
@@ -10,7 +10,7 @@
 import { createSlowdownEstimates, type SlowdownEstimates } from "./createSlowdownEstimates.js";
 import { createTargetLoads, type TargetLoads } from "./createTargetLoads.js";
 
-/** All that one process believes of the targets. */
+/** The state and the estimates that one process has of the targets. */
 export interface TargetViews {
     readonly targets: TargetList;
     readonly loads: TargetLoads;
@@ -26,8 +26,8 @@
 const activityTimeoutMilliseconds = 300;
 
 /**
- * Creates the views of one process; what is believed of a target ends with it.
- * @param engineOrders asks engines that send nothing whether they work; without it, none confirms that it does
+ * Creates the views of one process. The data of a target are removed with it.
+ * @param engineOrders asks silent engines whether they are active; without it, the answer counts as missing
  */
 export function createTargetViews(
     decode: TargetListOptions["decode"],
@@ -37,12 +37,12 @@
 ): TargetViews {
     const targets = createTargetList({ decode, clock, eventLog });
     const loads = createTargetLoads(clock);
-    const askActivity = async (targetId: string) => {
+    const queryActivity = async (targetId: string) => {
         const target = targets.find(targetId);
         const deadline = clock.monotonicNow() + activityTimeoutMilliseconds;
         return target && engineOrders ? await engineOrders.checkActivity(target, deadline) : EngineActivity.NoAnswer;
     };
-    const health = createTargetHealth(clock, eventLog, askActivity);
+    const health = createTargetHealth(clock, eventLog, queryActivity);
     const caches = createCacheEstimates(clock);
     const slowdowns = createSlowdownEstimates();
     targets.onRemoved(targetId => [loads, health, caches, slowdowns].forEach(view => view.forget(targetId)));
--- a/packages/daisyturn/src/process/forwarding/views/workUnderWay.ts
+++ b/packages/daisyturn/src/process/forwarding/views/workUnderWay.ts
@@ -1,11 +1,11 @@
-/** What one process has under way at one target. */
+/** The calls of one process that are under way at one target. */
 export interface WorkUnderWay {
     readonly targetId: string;
     readonly calls: number;
     /** Estimated milliseconds of expensive work not yet done. */
     readonly work: number;
-    /** The same of calls that let all others go first. */
+    /** The same for deferred calls. */
     readonly deferredWork: number;
-    /** Tokens of KV cache that the calls hold or will hold. */
+    /** Tokens of KV cache that the calls occupy or will occupy. */
     readonly tokens: number;
 }
