--- a/packages/daisyturn/src/process/forwarding/__fixtures__/placementBench.ts
+++ b/packages/daisyturn/src/process/forwarding/__fixtures__/placementBench.ts
@@ -40,8 +40,8 @@
     };
 }
 
-/** Creates what a prompt requires of its placement. */
-export function createRequirements(
+/** Creates the requirements of a prompt. */
+export function createDemand(
     prompt: PromptDescription,
     changes: Partial<PromptRequirements> = {},
 ): PromptRequirements {
--- a/packages/daisyturn/src/process/forwarding/coordination/__tests__/coordinate.test.ts
+++ b/packages/daisyturn/src/process/forwarding/coordination/__tests__/coordinate.test.ts
@@ -1,11 +1,6 @@
 import assert from "node:assert/strict";
 import { describe, it } from "node:test";
-import {
-    createLongPrompt,
-    createRequirements,
-    createShortPrompt,
-    engineService,
-} from "../../__fixtures__/placementBench.js";
+import { createDemand, createLongPrompt, createShortPrompt, engineService } from "../../__fixtures__/placementBench.js";
 import type { DecisionRequest } from "../../placement/decidePrompt.js";
 import { TargetEvidence } from "../../targets/createTargetHealth.js";
 import { createFleet, type Fleet, type FleetProcess } from "../__fixtures__/createFleet.js";
@@ -14,7 +9,7 @@
 const guide = [{ partId: "guide", tokens: 9_000 }, { partId: "own", tokens: 10 }];
 
 function createRequest(prompt = createShortPrompt("own"), availabilityZone = "zone-0"): DecisionRequest {
-    const demand = createRequirements(prompt, { availabilityZone });
+    const demand = createDemand(prompt, { availabilityZone });
     return { route: "ask", demand, patience: 2_000, isUnderserved: () => false, areLongestUnderserved: () => false };
 }
 
--- a/packages/daisyturn/src/process/forwarding/coordination/__tests__/coordinatedDecisions.test.ts
+++ b/packages/daisyturn/src/process/forwarding/coordination/__tests__/coordinatedDecisions.test.ts
@@ -1,12 +1,12 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { createRequirements, createShortPrompt } from "../../__fixtures__/placementBench.js";
+import { createDemand, createShortPrompt } from "../../__fixtures__/placementBench.js";
 import { createFleet, type Fleet, type FleetProcess } from "../__fixtures__/createFleet.js";
 
 async function decide({ clock }: Fleet, process: FleetProcess) {
     const deciding = process.coordination.decisions.decide({
         route: "ask",
-        demand: createRequirements(createShortPrompt("own")),
+        demand: createDemand(createShortPrompt("own")),
         patience: 2_000,
         isUnderserved: () => false,
         areLongestUnderserved: () => false,
--- a/packages/daisyturn/src/process/forwarding/experiments/__tests__/mechanisms.test.ts
+++ b/packages/daisyturn/src/process/forwarding/experiments/__tests__/mechanisms.test.ts
@@ -2,9 +2,9 @@
 import { describe, it } from "node:test";
 import { EngineStage } from "../../../../ports/listedTarget.js";
 import {
+    createDemand,
     createLongPrompt,
     createPlacementBench,
-    createRequirements,
     createShortPrompt,
     engineService,
 } from "../../__fixtures__/placementBench.js";
@@ -23,7 +23,7 @@
         const seeds = Array.from({ length: 20 }, (...[, index]) => index);
         const read = seeds.map(seed => {
             const { placement } = createBench(seed);
-            const way = placement.placePrompt(createRequirements(createLongPrompt("guide", `own-${seed}`)));
+            const way = placement.placePrompt(createDemand(createLongPrompt("guide", `own-${seed}`)));
             return way?.prefill?.target.targetId;
         });
         return new Set(read).size === 1;
@@ -37,14 +37,14 @@
     }],
     [Mechanism.CacheBeliefs, "an engine that keeps the beginning is expected to read less", createBench => {
         const { placement, caches } = createBench();
-        const demand = createRequirements(createLongPrompt("guide", "own"));
+        const demand = createDemand(createLongPrompt("guide", "own"));
         const before = placement.placePrompt(demand);
         caches.record(before?.prefill?.target.targetId ?? "", demand.prompt.parts, kvTokens);
         return (placement.placePrompt(demand)?.prefill?.work ?? 0) < (before?.prefill?.work ?? 0);
     }],
     [Mechanism.KvFetch, "an engine fetches a beginning that another one keeps", createBench => {
         const { placement, caches } = createBench();
-        const { prompt, ...demand } = createRequirements(createLongPrompt("guide", "own"));
+        const { prompt, ...demand } = createDemand(createLongPrompt("guide", "own"));
         caches.record("i-3", prompt.parts, kvTokens);
         return placement.placePrompt({ ...demand, prompt })?.prefill?.fetchFrom !== undefined;
     }],
@@ -56,16 +56,16 @@
     [Mechanism.PauseForecast, "a prompt is read at a decoding engine only if its answers bear it", createBench => {
         const { placement, loads } = createBench();
         ["i-0", "i-1", "i-2"].forEach(id => loads.begin(id, { work: 9_000, isDeferred: false, tokens: 0 }));
-        return placement.placePrompt(createRequirements(createLongPrompt("guide", "own")))?.prefill !== undefined;
+        return placement.placePrompt(createDemand(createLongPrompt("guide", "own")))?.prefill !== undefined;
     }],
     [Mechanism.ReadingAtDecoders, "a short prompt is read at a decoding engine beside busy readers", createBench => {
         const { placement, loads } = createBench();
         ["i-0", "i-1", "i-2"].forEach(id => loads.begin(id, { work: 9_000, isDeferred: false, tokens: 0 }));
-        return placement.placePrompt(createRequirements(createShortPrompt("own")))?.prefill === undefined;
+        return placement.placePrompt(createDemand(createShortPrompt("own")))?.prefill === undefined;
     }],
     [Mechanism.Deferral, "a late call goes behind the others", createBench => {
         const { placement } = createBench();
-        return placement.placePrompt(createRequirements(createShortPrompt("own"), { aim: 0 }))?.isDeferred === true;
+        return placement.placePrompt(createDemand(createShortPrompt("own"), { aim: 0 }))?.isDeferred === true;
     }],
     [Mechanism.PeerMessages, "what a peer has under way counts", createBench => {
         const { loads } = createBench();
--- a/packages/daisyturn/src/process/forwarding/placement/__tests__/createCallPlacement.test.ts
+++ b/packages/daisyturn/src/process/forwarding/placement/__tests__/createCallPlacement.test.ts
@@ -2,9 +2,9 @@
 import { describe, it } from "node:test";
 import { EngineStage } from "../../../../ports/listedTarget.js";
 import {
+    createDemand,
     createLongPrompt,
     createPlacementBench,
-    createRequirements,
     createShortPrompt,
     engineService,
 } from "../../__fixtures__/placementBench.js";
@@ -20,7 +20,7 @@
         for (let seed = 1; seed <= 20; seed++) {
             const { placement } = createPlacementBench(stages, seed);
             engines.add(
-                placement.placePrompt(createRequirements(createLongPrompt("guide", `own-${seed}`)))?.prefill?.target
+                placement.placePrompt(createDemand(createLongPrompt("guide", `own-${seed}`)))?.prefill?.target
                     .targetId,
             );
         }
@@ -31,7 +31,7 @@
         const { placement } = createPlacementBench(stages);
         const counts = new Map<string, number>();
         for (let index = 0; index < 120; index++) {
-            const placed = placement.placePrompt(createRequirements(createLongPrompt(`guide-${index}`, "own")));
+            const placed = placement.placePrompt(createDemand(createLongPrompt(`guide-${index}`, "own")));
             const preferred = placed?.prefill?.target.targetId ?? "none";
             counts.set(preferred, (counts.get(preferred) ?? 0) + 1);
         }
@@ -43,28 +43,28 @@
         const withoutFetch = new Set([Mechanism.KvFetch]);
         const { placement, caches, loads } = createPlacementBench(stages, 1, withoutFetch);
         const prompt = createLongPrompt("guide", "own");
-        const preferred = placement.placePrompt(createRequirements(prompt))?.prefill?.target.targetId ?? "";
+        const preferred = placement.placePrompt(createDemand(prompt))?.prefill?.target.targetId ?? "";
         caches.record(preferred, prompt.parts, kvTokens);
         loads.begin(preferred, { work: 100, isDeferred: false, tokens: 0 });
-        assert.equal(placement.placePrompt(createRequirements(prompt))?.prefill?.target.targetId, preferred);
+        assert.equal(placement.placePrompt(createDemand(prompt))?.prefill?.target.targetId, preferred);
         loads.begin(preferred, { work: 1_500, isDeferred: false, tokens: 0 });
-        assert.notEqual(placement.placePrompt(createRequirements(prompt))?.prefill?.target.targetId, preferred);
+        assert.notEqual(placement.placePrompt(createDemand(prompt))?.prefill?.target.targetId, preferred);
     });
 
     it("fetches the prefix from the engine that has cached it once the queue there takes longer", () => {
         const { placement, caches, loads } = createPlacementBench(stages);
         const prompt = createLongPrompt("guide", "own");
-        const first = placement.placePrompt(createRequirements(prompt));
+        const first = placement.placePrompt(createDemand(prompt));
         const preferred = first?.prefill?.target.targetId ?? "";
         assert.equal(first?.prefill?.fetchFrom, undefined, "no engine has cached it yet");
         caches.record(preferred, prompt.parts, kvTokens);
-        const atPreferred = placement.placePrompt(createRequirements(prompt));
+        const atPreferred = placement.placePrompt(createDemand(prompt));
         assert.deepEqual([atPreferred?.prefill?.target.targetId, atPreferred?.prefill?.fetchFrom], [
             preferred,
             undefined,
         ]);
         loads.begin(preferred, { work: 150, isDeferred: false, tokens: 0 });
-        const elsewhere = placement.placePrompt(createRequirements(prompt));
+        const elsewhere = placement.placePrompt(createDemand(prompt));
         assert.notEqual(elsewhere?.prefill?.target.targetId, preferred);
         assert.equal(elsewhere?.prefill?.fetchFrom?.targetId, preferred);
         assert.ok(
@@ -77,7 +77,7 @@
         const { placement, caches } = createPlacementBench(stages);
         const prompt = createLongPrompt("guide", "own");
         ["i-3", "i-4", "i-5"].forEach(decoder => caches.record(decoder, prompt.parts, kvTokens));
-        const prefillStep = placement.placePrompt(createRequirements(prompt))?.prefill;
+        const prefillStep = placement.placePrompt(createDemand(prompt))?.prefill;
         assert.equal(prefillStep?.fetchFrom?.availabilityZone, prefillStep?.target.availabilityZone);
         assert.equal(prefillStep?.fetchFrom?.stage, Decode);
     });
@@ -87,23 +87,23 @@
         const busy = ["i-0", "i-1"].map(targetId => ({ targetId, calls: 9, work: 2_000, deferredWork: 0, tokens: 0 }));
         loads.recordPeer("peer", busy, 100);
         for (let index = 0; index < 20; index++) {
-            const placed = placement.placePrompt(createRequirements(createLongPrompt(`guide-${index}`, "own")));
+            const placed = placement.placePrompt(createDemand(createLongPrompt(`guide-${index}`, "own")));
             assert.ok(!["i-0", "i-1"].includes(placed?.prefill?.target.targetId ?? ""));
         }
     });
 
     it("defers only prompts that can't be on time", () => {
         const { placement, loads } = createPlacementBench(stages);
-        assert.equal(placement.placePrompt(createRequirements(createShortPrompt("a")))?.isDeferred, false);
+        assert.equal(placement.placePrompt(createDemand(createShortPrompt("a")))?.isDeferred, false);
         for (const target of stages.keys()) {
             loads.begin(`i-${target}`, { work: 900, isDeferred: false, tokens: 0 });
         }
-        assert.equal(placement.placePrompt(createRequirements(createShortPrompt("b")))?.isDeferred, true);
+        assert.equal(placement.placePrompt(createDemand(createShortPrompt("b")))?.isDeferred, true);
     });
 
     it("includes slowdowns in the forecast of the first event, but not in the soonest event", () => {
         const { placement, slowdowns } = createPlacementBench(stages);
-        const demand = createRequirements(createLongPrompt("guide", "own"));
+        const demand = createDemand(createLongPrompt("guide", "own"));
         const before = placement.placePrompt(demand);
         stages.forEach((...[, index]) => slowdowns.observe(`i-${index}`, 0, 100, 800));
         const after = placement.placePrompt(demand);
@@ -116,7 +116,7 @@
         for (const target of stages.keys()) {
             loads.begin(`i-${target}`, { work: 5_000, isDeferred: true, tokens: 0 });
         }
-        const placed = placement.placePrompt(createRequirements(createShortPrompt("a")));
+        const placed = placement.placePrompt(createDemand(createShortPrompt("a")));
         assert.equal(placed?.isDeferred, false);
         assert.ok((placed?.firstEvent ?? Infinity) < 100);
     });
@@ -124,8 +124,7 @@
     it("prefills at a decode engine only while its answers stay within the target pause", () => {
         const { placement, loads } = createPlacementBench([Prefill, Decode, Decode]);
         loads.begin("i-0", { work: 400, isDeferred: false, tokens: 0 });
-        const place = (pauseAim: number) =>
-            placement.placePrompt(createRequirements(createShortPrompt("a"), { pauseAim }));
+        const place = (pauseAim: number) => placement.placePrompt(createDemand(createShortPrompt("a"), { pauseAim }));
         assert.equal(place(150)?.prefill, undefined);
         assert.equal(place(60)?.prefill?.target.targetId, "i-0");
         loads.begin("i-1", { work: 60, isDeferred: false, tokens: 0 });
@@ -136,7 +135,7 @@
     it("prefills any prompt at a decode engine if there is no prefill engine", () => {
         const { placement, loads } = createPlacementBench([Decode]);
         loads.begin("i-0", { work: 400, isDeferred: false, tokens: 0 });
-        const placed = placement.placePrompt(createRequirements(createLongPrompt("guide", "own")));
+        const placed = placement.placePrompt(createDemand(createLongPrompt("guide", "own")));
         assert.equal(placed?.decode.target.targetId, "i-0");
     });
 
@@ -146,7 +145,7 @@
             loads.begin(targetId, { work: 150, isDeferred: false, tokens: 0 });
         }
         for (let index = 0; index < 20; index++) {
-            const placed = placement.placePrompt(createRequirements(createLongPrompt(`guide-${index}`, "own")));
+            const placed = placement.placePrompt(createDemand(createLongPrompt(`guide-${index}`, "own")));
             assert.equal(placed?.decode.target.targetId, "i-7");
         }
     });
@@ -156,7 +155,7 @@
         for (const targetId of ["i-3", "i-4", "i-5", "i-6"]) {
             loads.begin(targetId, { work: 0, isDeferred: false, tokens: kvTokens });
         }
-        const placed = placement.placePrompt(createRequirements(createLongPrompt("guide", "own")));
+        const placed = placement.placePrompt(createDemand(createLongPrompt("guide", "own")));
         assert.equal(placed?.decode.target.targetId, "i-7");
     });
 
@@ -164,21 +163,21 @@
         const { placement, closed, clock } = createPlacementBench([undefined, undefined]);
         closed.close("i-0", clock.monotonicNow() + 1_000);
         const place = (avoid: string[]) =>
-            placement.placePrompt(createRequirements(createShortPrompt("a"), { avoid: new Set(avoid) }));
+            placement.placePrompt(createDemand(createShortPrompt("a"), { avoid: new Set(avoid) }));
         assert.equal(place([])?.decode.target.targetId, "i-1");
         assert.equal(place(["i-1"]), undefined);
     });
 
     it("prefills and decodes at one engine if there is no prefill engine", () => {
         const { placement } = createPlacementBench([undefined, undefined, undefined]);
-        const placed = placement.placePrompt(createRequirements(createLongPrompt("guide", "own")));
+        const placed = placement.placePrompt(createDemand(createLongPrompt("guide", "own")));
         assert.equal(placed?.prefill, undefined);
         assert.ok(placed?.decode);
     });
 
     it("returns no placement if only prefill engines are left", () => {
         const { placement } = createPlacementBench([Prefill, Prefill]);
-        assert.equal(placement.placePrompt(createRequirements(createShortPrompt("a"))), undefined);
+        assert.equal(placement.placePrompt(createDemand(createShortPrompt("a"))), undefined);
     });
 });
 
@@ -205,7 +204,7 @@
         let onTime = 0;
         for (let step = 0; step < 400; step++) {
             const prompt = createLongPrompt(`guide-${step % 60}`, `own-${step}`);
-            const demand = createRequirements(prompt, { isWholeOnly: false, aim: deferLate ? 500 : Infinity });
+            const demand = createDemand(prompt, { isWholeOnly: false, aim: deferLate ? 500 : Infinity });
             const placed = placement.placePrompt(demand);
             const prefillStep = placed?.prefill ?? placed?.decode;
             if (placed && prefillStep) {
--- a/packages/daisyturn/src/process/forwarding/placement/__tests__/createLeastRunningPlacement.test.ts
+++ b/packages/daisyturn/src/process/forwarding/placement/__tests__/createLeastRunningPlacement.test.ts
@@ -2,9 +2,9 @@
 import { test } from "node:test";
 import { EngineStage } from "../../../../ports/listedTarget.js";
 import {
+    createDemand,
     createLongPrompt,
     createPlacementBench,
-    createRequirements,
     createShortPrompt,
 } from "../../__fixtures__/placementBench.js";
 import { createLeastRunningPlacement } from "../createLeastRunningPlacement.js";
@@ -26,17 +26,17 @@
     const { placement, occupy } = createBench();
     occupy("i-2", 3);
     occupy("i-3", 1);
-    const short = placement.placePrompt(createRequirements(createShortPrompt("own")));
+    const short = placement.placePrompt(createDemand(createShortPrompt("own")));
     assert.deepEqual([short?.prefill, short?.decode.target.targetId], [undefined, "i-4"]);
-    const long = placement.placePrompt(createRequirements(createLongPrompt("guide", "own")));
+    const long = placement.placePrompt(createDemand(createLongPrompt("guide", "own")));
     assert.equal(long?.prefill?.target.stage, Prefill);
-    const whole = placement.placePrompt(createRequirements(createLongPrompt("guide", "own"), { isWholeOnly: true }));
+    const whole = placement.placePrompt(createDemand(createLongPrompt("guide", "own"), { isWholeOnly: true }));
     assert.equal(whole?.prefill, undefined);
 });
 
 test("prefills at the preferred engine of a prefix until it is far busier than the other engines", () => {
     const { placement, occupy } = createBench();
-    const demand = createRequirements(createLongPrompt("guide", "own"));
+    const demand = createDemand(createLongPrompt("guide", "own"));
     const preferred = placement.placePrompt(demand)?.prefill?.target.targetId ?? "";
     occupy(preferred, 8);
     assert.equal(placement.placePrompt(demand)?.prefill?.target.targetId, preferred);
--- a/packages/daisyturn/src/process/forwarding/placement/__tests__/decidePrompt.test.ts
+++ b/packages/daisyturn/src/process/forwarding/placement/__tests__/decidePrompt.test.ts
@@ -1,6 +1,6 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { createLongPrompt, createPlacementBench, createRequirements } from "../../__fixtures__/placementBench.js";
+import { createDemand, createLongPrompt, createPlacementBench } from "../../__fixtures__/placementBench.js";
 import { createLongPrefillTimes } from "../../limits/createLongPrefillTimes.js";
 import type { CallPlacement, PromptPlacement, PromptRequirements } from "../callPlacement.js";
 import { decidePrompt } from "../decidePrompt.js";
@@ -52,7 +52,7 @@
     const parts = { placement: createPlacement(options), longPrefillTimes, switchedOff: new Set<never>() };
     const decision = decidePrompt(parts, {
         route: "ask",
-        demand: createRequirements(createLongPrompt("shared", "own"), { mayDefer: options.mayDefer ?? true }),
+        demand: createDemand(createLongPrompt("shared", "own"), { mayDefer: options.mayDefer ?? true }),
         patience,
         isUnderserved: () => options.isUnderserved ?? false,
         areLongestUnderserved: () => options.areLongestUnderserved ?? false,
--- a/packages/daisyturn/src/process/forwarding/placement/__tests__/placementDifferential.test.ts
+++ b/packages/daisyturn/src/process/forwarding/placement/__tests__/placementDifferential.test.ts
@@ -4,9 +4,9 @@
 import type { PromptDescription } from "../../../../ports/forwardedCall.js";
 import { EngineStage, type ListedTarget } from "../../../../ports/listedTarget.js";
 import {
+    createDemand,
     createLongPrompt,
     createPlacementBench,
-    createRequirements,
     createShortPrompt,
     engineService,
 } from "../../__fixtures__/placementBench.js";
@@ -65,7 +65,7 @@
 function meetsPauseAim(scenario: Scenario, decodeEngine: ListedTarget): boolean {
     const interval = scenario.eventIntervals.interval(engineService.name);
     return interval + estimatePrefillAt(scenario, decodeEngine, scenario.prompt) * pauseSafetyFactor
-        <= createRequirements(scenario.prompt).pauseAim;
+        <= createDemand(scenario.prompt).pauseAim;
 }
 
 /**
@@ -107,7 +107,7 @@
     for (let seed = 1; seed <= scenarios; seed++) {
         const scenario = createScenario(seed);
         const soonest = findSoonestEvent(scenario);
-        const placed = scenario.placement.placePrompt(createRequirements(scenario.prompt));
+        const placed = scenario.placement.placePrompt(createDemand(scenario.prompt));
         assert.ok(placed);
         assert.ok(
             placed.firstEvent >= soonest - 1,
--- a/packages/daisyturn/src/process/forwarding/views/__tests__/createPrefillRates.test.ts
+++ b/packages/daisyturn/src/process/forwarding/views/__tests__/createPrefillRates.test.ts
@@ -23,7 +23,7 @@
     return estimatePrefill(learned, tokens, 0, false) / estimatePrefill(engine, tokens, 0, false);
 }
 
-// Guards against long prompts that are admitted with the rates of another model and whose callers leave before the answer.
+// Guards against long prompts that are admitted with the rates of another model, and whose callers leave unanswered.
 test("estimates for the longest prompts adapt to engines with slower attention", () => {
     const engine = { tokenMilliseconds: 0.023, pairMilliseconds: 0.97 };
     const before = compareEstimates(createPrefillRates().rate(service), engine, maxTokens);
