--- a/packages/daisyturn/src/process/forwarding/coordination/createPlacementServer.ts
+++ b/packages/daisyturn/src/process/forwarding/coordination/createPlacementServer.ts
@@ -123,7 +123,7 @@
         decode: placement && describeStep(placement.decode),
         firstEvent: Math.round(placement?.firstEvent ?? 0),
         soonestEvent: Math.round(placement?.soonestEvent ?? 0),
-        reading: Math.round(placement?.reading ?? 0),
+        reading: Math.round(placement?.prefillMilliseconds ?? 0),
         isDeferred: placement?.isDeferred ?? false,
         isOwed: decision?.isUnderserved ?? false,
         lateness: Math.round(decision?.lateness ?? 0),
@@ -159,7 +159,7 @@
         return undefined;
     }
     const { firstEvent, soonestEvent, reading, isDeferred, isOwed } = answer;
-    const placement = { prefill, decode, firstEvent, soonestEvent, reading, isDeferred };
+    const placement = { prefill, decode, firstEvent, soonestEvent, prefillMilliseconds: reading, isDeferred };
     return {
         placement,
         isUnderserved: isOwed,
--- a/packages/daisyturn/src/process/forwarding/placement/createCallPlacement.ts
+++ b/packages/daisyturn/src/process/forwarding/placement/createCallPlacement.ts
@@ -6,26 +6,26 @@
 import { CallPlacement, type PlacedStep, type PromptPlacement, type PromptRequirements } from "./callPlacement.js";
 import { createStepCosts } from "./createStepCosts.js";
 import { createStepEstimates, type StepEstimates } from "./createStepEstimates.js";
-import { sharedEngineFactor } from "./estimatePrefill.js";
-import { findLeast } from "./findLeast.js";
+import { decodeEngineFactor } from "./estimatePrefill.js";
+import { findMinBy } from "./findMinBy.js";
 import { type EngineGroups, groupEngines } from "./groupEngines.js";
 
 /** What {@link createCallPlacement} needs. */
 export interface CallPlacementOptions extends TargetViews {
     readonly random: Random;
-    /** Where the process stands; plain calls go out from there. */
+    /** Availability zone of the process, which sends the plain calls. */
     readonly availabilityZone: string;
-    /** What an experiment takes out. */
+    /** Mechanisms that an experiment switches off. */
     readonly switchedOff: ReadonlySet<Mechanism>;
 }
 
-/** One hop to an engine and back, with the engine's step, in milliseconds. */
+/** Round trip to an engine, with the engine's step. */
 const hopMilliseconds = 8;
 
 /**
- * Creates the placement policy of one process: the way that is the soonest, with regard to what it costs others. A call
- * that can't be on time by any way is deferred: with all in one queue, an overload makes every answer late, while so
- * only those are that exceed what the engines can do.
+ * Creates the placement policy of one process. It chooses the placement with the earliest first event, with regard to
+ * its cost for other calls. A call that can't be on time with any placement is deferred. With all calls in one queue,
+ * an overload would make every answer late; with deferral, only the answers that exceed the engines' capacity are late.
  */
 export function createCallPlacement(options: CallPlacementOptions): CallPlacement {
     const { targets, health, closed, switchedOff } = options;
@@ -44,42 +44,53 @@
         { demand, engines, estimates }: PromptCase,
         traits: EngineTraits,
         isDeferred: boolean,
-    ): CostedWay | undefined => {
-        const readCost = costs.ofReading(demand, engines);
-        const decodeCost = costs.ofDecoding(demand, engines);
-        const reads = engines.readers.map(engine => estimates.read(engine, isDeferred));
-        const prefill = findLeast(reads, readCost);
+    ): CostedPlacement | undefined => {
+        const prefillCost = costs.createPrefillCost(demand, engines);
+        const decodeCost = costs.createDecodeCost(demand, engines);
+        const prefillSteps = engines.prefillEngines.map(engine => estimates.prefill(engine, isDeferred));
+        const prefill = findMinBy(prefillSteps, prefillCost);
         if (!prefill) {
             return undefined;
         }
-        const decodes = engines.decoders.map(engine => estimates.decode(engine, prefill.target, traits, isDeferred));
-        const decode = findLeast(decodes, decodeCost);
+        const decodeSteps = engines.decodeEngines.map(engine =>
+            estimates.decode(engine, prefill.target, traits, isDeferred)
+        );
+        const decode = findMinBy(decodeSteps, decodeCost);
         if (!decode) {
             return undefined;
         }
-        const cost = readCost(prefill) + decodeCost(decode) + hopMilliseconds;
-        return { prefill, decode, ...forecastEvent([prefill, decode]), reading: prefill.work, isDeferred, cost };
+        const cost = prefillCost(prefill) + decodeCost(decode) + hopMilliseconds;
+        return {
+            prefill,
+            decode,
+            ...forecastFirstEvent([prefill, decode]),
+            prefillMilliseconds: prefill.work,
+            isDeferred,
+            cost,
+        };
     };
 
     /**
-     * A prompt that is read between the steps of a batch holds up all its answers. Where other engines only read, it goes
-     * there unless every answer still keeps its pauses.
+     * A prefill between the steps of a batch delays all answers of the batch. If there are engines that only prefill, a
+     * decode engine prefills a prompt only if all its answers stay within the target pause.
      */
-    const listBearing = ({ demand, engines, estimates }: PromptCase, isDeferred: boolean) => {
-        const steps = engines.decoders.map(engine => estimates.read(engine, isDeferred));
-        if (engines.readers.length === 0) {
+    const listWholeSteps = ({ demand, engines, estimates }: PromptCase, isDeferred: boolean) => {
+        const steps = engines.decodeEngines.map(engine => estimates.prefill(engine, isDeferred));
+        if (engines.prefillEngines.length === 0) {
             return steps;
         }
-        return isOn(Mechanism.ReadingAtDecoders) ? steps.filter(step => costs.bearsReading(step, demand)) : [];
+        return isOn(Mechanism.ReadingAtDecoders) ? steps.filter(step => costs.meetsPauseAim(step, demand)) : [];
     };
 
-    const placeWhole = (promptCase: PromptCase, isDeferred: boolean): CostedWay | undefined => {
-        const cost = costs.ofBoth(promptCase.demand, promptCase.engines);
-        const decode = findLeast(listBearing(promptCase, isDeferred), cost);
+    const placeWhole = (promptCase: PromptCase, isDeferred: boolean): CostedPlacement | undefined => {
+        const cost = costs.createWholeCost(promptCase.demand, promptCase.engines);
+        const decode = findMinBy(listWholeSteps(promptCase, isDeferred), cost);
         return decode && {
             decode,
-            ...forecastEvent([decode]),
-            reading: decode.target.stage === EngineStage.Decode ? decode.work / sharedEngineFactor : decode.work,
+            ...forecastFirstEvent([decode]),
+            prefillMilliseconds: decode.target.stage === EngineStage.Decode
+                ? decode.work / decodeEngineFactor
+                : decode.work,
             isDeferred,
             cost: cost(decode),
         };
@@ -95,16 +106,18 @@
     const placePrompt = (demand: PromptRequirements): PromptPlacement | undefined => {
         const usable = listUsable(demand.service.name, demand.avoid);
         const groups = groupEngines(usable, demand.prompt, demand.availabilityZone);
-        const engines = isOn(Mechanism.Homes) ? groups : { ...groups, readerHome: undefined, decoderHome: undefined };
+        const engines = isOn(Mechanism.Homes)
+            ? groups
+            : { ...groups, preferredPrefillEngine: undefined, preferredDecodeEngine: undefined };
         const promptCase = { demand, engines, estimates: createStepEstimates(options, demand, usable) };
-        const way = findCheapest(promptCase, false);
-        const isLate = way !== undefined && way.firstEvent > demand.aim;
-        return isLate && demand.mayDefer && isOn(Mechanism.Deferral) ? findCheapest(promptCase, true) : way;
+        const undeferred = findCheapest(promptCase, false);
+        const isLate = undeferred !== undefined && undeferred.firstEvent > demand.aim;
+        return isLate && demand.mayDefer && isOn(Mechanism.Deferral) ? findCheapest(promptCase, true) : undeferred;
     };
 
     class EstimatedPlacement extends CallPlacement {
         override placePlain(service: string, avoid: ReadonlySet<string>): ListedTarget | undefined {
-            return findLeast(listUsable(service, avoid), costs.plain);
+            return findMinBy(listUsable(service, avoid), costs.plain);
         }
 
         override placePrompt = placePrompt;
@@ -112,17 +125,17 @@
     return new EstimatedPlacement();
 }
 
-/** One prompt before the engines that it may go to. */
+/** A prompt with the engines that may serve it. */
 interface PromptCase {
     readonly demand: PromptRequirements;
     readonly engines: EngineGroups;
     readonly estimates: StepEstimates;
 }
 
-type CostedWay = PromptPlacement & { readonly cost: number; };
+type CostedPlacement = PromptPlacement & { readonly cost: number; };
 
-/** When the first event comes if these steps follow each other. */
-function forecastEvent(steps: readonly PlacedStep[]): Pick<PromptPlacement, "firstEvent" | "soonestEvent"> {
+/** Milliseconds to the first event if these steps follow each other. */
+function forecastFirstEvent(steps: readonly PlacedStep[]): Pick<PromptPlacement, "firstEvent" | "soonestEvent"> {
     const wait = steps.reduce((sum, step) => sum + step.wait, hopMilliseconds);
     return {
         firstEvent: steps.reduce((sum, step) => sum + step.work, wait),
