--- a/packages/daisyturn/src/process/forwarding/targets/createForwardingKeeper.ts
+++ b/packages/daisyturn/src/process/forwarding/targets/createForwardingConfigurationManager.ts
@@ -2,17 +2,17 @@
 import type { FeedRow } from "../../../ports/changeFeed.js";
 import { createRouteTable, type RouteTable } from "../../../version/forwarding/createRouteTable.js";
 import type { ForwardingConfiguration } from "../../../version/forwarding/forwardingConfiguration.js";
-import type { TableFollower } from "./followTable.js";
+import type { TableObserver } from "./watchTable.js";
 
 /** Keeps the newest configuration that the operators have published. */
-export interface ForwardingKeeper extends TableFollower {
+export interface ForwardingConfigurationManager extends TableObserver {
     current(): RouteTable | undefined;
     /** Called each time another version is put in force. */
     onChanged(listener: (table: RouteTable) => void): void;
 }
 
-/** What {@link createForwardingKeeper} needs. */
-export interface ForwardingKeeperOptions {
+/** What {@link createForwardingConfigurationManager} needs. */
+export interface ForwardingConfigurationManagerOptions {
     /** Key of the row that holds the configuration. */
     readonly key: string;
     /** Throws where the text is no configuration. */
@@ -24,7 +24,9 @@
  * Creates the keeper. A version never gives way to a lower one, whatever the store shows after an outage; a row that
  * can't be read, or is missing, leaves the version in force as it is.
  */
-export function createForwardingKeeper(options: ForwardingKeeperOptions): ForwardingKeeper {
+export function createForwardingConfigurationManager(
+    options: ForwardingConfigurationManagerOptions,
+): ForwardingConfigurationManager {
     const { eventLog } = options;
     const listeners: ((table: RouteTable) => void)[] = [];
     let table: RouteTable | undefined;
--- a/packages/daisyturn/src/process/forwarding/views/createReadingDemand.ts
+++ b/packages/daisyturn/src/process/forwarding/views/createPrefillDemand.ts
@@ -1,19 +1,19 @@
 import { type Clock, createDecayingRate, type DecayingRate } from "daisyturn-utils";
-import { findForgetTime } from "./findForgetTime.js";
+import { computeExpiry } from "./computeExpiry.js";
 
 /** Milliseconds of reading a second, as an engine that only reads would need them. */
 export type ServiceDemand = readonly [service: string, millisecondsPerSecond: number];
 
 /** How much reading of prompts is asked of a service's engines, by all processes together. */
-export interface ReadingDemand {
-    note(service: string, milliseconds: number): void;
+export interface PrefillDemand {
+    record(service: string, milliseconds: number): void;
     listOwn(): readonly ServiceDemand[];
     /** That of this process and of those that have told theirs, other groups not counted. */
     listGroup(): readonly ServiceDemand[];
     /** @param pause milliseconds until the peer tells it anew */
-    notePeer(peerId: string, demand: readonly ServiceDemand[], pause: number): void;
+    recordPeer(peerId: string, demand: readonly ServiceDemand[], pause: number): void;
     /** The same of another group of processes, told by its coordinator. */
-    noteGroup(coordinatorId: string, demand: readonly ServiceDemand[], pause: number): void;
+    recordGroup(coordinatorId: string, demand: readonly ServiceDemand[], pause: number): void;
     /** Engines that would read without a pause. */
     engines(service: string): number;
 }
@@ -31,7 +31,7 @@
 }
 
 /** Creates the view of one process. */
-export function createReadingDemand(clock: Clock): ReadingDemand {
+export function createPrefillDemand(clock: Clock): PrefillDemand {
     const own = new Map<string, DecayingRate>();
     const peers = new Map<string, ToldDemand>();
     const groups = new Map<string, ToldDemand>();
@@ -43,7 +43,7 @@
         demand: readonly ServiceDemand[],
         pause: number,
     ) => {
-        const forgottenAt = findForgetTime(clock.monotonicNow(), pause, peerMemoryMilliseconds);
+        const forgottenAt = computeExpiry(clock.monotonicNow(), pause, peerMemoryMilliseconds);
         told.set(teller, { forgottenAt, demand: new Map(demand) });
     };
 
@@ -61,7 +61,7 @@
         new Set([...own.keys(), ...[...peers.values()].flatMap(({ demand }) => [...demand.keys()])]);
 
     return {
-        note: (service, milliseconds) => {
+        record: (service, milliseconds) => {
             let rate = own.get(service);
             if (!rate) {
                 rate = createDecayingRate(memoryMilliseconds, clock.monotonicNow());
@@ -71,8 +71,8 @@
         },
         listOwn: () => [...own.keys()].map(service => [service, ownRate(service)] as const),
         listGroup: () => [...listServices()].map(service => [service, groupRate(service)] as const),
-        notePeer: (peerId, demand, pause) => noteIn(peers, peerId, demand, pause),
-        noteGroup: (coordinatorId, demand, pause) => noteIn(groups, coordinatorId, demand, pause),
+        recordPeer: (peerId, demand, pause) => noteIn(peers, peerId, demand, pause),
+        recordGroup: (coordinatorId, demand, pause) => noteIn(groups, coordinatorId, demand, pause),
         engines: service => (groupRate(service) + sumTold(groups, service)) / millisecondsPerSecond,
     };
 }
--- a/packages/daisyturn/src/request/claims/createClaimKeeper.ts
+++ b/packages/daisyturn/src/request/claims/createClaimManager.ts
@@ -30,15 +30,21 @@
 } from "../../process/claims/index.js";
 import type { Membership, PeerNetwork, ProcessIdentity } from "../../process/peers/index.js";
 import { type StoreClient, StorePriority } from "../../process/store/index.js";
-import type { ClaimKeeper, ClaimRequest, SendCall } from "./claimKeeper.js";
+import type { ClaimManager, ClaimRequest, SendCall } from "./claimManager.js";
 import { describeExamined, failWithDeadlinePassed, failWithKeyHeld, viewExamined } from "./claimVerdicts.js";
-import { type ClaimTaken, createClaimTaker, createSendPermit, retryAfterMilliseconds, TakeKind } from "./takeClaim.js";
+import {
+    type AcquiredClaim,
+    AcquireKind,
+    createClaimAcquirer,
+    createSendPermit,
+    retryAfterMilliseconds,
+} from "./createClaimAcquirer.js";
 
 /** How long a look-up waits for the table service. */
 const lookUpLimitMilliseconds = 2_000;
 
 /** What the keeper works with. */
-export interface ClaimKeeperOptions {
+export interface ClaimManagerOptions {
     readonly self: ProcessIdentity;
     readonly storeClient: StoreClient;
     readonly network: PeerNetwork;
@@ -66,7 +72,7 @@
 }
 
 /** The keeper of a process, with what the process needs at its end. */
-export interface ProcessClaimKeeper extends ClaimKeeper, AbandonedClaims {
+export interface ProcessClaimManager extends ClaimManager, AbandonedClaims {
     /** Attempts whose rows do not say yet how they ended. */
     countUnsettled(): number;
     /** Waits until the rows of all attempts are settled; false if the deadline (monotonic) passed before. */
@@ -81,14 +87,14 @@
  * A key's row goes from one attempt to the next only by the word of the attempt's own process that it sent nothing
  * that ran. Everything else that can be found out of an attempt leaves the key used up.
  */
-export function createClaimKeeper(options: ClaimKeeperOptions): ProcessClaimKeeper {
+export function createClaimManager(options: ClaimManagerOptions): ProcessClaimManager {
     const { storeClient, clock, eventLog } = options;
     const limits: ClaimLimits = { ...defaultClaimLimits, ...options.limits };
     const ownClaims = createOwnClaims(options.ids);
     const writer = createClaimWriter(storeClient, options.ids);
     const recorder = createClaimRecorder({ ...options, writer });
     const examiner = createClaimExaminer({ ...options, ownClaims, writer, limits });
-    const taker = createClaimTaker({ ...options, writer, recorder, examiner, limits });
+    const taker = createClaimAcquirer({ ...options, writer, recorder, examiner, limits });
     answerInquiries(options.network, options.self, ownClaims, clock);
 
     const runOnce = async (request: ClaimRequest, send: SendCall): Promise<Result<ServiceAnswer, Failure>> => {
@@ -106,8 +112,8 @@
         }
         // No await since the row was found free: of two requests at once only one may get here.
         const own = ownClaims.open(rowKey, request.requestId, callHash);
-        const taken = await taker.take(own, request.deadline);
-        if (taken.kind === TakeKind.NotTaken) {
+        const taken = await taker.acquire(own, request.deadline);
+        if (taken.kind === AcquireKind.NotAcquired) {
             noteReplay(taken.result, request);
             return taken.result;
         }
@@ -134,7 +140,7 @@
         return examineOwnAttempt(own);
     };
 
-    const sendClaimed = async (own: OwnClaim, taken: ClaimTaken, request: ClaimRequest, send: SendCall) => {
+    const sendClaimed = async (own: OwnClaim, taken: AcquiredClaim, request: ClaimRequest, send: SendCall) => {
         const permit = createSendPermit(clock, taken, request.deadline);
         if (!permit.mayStart()) {
             return release(own, taken, request, failWithDeadlinePassed());
@@ -157,7 +163,7 @@
     };
 
     /** Frees the key of a call that did not run. The caller is told of a new try only once the key is free. */
-    const release = async (own: OwnClaim, taken: ClaimTaken, request: ClaimRequest, failure: Failure) => {
+    const release = async (own: OwnClaim, taken: AcquiredClaim, request: ClaimRequest, failure: Failure) => {
         own.end(ClaimStage.NotSent);
         const row = createFreeRow(taken.row, clock.wallNow(), limits);
         void recorder.record(own, taken.version, row);
--- a/packages/daisyturn/src/request/forwarding/__fixtures__/playOverload.ts
+++ b/packages/daisyturn/src/request/forwarding/__fixtures__/playOverload.ts
@@ -3,7 +3,7 @@
 import { EngineStage } from "../../../ports/listedTarget.js";
 import { createPlacementBench, engineService } from "../../../process/forwarding/__fixtures__/placementBench.js";
 import {
-    createLongReadings,
+    createLongPrefillTimes,
     createSizeFairness,
     LocalDecisions,
     measureSize,
@@ -87,7 +87,7 @@
 /** One process before its engines. */
 function createPlayedProcess({ seed, switchedOff = new Set() }: Overload) {
     const { placement, loads, caches, clock } = createPlacementBench(stages, seed, switchedOff);
-    const decisions = new LocalDecisions({ placement, longReadings: createLongReadings(), switchedOff });
+    const decisions = new LocalDecisions({ placement, longPrefillTimes: createLongPrefillTimes(), switchedOff });
     const parts: AdmissionParts = { decisions, clock, switchedOff, availabilityZone: "zone-0" };
     const sizeFairness = createSizeFairness();
     const engines = createPlayedEngines();
@@ -103,7 +103,7 @@
         const { prefill, decode, isDeferred } = admitted.value;
         const { target: { targetId }, work, leastWork } = prefill ?? decode;
         const placed = loads.begin(targetId, { work, isDeferred, tokens: 0 });
-        caches.note(targetId, prompt.parts, engineService.engine?.kvTokens ?? 0);
+        caches.record(targetId, prompt.parts, engineService.engine?.kvTokens ?? 0);
         const end = (isServed: boolean) => {
             placed.end();
             account.end(isServed);
--- a/packages/daisyturn/src/request/sendCall.ts
+++ b/packages/daisyturn/src/request/sendCall.ts
@@ -2,7 +2,7 @@
 import { err, ok, type Result } from "true-myth/result";
 import type { PlainService, ServiceAnswer, ServiceCall } from "../ports/plainService.js";
 import type { Service } from "../version/configurationItems.js";
-import type { SendPermit } from "./claims/claimKeeper.js";
+import type { SendPermit } from "./claims/claimManager.js";
 import type { RequestParts } from "./requestParts.js";
 import { createFailureHistory, isWorthAnotherTarget, maxAttempts, maySendAgain } from "./retryPolicy.js";
 
@@ -43,11 +43,11 @@
             return answer;
         }
         const failure = answer.error;
-        history.note(failure);
+        history.record(failure);
         failed.add(targetName);
         const mayRetry = !sent.signal.aborted && maySendAgain(failure, sent.idempotent)
             && isWorthAnotherTarget(failure) && history.attempts < maxAttempts;
-        if (!mayRetry || !parts.retryBudget.tryTake()) {
+        if (!mayRetry || !parts.retryBudget.tryAcquire()) {
             return err(history.conclude(failure));
         }
         call = { ...call, callId: parts.ids.next("call") };
