--- a/packages/daisyturn-daemon/src/forwarding/createForwardingProcess.ts
+++ b/packages/daisyturn-daemon/src/forwarding/createForwardingProcess.ts
@@ -119,8 +119,8 @@
         ? coordination.decisions
         : new LocalDecisions(parts);
     const servingParts = { ...parts, decisions };
-    const takeUtilization = createUtilizationMeter();
-    const overloadGuard = createOverloadGuard({ clock, random, eventLog, takeUtilization });
+    const sampleUtilization = createUtilizationMeter();
+    const overloadGuard = createOverloadGuard({ clock, random, eventLog, sampleUtilization });
     const server = createForwardServer({
         listen: settings.callers,
         protocol: adapters.callerProtocol,
@@ -133,7 +133,7 @@
     setMaxListeners(mostBackgroundTasks, background.signal);
     let isStopping = false;
     const isReady = () =>
-        !isStopping && !overloadGuard.isOverwhelmed() && parts.configurationManager.current() !== undefined
+        !isStopping && !overloadGuard.isPersistentlyOverloaded() && parts.configurationManager.current() !== undefined
         && parts.targets.isKnown();
     const readiness = createReadinessServer(settings.readiness, adapters.readinessPath, isReady);
     parts.configurationManager.onChanged(table => server.setLimits(table.configuration.limits));
--- a/packages/daisyturn/src/process/forwarding/limits/__tests__/createOverloadGuard.test.ts
+++ b/packages/daisyturn/src/process/forwarding/limits/__tests__/createOverloadGuard.test.ts
@@ -22,8 +22,8 @@
     }
 }
 
-function createGuard(clock: Clock, eventLog: MemoryEventLog, takeUtilization = () => 0.3) {
-    return createOverloadGuard({ clock, random: createSeededRandom(1), eventLog, takeUtilization });
+function createGuard(clock: Clock, eventLog: MemoryEventLog, sampleUtilization = () => 0.3) {
+    return createOverloadGuard({ clock, random: createSeededRandom(1), eventLog, sampleUtilization });
 }
 
 test("refusals grow with the lag and fade with it, and a lasting lag sends new connections elsewhere", async () => {
@@ -49,11 +49,11 @@
     await turns(6);
     const most = refusedOf1000();
     assert.ok(most > 850 && most < 950, `${most}`);
-    assert.equal(guard.isOverwhelmed(), true);
+    assert.equal(guard.isPersistentlyOverloaded(), true);
     clock.late = 1;
     await turns(60);
     assert.equal(refusedOf1000(), 0);
-    assert.equal(guard.isOverwhelmed(), false);
+    assert.equal(guard.isPersistentlyOverloaded(), false);
     assert.deepEqual(eventLog.events.map(event => event.kind), [EventKind.Overloaded, EventKind.BackInService]);
     stop.abort();
     await running;
@@ -89,11 +89,11 @@
     assert.ok(early > 50 && early < 500, `${early}`);
     await turns(40);
     assert.ok(refusedOf1000() > 850);
-    assert.equal(guard.isOverwhelmed(), true);
+    assert.equal(guard.isPersistentlyOverloaded(), true);
     utilization = 0.6;
     await turns(80);
     assert.equal(refusedOf1000(), 0);
-    assert.equal(guard.isOverwhelmed(), false);
+    assert.equal(guard.isPersistentlyOverloaded(), false);
     stop.abort();
     await running;
 });
--- a/packages/daisyturn/src/process/forwarding/limits/createOverloadGuard.ts
+++ b/packages/daisyturn/src/process/forwarding/limits/createOverloadGuard.ts
@@ -5,7 +5,7 @@
     /** Whether a call that arrives now is to be refused at once, so that those before it are served in time. */
     shouldRefuse(): boolean;
     /** Whether the process has been overloaded for so long that new connections should go elsewhere. */
-    isOverwhelmed(): boolean;
+    isPersistentlyOverloaded(): boolean;
     run(signal: AbortSignal): Promise<void>;
 }
 
@@ -15,7 +15,7 @@
     readonly random: Random;
     readonly eventLog: EventLog;
     /** Part of the time since the last call, from 0 to 1, in which the event loop was busy. */
-    readonly takeUtilization: () => number;
+    readonly sampleUtilization: () => number;
 }
 
 /** Pause between two measurements. */
@@ -60,7 +60,7 @@
     const measure = () => {
         const late = Math.max(0, clock.monotonicNow() - dueAt);
         lag = late > lag ? late : lag + (late - lag) * fallingWeight;
-        utilization += (options.takeUtilization() - utilization) * utilizationWeight;
+        utilization += (options.sampleUtilization() - utilization) * utilizationWeight;
         refusedPart = utilization > fullUtilization
             ? Math.min(mostRefused, refusedPart + refusalRise)
             : Math.max(0, refusedPart - refusalFall);
@@ -83,7 +83,7 @@
         if (resume) {
             dueAt = lastCallAt + measureMilliseconds;
             // The time without measurements was idle.
-            options.takeUtilization();
+            options.sampleUtilization();
             resume();
         }
     };
@@ -112,7 +112,7 @@
             const part = Math.max(refusedPart, Math.min(1, excess) * mostRefused);
             return part > 0 && random.fraction() < part;
         },
-        isOverwhelmed: () =>
+        isPersistentlyOverloaded: () =>
             overloadedSince !== undefined && clock.monotonicNow() - overloadedSince > overwhelmedMilliseconds,
         run: async signal => {
             while (!signal.aborted) {
--- a/packages/daisyturn/src/process/forwarding/stages/changeStages.ts
+++ b/packages/daisyturn/src/process/forwarding/stages/changeStages.ts
@@ -9,7 +9,7 @@
 import type { TargetLoads } from "../views/createTargetLoads.js";
 import { createLostEngines } from "./createLostEngines.js";
 import { createRecentPeak, type RecentPeak } from "./createRecentPeak.js";
-import { countDecodersNeeded, leastDecoders, planStage } from "./planStage.js";
+import { countDecodeEnginesNeeded, minDecodeEngines, planStage } from "./planStage.js";
 
 /** What {@link changeStages} needs. */
 export interface ChangeStagesOptions {
@@ -136,8 +136,8 @@
     const notePeak = (service: string, decodingFill: number) => {
         const peak = peaks.get(service) ?? createRecentPeak(clock, peakMilliseconds);
         peaks.set(service, peak);
-        peak.note(decodingFill);
-        return peak.most();
+        peak.record(decodingFill);
+        return peak.max();
     };
 
     const findFill = (decoders: readonly ListedTarget[], kvTokens: number) => {
@@ -242,17 +242,17 @@
 
 function findInsufficientStage(engines: readonly ListedTarget[]): EngineStage | undefined {
     const { readers, decoders } = splitByStage(engines);
-    if (decoders.length < countDecodersNeeded(engines.length)) {
+    if (decoders.length < countDecodeEnginesNeeded(engines.length)) {
         return EngineStage.Decode;
     }
     return readers.length === 0 ? EngineStage.Prefill : undefined;
 }
 
 function looksNeeded(stage: EngineStage, readers: number, decoders: number, hasLostEngines: boolean): number {
-    if (hasLostEngines && stage === EngineStage.Decode && decoders < leastDecoders) {
+    if (hasLostEngines && stage === EngineStage.Decode && decoders < minDecodeEngines) {
         return 1;
     }
-    if (readers === 0 || decoders <= leastDecoders) {
+    if (readers === 0 || decoders <= minDecodeEngines) {
         return looksWhenMissing;
     }
     return stage === EngineStage.Prefill ? looksForReading : looksForDecoding;
--- a/packages/daisyturn/src/process/forwarding/stages/createRecentPeak.ts
+++ b/packages/daisyturn/src/process/forwarding/stages/createRecentPeak.ts
@@ -2,9 +2,9 @@
 
 /** The most that a figure has been of late. */
 export interface RecentPeak {
-    note(value: number): void;
+    record(value: number): void;
     /** The most that was noted within the memory; 0 if nothing was. */
-    most(): number;
+    max(): number;
 }
 
 interface NotedValue {
@@ -18,10 +18,10 @@
     let candidates: NotedValue[] = [];
 
     return {
-        note: value => {
+        record: value => {
             candidates = [...candidates.filter(noted => noted.value > value), { at: clock.monotonicNow(), value }];
         },
-        most: () => {
+        max: () => {
             const oldest = clock.monotonicNow() - memoryMilliseconds;
             candidates = candidates.filter(noted => noted.at >= oldest);
             return candidates[0]?.value ?? 0;
--- a/packages/daisyturn/src/process/forwarding/stages/planStage.ts
+++ b/packages/daisyturn/src/process/forwarding/stages/planStage.ts
@@ -39,11 +39,11 @@
  * loss of one must be borne.
  */
 const leastDecodingFraction = 0.3;
-export const leastDecoders = 2;
+export const minDecodeEngines = 2;
 
 /** The minimum number of decoding engines among the given number of engines. */
-export function countDecodersNeeded(engines: number): number {
-    return Math.min(engines - 1, Math.max(leastDecoders, Math.ceil(engines * leastDecodingFraction)));
+export function countDecodeEnginesNeeded(engines: number): number {
+    return Math.min(engines - 1, Math.max(minDecodeEngines, Math.ceil(engines * leastDecodingFraction)));
 }
 
 /**
@@ -51,11 +51,11 @@
  * do, stretch every answer they decode; so where the demand for reading allows it, they only decode.
  */
 export function planStage({ readers, decoders, demand, decodingFill, peakFill }: StageView): EngineStage | undefined {
-    const decodersNeeded = countDecodersNeeded(readers + decoders);
+    const decodersNeeded = countDecodeEnginesNeeded(readers + decoders);
     if (decoders < decodersNeeded) {
         return readers > 0 ? EngineStage.Decode : undefined;
     }
-    if (readers === 0 && decoders > leastDecoders) {
+    if (readers === 0 && decoders > minDecodeEngines) {
         return EngineStage.Prefill;
     }
     const withOneLess = decoders / Math.max(1, decoders - 1);
--- a/packages/daisyturn/src/process/forwarding/targets/createSilenceDetector.ts
+++ b/packages/daisyturn/src/process/forwarding/targets/createSilenceDetector.ts
@@ -18,7 +18,7 @@
 }
 
 /** Asks an engine for its activity. */
-export type ActivityQuestion = (targetId: string) => Promise<EngineActivity>;
+export type ActivityQuery = (targetId: string) => Promise<EngineActivity>;
 
 interface WaitState {
     /** Monotonic time at which the target was last heard or known to be working. */
@@ -44,7 +44,7 @@
 export function createSilenceDetector(
     clock: Clock,
     eventLog: EventLog,
-    askActivity: ActivityQuestion,
+    queryActivity: ActivityQuery,
 ): SilenceDetector {
     const states = new Map<string, WaitState>();
 
@@ -79,7 +79,7 @@
     const ask = async (targetId: string, state: WaitState) => {
         state.isChecking = true;
         const askedAt = clock.monotonicNow();
-        const activity = await askActivity(targetId);
+        const activity = await queryActivity(targetId);
         state.isChecking = false;
         if (activity === EngineActivity.Working) {
             recordBytesReceived(targetId);
--- a/packages/daisyturn/src/process/forwarding/targets/createTargetHealth.ts
+++ b/packages/daisyturn/src/process/forwarding/targets/createTargetHealth.ts
@@ -1,6 +1,6 @@
 import { type Clock, createDecayingRate, type DecayingRate, EventKind, type EventLog } from "daisyturn-utils";
 import { EngineActivity } from "../../../ports/engineOrders.js";
-import { type ActivityQuestion, createSilenceDetector } from "./createSilenceDetector.js";
+import { type ActivityQuery, createSilenceDetector } from "./createSilenceDetector.js";
 
 /** What a call showed of its target's health. */
 export enum TargetEvidence {
@@ -79,9 +79,9 @@
 export function createTargetHealth(
     clock: Clock,
     eventLog: EventLog,
-    askActivity: ActivityQuestion = () => Promise.resolve(EngineActivity.NoAnswer),
+    queryActivity: ActivityQuery = () => Promise.resolve(EngineActivity.NoAnswer),
 ): TargetHealth {
-    const silence = createSilenceDetector(clock, eventLog, askActivity);
+    const silence = createSilenceDetector(clock, eventLog, queryActivity);
     const states = new Map<string, HealthState>();
     /** Monotonic expiry times of reports by target, from members of the same group and from other groups. */
     const peerReportExpiry = new Map<string, number>();
