--- a/packages/daisyturn/src/process/forwarding/stages/__tests__/changeStages.test.ts
+++ b/packages/daisyturn/src/process/forwarding/stages/__tests__/changeStages.test.ts
@@ -15,13 +15,13 @@
     readonly answer?: OrderAnswer;
     readonly isPlanner?: boolean;
     readonly isLeaseHeld?: () => boolean;
-    /** Which start of an engine answers when it is asked for its state; the listed one if absent. */
+    /** Target id with which an engine answers a status read; the listed one if absent. */
     readonly startOf?: (targetId: string) => string;
     /** Whether an engine answers its status read of the given number, counted from 1; always if absent. */
     readonly isAnswering?: (targetId: string, read: number) => boolean;
 }
 
-const askMilliseconds = 50;
+const promptIntervalMilliseconds = 50;
 function createScene(options: SceneOptions) {
     const clock = new FakeClock();
     const eventLog = new MemoryEventLog();
@@ -113,23 +113,23 @@
         await clock.advance(20_000);
         await done;
     };
-    /** Has the first decoding engines answer so many calls each. */
-    const answerCalls = (engines: number, calls: number) => {
+    /** Starts this many calls on each of the first decode engines. */
+    const beginDecodeCalls = (engines: number, calls: number) => {
         for (let index = 0; index < engines * calls; index++) {
             views.loads.begin(`d${index % engines}`, { work: 0, isDeferred: false, tokens: 0 });
         }
     };
-    /** Has prompts ask for the reading of so many engines for a while. */
-    const askForReading = async (engines: number, milliseconds: number) => {
-        for (let passed = 0; passed < milliseconds; passed += askMilliseconds) {
-            views.demand.record("engines", engines * askMilliseconds);
-            await clock.advance(askMilliseconds);
+    /** Records prefill demand for this many engines over a period. */
+    const demandPrefill = async (engines: number, milliseconds: number) => {
+        for (let passed = 0; passed < milliseconds; passed += promptIntervalMilliseconds) {
+            views.demand.record("engines", engines * promptIntervalMilliseconds);
+            await clock.advance(promptIntervalMilliseconds);
         }
     };
     /** Records a failed call at each engine, as for a terminated engine. */
     const failCalls = (...targetIds: string[]) =>
         targetIds.forEach(targetId => views.health.record(targetId, TargetEvidence.Unreachable));
-    const isLeaseKept = () => isRunning;
+    const isLeaseRunning = () => isRunning;
     return {
         clock,
         sent,
@@ -138,14 +138,14 @@
         closed,
         health: views.health,
         end,
-        answerCalls,
-        askForReading,
+        beginDecodeCalls,
+        demandPrefill,
         failCalls,
-        isLeaseKept,
+        isLeaseRunning,
     };
 }
 
-test("an engine takes over a stage that has none, closed before it is ordered and open once it has changed", async () => {
+test("an engine moves to a stage without engines; it is closed before the order and reopened after the change", async () => {
     const { clock, sent, list, closed, end } = createScene({ readers: 3, decoders: 0 });
     await clock.advance(3_000);
     const [first] = sent;
@@ -160,7 +160,7 @@
     await end();
 });
 
-test("no order is sent once the lease is not held, nor by a process that does not plan", async () => {
+test("no order is sent without the lease or by a process that is not the planner", async () => {
     for (const options of [{ isLeaseHeld: () => false }, { isPlanner: false }]) {
         const { clock, sent, end } = createScene({ readers: 3, decoders: 0, ...options });
         await clock.advance(10_000);
@@ -169,7 +169,7 @@
     }
 });
 
-test("an engine that has started anew since it was listed is not sent the order meant for its start before", async () => {
+test("an engine that has restarted since it was listed is not sent an order for its previous incarnation", async () => {
     const startOf = (targetId: string) => `${targetId}@later`;
     const { clock, sent, end } = createScene({ readers: 3, decoders: 0, startOf });
     await clock.advance(6_000);
@@ -177,10 +177,10 @@
     await end();
 });
 
-test("an order without an answer is not repeated while it may still be carried out", async () => {
+test("an unanswered order is not repeated while it may still take effect", async () => {
     const { clock, sent, closed, end } = createScene({ readers: 1, decoders: 0, answer: OrderAnswer.Unknown });
     await clock.advance(5_000);
-    assert.equal(sent.length, 0, "the last engine of a stage is not taken where it is the only engine");
+    assert.equal(sent.length, 0, "the only engine of a service keeps its stage");
     await end();
 
     const two = createScene({ readers: 2, decoders: 0, answer: OrderAnswer.Unknown });
@@ -191,44 +191,44 @@
     assert.equal(closed.isClosed("p0"), false);
 });
 
-test("an engine is ordered to read once the readers have been overloaded for two seconds, not in a shorter burst", async () => {
+test("an engine is ordered to prefill after two seconds of prefill overload, not in a shorter burst", async () => {
     const short = createScene({ readers: 3, decoders: 5 });
-    short.answerCalls(3, 6);
-    await short.askForReading(12, 1_000);
+    short.beginDecodeCalls(3, 6);
+    await short.demandPrefill(12, 1_000);
     await short.clock.advance(6_000);
     assert.deepEqual(short.sent, []);
     await short.end();
 
     const long = createScene({ readers: 3, decoders: 5 });
-    long.answerCalls(3, 6);
-    await long.askForReading(12, 4_000);
+    long.beginDecodeCalls(3, 6);
+    await long.demandPrefill(12, 4_000);
     assert.deepEqual(long.sent.map(order => order.stage), [EngineStage.Prefill]);
     await long.end();
 });
 
-test("the lease is kept for its length after the last need, and then given back", async () => {
-    const { clock, sent, list, end, isLeaseKept } = createScene({ readers: 3, decoders: 0 });
+test("the lease is held for its length after the last need and then released", async () => {
+    const { clock, sent, list, end, isLeaseRunning } = createScene({ readers: 3, decoders: 0 });
     await clock.advance(3_000);
     sent.forEach(order => list(order.target.targetId, EngineStage.Decode));
     list("d8", EngineStage.Decode);
     list("d9", EngineStage.Decode);
     await clock.advance(1_000);
-    assert.equal(isLeaseKept(), true);
+    assert.equal(isLeaseRunning(), true);
     await clock.advance(6_000);
-    assert.equal(isLeaseKept(), false);
+    assert.equal(isLeaseRunning(), false);
     await end();
 });
 
-test("a fleet whose mix it bears is left alone, without a lease", async () => {
-    const { clock, sent, end, isLeaseKept } = createScene({ readers: 3, decoders: 5 });
+test("no order is sent and no lease is acquired while the engines can serve the load", async () => {
+    const { clock, sent, end, isLeaseRunning } = createScene({ readers: 3, decoders: 5 });
     await clock.advance(15_000);
     assert.deepEqual(sent, []);
-    assert.equal(isLeaseKept(), false);
+    assert.equal(isLeaseRunning(), false);
     await end();
 });
 
 // Guards against an outage that lasts until the entries of terminated engines expire.
-test("decoding engines that stop responding are replaced while they are still listed", async () => {
+test("decode engines that stop responding are replaced while they are still listed", async () => {
     const isAnswering = (targetId: string) => !targetId.startsWith("d");
     const { clock, sent, failCalls, end } = createScene({ readers: 4, decoders: 2, isAnswering });
     await clock.advance(3_000);
@@ -241,8 +241,8 @@
 // Guards against an order to a terminated engine that blocks orders to other engines for seconds.
 test("an unresponsive engine is not chosen for a stage change and does not delay the others", async () => {
     const isAnswering = (targetId: string) => targetId === "p2";
-    const { clock, sent, failCalls, answerCalls, end } = createScene({ readers: 3, decoders: 2, isAnswering });
-    answerCalls(2, 1);
+    const { clock, sent, failCalls, beginDecodeCalls, end } = createScene({ readers: 3, decoders: 2, isAnswering });
+    beginDecodeCalls(2, 1);
     await clock.advance(3_000);
     failCalls("d0", "d1", "p0");
     await clock.advance(3_500);
@@ -284,7 +284,7 @@
     await end();
 });
 
-// Guards against a needless closing wait: without a decoding engine, no work is sent to prefilling engines.
+// Guards against a needless closing wait: without a decode engine, no work is sent to prefill engines.
 test("an engine is ordered without a closing wait when none decodes, and after it otherwise", async () => {
     const withoutDecoder = createScene({ readers: 3, decoders: 0 });
     await withoutDecoder.clock.advance(1_100);
--- a/packages/daisyturn/src/process/forwarding/stages/__tests__/createRecentPeak.test.ts
+++ b/packages/daisyturn/src/process/forwarding/stages/__tests__/createRecentPeak.test.ts
@@ -3,7 +3,7 @@
 import { test } from "node:test";
 import { createRecentPeak } from "../createRecentPeak.js";
 
-test("tells the most of the last while, and forgets what is older", async () => {
+test("returns the maximum within the window and ignores older values", async () => {
     const clock = new FakeClock();
     const peak = createRecentPeak(clock, 1_000);
     assert.equal(peak.max(), 0);
--- a/packages/daisyturn/src/process/forwarding/stages/changeStages.ts
+++ b/packages/daisyturn/src/process/forwarding/stages/changeStages.ts
@@ -15,7 +15,7 @@
 export interface ChangeStagesOptions {
     readonly holder: string;
     readonly listServices: () => readonly string[];
-    /** Tokens of KV cache that one engine of a service holds. */
+    /** KV cache capacity of one engine of a service, in tokens. */
     readonly kvTokens: (service: string) => number;
     readonly targets: TargetList;
     readonly loads: TargetLoads;
@@ -24,60 +24,60 @@
     readonly closed: ClosedTargets;
     readonly orders: EngineOrders;
     readonly leaseManager: LeaseManager;
-    /** Whether this process is the one to plan: of those that hear each other, one is enough. */
+    /** Whether this process plans. One planner is enough among processes that can reach each other. */
     readonly isPlanner: () => boolean;
-    /** After its last order, a holder keeps the lease for so long, so that no other gives orders right after it. */
+    /** How long the lease is held after the last order, so that no other process sends orders right after it. */
     readonly leaseMilliseconds: number;
-    /** Milliseconds until all processes have heard that an engine is closed. */
+    /** Milliseconds until all processes have been informed that an engine is closed. */
     readonly closingMilliseconds: () => number;
     readonly clock: Clock;
     readonly eventLog: EventLog;
 }
 
-const planMilliseconds = 500;
-/** Peaks of what decodes count for so long: some of the swings between long prompts and long answers. */
-const peakMilliseconds = 15_000;
-/** A need that lasts this many looks is acted upon: longer than the bursts that a change would come too late for. */
-const looksForReading = 4;
-/** Without an engine of a stage, or with the last one decoding, each second costs answers. */
-const looksWhenMissing = 2;
-/** Going back gains little and costs seconds of an engine, so only after a demand that stays low. */
-const looksForDecoding = 40;
+const planIntervalMilliseconds = 500;
+/** Window of the peak fill of decode engines; spans several swings between long prompts and long answers. */
+const peakWindowMilliseconds = 15_000;
+/** Consecutive planning rounds that must need a prefill engine. In a shorter burst, the change would come too late. */
+const roundsForPrefill = 4;
+/** Used without an engine of a stage or at the minimum of decode engines, where each second of delay loses answers. */
+const roundsWhenMissing = 2;
+/** Returning an engine to decoding gains little and costs seconds of its time, so demand must stay low for long. */
+const roundsForDecode = 40;
 const callTimeoutMilliseconds = 1_000;
-/** A change takes seconds; an engine that has not changed by then is open again. */
+/** A change takes seconds. An engine that has not changed by then is reopened. */
 const changeTimeoutMilliseconds = 8_000;
-/** After an order that failed, others come first. */
-const pauseMilliseconds = 4_000;
-/** While so many engines of a service change at once, the others bear the load. */
-const enginesPerChange = 8;
-const enginesPerChangeWhenMissing = 2;
+/** After a failed order, the engine is not chosen again for this long, so that other engines come first. */
+const failedOrderDelayMilliseconds = 4_000;
+/** One engine in this many may change at the same time, because the others must serve the load meanwhile. */
+const enginesPerConcurrentChange = 8;
+const enginesPerConcurrentChangeWhenMissing = 2;
 
 /**
- * Follows the mix of long prompts and long answers with the stages of the engines, until the signal is aborted. One
- * process at a time gives orders, under a lease, each with the lease's fencing number and the engine's order count.
+ * Adapts the stages of the engines to the mix of long prompts and long answers until the signal is aborted. Only the
+ * lease holder sends orders; each order carries the lease's fencing number and the engine's order count.
  */
 export async function changeStages(options: ChangeStagesOptions, signal: AbortSignal): Promise<void> {
     const { targets, loads, health, demand, closed, orders, leaseManager, clock, eventLog } = options;
     const lostEngines = createLostEngines(options);
-    const needs = new Map<string, { stage: EngineStage; looks: number; }>();
+    const needs = new Map<string, { stage: EngineStage; rounds: number; }>();
     const changing = new Map<string, number>();
     const peaks = new Map<string, RecentPeak>();
-    let lastNeedAt = -Infinity;
-    let keeping: { readonly stop: AbortController; } | undefined;
+    let leaseLastNeededAt = -Infinity;
+    let leaseRun: { readonly stop: AbortController; } | undefined;
 
-    const keepLease = () => {
-        lastNeedAt = clock.monotonicNow();
-        if (!keeping) {
+    const requireLease = () => {
+        leaseLastNeededAt = clock.monotonicNow();
+        if (!leaseRun) {
             const stop = new AbortController();
-            keeping = { stop };
+            leaseRun = { stop };
             void leaseManager.run(stop.signal);
         }
     };
 
-    const dropLease = () => {
-        if (keeping && clock.monotonicNow() - lastNeedAt > options.leaseMilliseconds && changing.size === 0) {
-            keeping.stop.abort();
-            keeping = undefined;
+    const releaseUnusedLease = () => {
+        if (leaseRun && clock.monotonicNow() - leaseLastNeededAt > options.leaseMilliseconds && changing.size === 0) {
+            leaseRun.stop.abort();
+            leaseRun = undefined;
         }
     };
 
@@ -92,39 +92,40 @@
         const isSuspected = ({ targetId }: ListedTarget) => lostEngines.isSuspected(targetId);
         lostEngines.check(insufficientStage === undefined ? listed.filter(isSuspected) : listed);
         if (listed.some(isSuspected)) {
-            keepLease();
+            requireLease();
         }
         const engines = listed.filter(({ targetId }) => !lostEngines.isLost(targetId));
         return { engines, hasLostEngines: engines.length < listed.length };
     };
 
-    const look = (service: string) => {
+    const planService = (service: string) => {
         const { engines, hasLostEngines } = listLiveEngines(service);
-        const { readers, decoders } = splitByStage(engines);
-        const decodingFill = findFill(decoders, options.kvTokens(service));
+        const { prefillEngines, decoders } = splitByStage(engines);
+        const decodingFill = computeFill(decoders, options.kvTokens(service));
         const view = {
-            readers: readers.length,
+            readers: prefillEngines.length,
             decoders: decoders.length,
             demand: demand.engines(service),
             decodingFill,
-            peakFill: notePeak(service, decodingFill),
+            peakFill: recordPeak(service, decodingFill),
         };
         // A single remaining engine can answer prompts only if it decodes.
-        const isLastReader = hasLostEngines && engines.length === 1 && view.readers === 1;
+        const isLastPrefillEngine = hasLostEngines && engines.length === 1 && view.readers === 1;
         const plannedStage = engines.length > 1 ? planStage(view) : undefined;
-        const stage = isLastReader ? EngineStage.Decode : plannedStage;
+        const stage = isLastPrefillEngine ? EngineStage.Decode : plannedStage;
         const known = needs.get(service);
         if (!stage) {
             needs.delete(service);
             return;
         }
-        const looks = known?.stage === stage ? known.looks + 1 : 1;
-        needs.set(service, { stage, looks });
-        const isFull = countChanging(engines) >= limitOf(engines, view.readers === 0 || view.decoders === 0);
-        if (looks < looksNeeded(stage, view.readers, view.decoders, hasLostEngines) || isFull) {
+        const rounds = known?.stage === stage ? known.rounds + 1 : 1;
+        needs.set(service, { stage, rounds });
+        const isAtChangeLimit =
+            countChanging(engines) >= findChangeLimit(engines, view.readers === 0 || view.decoders === 0);
+        if (rounds < findRoundsNeeded(stage, view.readers, view.decoders, hasLostEngines) || isAtChangeLimit) {
             return;
         }
-        keepLease();
+        requireLease();
         const lease = leaseManager.current();
         const target = chooseTarget(engines, stage);
         if (lease && target) {
@@ -133,22 +134,22 @@
         }
     };
 
-    const notePeak = (service: string, decodingFill: number) => {
-        const peak = peaks.get(service) ?? createRecentPeak(clock, peakMilliseconds);
+    const recordPeak = (service: string, decodingFill: number) => {
+        const peak = peaks.get(service) ?? createRecentPeak(clock, peakWindowMilliseconds);
         peaks.set(service, peak);
         peak.record(decodingFill);
         return peak.max();
     };
 
-    const findFill = (decoders: readonly ListedTarget[], kvTokens: number) => {
+    const computeFill = (decoders: readonly ListedTarget[], kvTokens: number) => {
         const calls = sum(decoders, engine => loads.calls(engine.targetId));
         const tokens = sum(decoders, engine => loads.tokens(engine.targetId));
         return Math.max(calls / sum(decoders, engine => engine.slots), tokens / (decoders.length * kvTokens)) || 0;
     };
 
-    /** Without any engine of a stage nothing is served, so then more than one may change at once. */
-    const limitOf = (engines: readonly ListedTarget[], isMissing: boolean) =>
-        Math.ceil(engines.length / (isMissing ? enginesPerChangeWhenMissing : enginesPerChange));
+    /** Without any engine of a stage nothing is served, so more engines may change at the same time. */
+    const findChangeLimit = (engines: readonly ListedTarget[], isMissing: boolean) =>
+        Math.ceil(engines.length / (isMissing ? enginesPerConcurrentChangeWhenMissing : enginesPerConcurrentChange));
 
     const countChanging = (engines: readonly ListedTarget[]) =>
         engines.filter(engine => (changing.get(engine.targetId) ?? 0) > clock.monotonicNow()).length;
@@ -177,7 +178,7 @@
             fencing: lease.fencingNumber,
             outcome: answer,
         });
-        lastNeedAt = clock.monotonicNow();
+        leaseLastNeededAt = clock.monotonicNow();
         if (answer === OrderAnswer.Accepted || answer === OrderAnswer.Unknown) {
             await waitForStage(target, stage, until);
         }
@@ -187,15 +188,15 @@
             changing.set(target.targetId, -Infinity);
         }
         if (answer !== OrderAnswer.Accepted) {
-            await clock.sleepUntil(clock.monotonicNow() + pauseMilliseconds, signal);
+            await clock.sleepUntil(clock.monotonicNow() + failedOrderDelayMilliseconds, signal);
         }
         changing.delete(target.targetId);
     };
 
-    /** The lease is looked at last, right before the order is sent. */
+    /** The lease is checked last, right before the order is sent. */
     const order = async (target: ListedTarget, stage: EngineStage, lease: Lease): Promise<OrderAnswer> => {
         const status = await orders.readStatus(target, clock.monotonicNow() + callTimeoutMilliseconds);
-        // An engine that has started anew counts its orders anew, and the list tells its new start soon.
+        // A restarted engine counts its orders from zero; the target list shows the restart soon.
         const isOrderable = status.isOk && status.value.targetId === target.targetId && !status.value.isBusy
             && status.value.stage !== stage;
         if (!isOrderable || !targets.isOpen(target.targetId) || signal.aborted || !lease.isHeld()) {
@@ -213,7 +214,7 @@
     const waitForStage = async (target: ListedTarget, stage: EngineStage, until: number) => {
         const hasChanged = () => targets.find(target.targetId)?.stage === stage;
         while (!hasChanged() && clock.monotonicNow() < until && !signal.aborted) {
-            await clock.sleepUntil(clock.monotonicNow() + planMilliseconds / 2, signal);
+            await clock.sleepUntil(clock.monotonicNow() + planIntervalMilliseconds / 2, signal);
         }
         if (hasChanged()) {
             eventLog.record(EventKind.OrderConfirmed, { target: target.targetId, stage });
@@ -221,41 +222,46 @@
     };
 
     while (!signal.aborted) {
-        await clock.sleepUntil(clock.monotonicNow() + planMilliseconds, signal);
+        await clock.sleepUntil(clock.monotonicNow() + planIntervalMilliseconds, signal);
         if (options.isPlanner() && !signal.aborted) {
-            options.listServices().forEach(look);
+            options.listServices().forEach(planService);
         }
         else {
             needs.clear();
         }
-        dropLease();
+        releaseUnusedLease();
     }
-    keeping?.stop.abort();
+    leaseRun?.stop.abort();
 }
 
 function splitByStage(engines: readonly ListedTarget[]) {
     return {
-        readers: engines.filter(({ stage }) => stage === EngineStage.Prefill),
+        prefillEngines: engines.filter(({ stage }) => stage === EngineStage.Prefill),
         decoders: engines.filter(({ stage }) => stage !== EngineStage.Prefill),
     };
 }
 
 function findInsufficientStage(engines: readonly ListedTarget[]): EngineStage | undefined {
-    const { readers, decoders } = splitByStage(engines);
+    const { prefillEngines, decoders } = splitByStage(engines);
     if (decoders.length < countDecodeEnginesNeeded(engines.length)) {
         return EngineStage.Decode;
     }
-    return readers.length === 0 ? EngineStage.Prefill : undefined;
+    return prefillEngines.length === 0 ? EngineStage.Prefill : undefined;
 }
 
-function looksNeeded(stage: EngineStage, readers: number, decoders: number, hasLostEngines: boolean): number {
+function findRoundsNeeded(
+    stage: EngineStage,
+    prefillEngines: number,
+    decoders: number,
+    hasLostEngines: boolean,
+): number {
     if (hasLostEngines && stage === EngineStage.Decode && decoders < minDecodeEngines) {
         return 1;
     }
-    if (readers === 0 || decoders <= minDecodeEngines) {
-        return looksWhenMissing;
+    if (prefillEngines === 0 || decoders <= minDecodeEngines) {
+        return roundsWhenMissing;
     }
-    return stage === EngineStage.Prefill ? looksForReading : looksForDecoding;
+    return stage === EngineStage.Prefill ? roundsForPrefill : roundsForDecode;
 }
 
 function sum<Item>(items: readonly Item[], amount: (item: Item) => number): number {
--- a/packages/daisyturn/src/process/forwarding/stages/createRecentPeak.ts
+++ b/packages/daisyturn/src/process/forwarding/stages/createRecentPeak.ts
@@ -1,29 +1,32 @@
 import type { Clock } from "daisyturn-utils";
 
-/** The most that a figure has been of late. */
+/** The maximum of a value over a sliding time window. */
 export interface RecentPeak {
     record(value: number): void;
-    /** The most that was noted within the memory; 0 if nothing was. */
+    /** The maximum recorded within the window; 0 if nothing was recorded. */
     max(): number;
 }
 
-interface NotedValue {
+interface RecordedValue {
     readonly at: number;
     readonly value: number;
 }
 
-/** Creates the peak over the last `memoryMilliseconds`. */
-export function createRecentPeak(clock: Clock, memoryMilliseconds: number): RecentPeak {
-    /** Falling in value: what a later value exceeds can't be the most any more. */
-    let candidates: NotedValue[] = [];
+/** Creates a peak over the last `windowMilliseconds`. */
+export function createRecentPeak(clock: Clock, windowMilliseconds: number): RecentPeak {
+    /** In descending order of value: a value that a later one reaches or exceeds can no longer be the maximum. */
+    let candidates: RecordedValue[] = [];
 
     return {
         record: value => {
-            candidates = [...candidates.filter(noted => noted.value > value), { at: clock.monotonicNow(), value }];
+            candidates = [...candidates.filter(recorded => recorded.value > value), {
+                at: clock.monotonicNow(),
+                value,
+            }];
         },
         max: () => {
-            const oldest = clock.monotonicNow() - memoryMilliseconds;
-            candidates = candidates.filter(noted => noted.at >= oldest);
+            const windowStart = clock.monotonicNow() - windowMilliseconds;
+            candidates = candidates.filter(recorded => recorded.at >= windowStart);
             return candidates[0]?.value ?? 0;
         },
     };
--- a/packages/daisyturn/src/process/forwarding/stages/planStage.ts
+++ b/packages/daisyturn/src/process/forwarding/stages/planStage.ts
@@ -1,54 +1,55 @@
 import { EngineStage } from "../../../ports/listedTarget.js";
 
-/** What a plan goes by. */
+/** The state of a service's engines that a plan is based on. */
 export interface StageView {
     readonly readers: number;
     readonly decoders: number;
-    /** Engines that would read all prompts without a pause. */
+    /** Number of engines that the prefill of all prompts would keep busy without idle time. */
     readonly demand: number;
-    /** Part of the decoding engines' places, or of their memory if that is more, that is taken. */
+    /** Used fraction of the decode engines' slots, or of their KV cache if that is larger. */
     readonly decodingFill: number;
-    /** The most of it in the last while, over some bursts. */
+    /** The recent maximum of `decodingFill`, over a window that spans several bursts. */
     readonly peakFill: number;
 }
 
 /**
- * Load of the reading engines from which on another one is taken. A change takes an engine away for seconds and costs
- * what it keeps, so bursts that are shorter are left to the choice of the way, prompt by prompt: in measured rounds,
- * changes at a load of 0.75 lowered what was answered on time.
+ * Load of the prefill engines above which another engine is moved to prefill. A change makes an engine unavailable for
+ * seconds and discards its cache, so shorter bursts are left to the placement of each prompt. Changes at a load of 0.75
+ * lowered the share of answers on time.
  */
-const plannedLoad = 1.2;
+const minLoadForPrefill = 1.2;
 /**
- * What decodes is not taken beyond this part of its places and memory: at 0.3 the engines that read stayed overloaded
- * while two thirds of the places of the others were free. At 0.6, 0.05 more of the credit was earned in a long burst of
- * long prompts, and of the longest of them twice as many were served.
+ * A decode engine is moved to prefill only while the remaining ones stay below this used fraction of their slots and KV
+ * cache. At 0.3, prefill engines stayed overloaded while two thirds of the decode slots were free. At 0.6, the goodput in
+ * a long burst of long prompts was higher by 0.05 of the maximum, and twice as many of the longest prompts were served.
  */
-const plannedFill = 0.6;
-/** Below this load, one reading engine fewer would do. */
-const spareLoad = 0.35;
+const maxFillForPrefill = 0.6;
+/** Below this load of the remaining prefill engines, one of them can be spared. */
+const maxLoadForDecode = 0.35;
 /**
- * While even the bursts leave most places of the decoding engines free, more engines read from this load on: prompts
- * come in bursts of three times the mean, and whoever meets a queue waits or reads again what another engine keeps.
+ * While even bursts leave most decode slots free, engines are moved to prefill above this lower load. Prompts arrive in
+ * bursts of three times the mean rate, and a prompt that meets a queue waits or is prefilled again on an engine that
+ * lacks its cached prefix.
  */
-const plannedLoadWhileIdle = 0.3;
-const idlePeakFill = 0.55;
-/** Engines go back to decoding only if those that decode have ever been this full of late. */
-const needyPeakFill = 0.8;
+const minLoadForPrefillWhileIdle = 0.3;
+const maxIdlePeakFill = 0.55;
+/** Engines return to decoding only if the recent peak fill of the decode engines exceeds this value. */
+const minPeakFillForDecode = 0.8;
 /**
- * Part of the engines that decodes in any case. A batch makes hundreds of tokens a second, so few are needed, but the
- * loss of one must be borne.
+ * Minimum fraction of the engines that decode. A batch generates hundreds of tokens per second, so few engines are
+ * needed, but the others must be able to serve if one is lost.
  */
-const leastDecodingFraction = 0.3;
+const minDecodeFraction = 0.3;
 export const minDecodeEngines = 2;
 
 /** The minimum number of decoding engines among the given number of engines. */
 export function countDecodeEnginesNeeded(engines: number): number {
-    return Math.min(engines - 1, Math.max(minDecodeEngines, Math.ceil(engines * leastDecodingFraction)));
+    return Math.min(engines - 1, Math.max(minDecodeEngines, Math.ceil(engines * minDecodeFraction)));
 }
 
 /**
- * The stage of which one more engine is needed, if any. Decoding engines read prompts at half the speed and, while they
- * do, stretch every answer they decode; so where the demand for reading allows it, they only decode.
+ * Returns the stage that needs one more engine, if any. A decode engine prefills prompts at half the speed and slows down
+ * every answer that it decodes meanwhile, so where the prefill demand allows it, decode engines only decode.
  */
 export function planStage({ readers, decoders, demand, decodingFill, peakFill }: StageView): EngineStage | undefined {
     const decodersNeeded = countDecodeEnginesNeeded(readers + decoders);
@@ -58,12 +59,12 @@
     if (readers === 0 && decoders > minDecodeEngines) {
         return EngineStage.Prefill;
     }
-    const withOneLess = decoders / Math.max(1, decoders - 1);
-    const isNeeded = demand > readers * plannedLoad && decodingFill * withOneLess < plannedFill;
-    const isFree = demand > readers * plannedLoadWhileIdle && peakFill * withOneLess < idlePeakFill;
+    const oneFewerFactor = decoders / Math.max(1, decoders - 1);
+    const isNeeded = demand > readers * minLoadForPrefill && decodingFill * oneFewerFactor < maxFillForPrefill;
+    const isFree = demand > readers * minLoadForPrefillWhileIdle && peakFill * oneFewerFactor < maxIdlePeakFill;
     if ((isNeeded || isFree) && decoders > decodersNeeded) {
         return EngineStage.Prefill;
     }
-    const isSpare = readers > 1 && demand < (readers - 1) * spareLoad;
-    return isSpare && peakFill > needyPeakFill ? EngineStage.Decode : undefined;
+    const isSpare = readers > 1 && demand < (readers - 1) * maxLoadForDecode;
+    return isSpare && peakFill > minPeakFillForDecode ? EngineStage.Decode : undefined;
 }
