--- a/packages/daisyturn/src/process/forwarding/stages/__tests__/changeStages.test.ts
+++ b/packages/daisyturn/src/process/forwarding/stages/__tests__/changeStages.test.ts
@@ -145,7 +145,7 @@
     };
 }
 
-test("an engine moves to a stage without engines; it is closed before the order and reopened after the change", async () => {
+test("an engine moves to a stage without engines, closed before the order and reopened after it", async () => {
     const { clock, sent, list, closed, end } = createScene({ readers: 3, decoders: 0 });
     await clock.advance(3_000);
     const [first] = sent;
--- a/packages/daisyturn/src/process/forwarding/stages/changeStages.ts
+++ b/packages/daisyturn/src/process/forwarding/stages/changeStages.ts
@@ -82,8 +82,8 @@
     };
 
     /**
-     * Lists the engines of a service without those found lost. The entry of a terminated engine takes seconds to expire,
-     * so where calls fail and the healthy engines could not serve alone, engine status is read directly.
+     * Lists the engines of a service without those found lost. The entry of a terminated engine takes seconds to
+     * expire, so where calls fail and the healthy engines could not serve alone, engine status is read directly.
      */
     const listLiveEngines = (service: string) => {
         const listed = targets.open(service).filter(target => target.stage !== undefined);
--- a/packages/daisyturn/src/process/forwarding/stages/planStage.ts
+++ b/packages/daisyturn/src/process/forwarding/stages/planStage.ts
@@ -20,8 +20,9 @@
 const minLoadForPrefill = 1.2;
 /**
  * A decode engine is moved to prefill only while the remaining ones stay below this used fraction of their slots and KV
- * cache. At 0.3, prefill engines stayed overloaded while two thirds of the decode slots were free. At 0.6, the goodput in
- * a long burst of long prompts was higher by 0.05 of the maximum, and twice as many of the longest prompts were served.
+ * cache. At 0.3, prefill engines stayed overloaded while two thirds of the decode slots were free. At 0.6, the goodput
+ * in a long burst of long prompts was higher by 0.05 of the maximum, and twice as many of the longest prompts were
+ * served.
  */
 const maxFillForPrefill = 0.6;
 /** Below this load of the remaining prefill engines, one of them can be spared. */
@@ -48,8 +49,8 @@
 }
 
 /**
- * Returns the stage that needs one more engine, if any. A decode engine prefills prompts at half the speed and slows down
- * every answer that it decodes meanwhile, so where the prefill demand allows it, decode engines only decode.
+ * Returns the stage that needs one more engine, if any. A decode engine prefills prompts at half the speed and slows
+ * down every answer that it decodes meanwhile, so where the prefill demand allows it, decode engines only decode.
  */
 export function planStage({ readers, decoders, demand, decodingFill, peakFill }: StageView): EngineStage | undefined {
     const decodersNeeded = countDecodeEnginesNeeded(readers + decoders);
--- a/packages/daisyturn/src/process/forwarding/targets/__tests__/createSilenceDetector.test.ts
+++ b/packages/daisyturn/src/process/forwarding/targets/__tests__/createSilenceDetector.test.ts
@@ -15,7 +15,7 @@
         await clock.sleepUntil(clock.monotonicNow() + answerMilliseconds);
         return activity;
     });
-    /** Lets calls check the target from time to time, as they do while they wait. */
+    /** Advances the clock and checks the target at intervals, as waiting calls do. */
     const wait = async (targetId: string, milliseconds: number) => {
         for (let passed = 0; passed < milliseconds; passed += checkMilliseconds) {
             detector.check(targetId);
@@ -25,13 +25,13 @@
     return { clock, detector, asked, wait };
 }
 
-// Guards against calls given up, and engines suspected, while a long prompt is read.
-test("an engine that confirms that it works is not silent, however long its answer takes", async () => {
+// Guards against abandoned calls and suspected engines during the prefill of a long prompt.
+test("an engine that confirms that it is working is not silent, however long its answer takes", async () => {
     const { detector, asked, wait } = createScene(EngineActivity.Working);
     detector.beginWait("a", true);
     await wait("a", 20_000);
     assert.equal(detector.isSilent("a"), false);
-    assert.ok(asked.length > 5 && asked.length < 15, `asked ${asked.length} times`);
+    assert.ok(asked.length > 5 && asked.length < 15, `queried ${asked.length} times`);
 });
 
 for (const activity of [EngineActivity.NoAnswer, EngineActivity.Idle]) {
@@ -47,7 +47,7 @@
     });
 }
 
-test("a target that can't be asked is silent by time alone", async () => {
+test("a target whose activity can't be queried is silent by time alone", async () => {
     const { detector, asked, wait } = createScene(EngineActivity.Working);
     detector.beginWait("plain", false);
     await wait("plain", 2_500);
@@ -55,7 +55,7 @@
     assert.deepEqual(asked, []);
 });
 
-test("a target is not asked while it is heard, or while no call waits", async () => {
+test("a target is not queried while its bytes are received or while no call waits", async () => {
     const { detector, asked, wait } = createScene(EngineActivity.NoAnswer);
     const waiting = detector.beginWait("a", true);
     await wait("a", 1_000);
--- a/packages/daisyturn/src/process/forwarding/targets/__tests__/createTargetList.test.ts
+++ b/packages/daisyturn/src/process/forwarding/targets/__tests__/createTargetList.test.ts
@@ -9,9 +9,9 @@
     const clock = new FakeClock();
     const eventLog = new MemoryEventLog();
     const list = createTargetList({ decode: (targetId, text) => JSON.parse(text) as ListedTarget, clock, eventLog });
-    const gone: string[] = [];
-    list.onRemoved(targetId => gone.push(targetId));
-    return { clock, eventLog, list, gone };
+    const removedTargets: string[] = [];
+    list.onRemoved(targetId => removedTargets.push(targetId));
+    return { clock, eventLog, list, removedTargets };
 }
 
 function row(name: string, isLeaving = false, startedAt?: number): FeedRow {
@@ -30,17 +30,17 @@
 
 const removed = (targetId: string): FeedRow => ({ key: targetId, version: 2, text: undefined });
 
-test("a target that leaves or whose entry is removed takes no new work from then on", () => {
-    const { list, gone } = createBench();
+test("a target that is leaving or whose entry is removed accepts no new work", () => {
+    const { list, removedTargets } = createBench();
     list.replace([row("a"), row("b"), row("c")]);
     list.change([row("a", true), removed("b")]);
     assert.deepEqual(list.open("s").map(target => target.targetId), ["c"]);
     assert.equal(list.isOpen("a"), false);
     assert.equal(list.isOpen("b"), false);
-    assert.deepEqual(gone, ["b"]);
+    assert.deepEqual(removedTargets, ["b"]);
 });
 
-test("what a whole reading lacks is gone", () => {
+test("a target that is missing from a full read is removed", () => {
     const { list } = createBench();
     list.replace([row("a"), row("b")]);
     list.replace([row("b")]);
@@ -48,8 +48,8 @@
     assert.equal(list.isOpen("b"), true);
 });
 
-test("an entry that lapsed in an outage counts until it had time to come back", async () => {
-    const { list, clock, gone } = createBench();
+test("an entry that expired in an outage remains valid for the grace time after it", async () => {
+    const { list, clock, removedTargets } = createBench();
     list.replace([row("a"), row("b")]);
     list.recordStoreCall(false);
     list.recordStoreCall(true);
@@ -60,11 +60,11 @@
     await clock.advance(1_300);
     assert.equal(list.isOpen("a"), false);
     assert.equal(list.isOpen("b"), true);
-    assert.deepEqual(gone, ["a"]);
+    assert.deepEqual(removedTargets, ["a"]);
     assert.deepEqual(list.open("s").map(target => target.targetId), ["b"]);
 });
 
-test("leaving that is told right after an outage counts at once", () => {
+test("a leaving state that is received right after an outage takes effect at once", () => {
     const { list } = createBench();
     list.replace([row("a")]);
     list.recordStoreCall(false);
@@ -72,20 +72,20 @@
     assert.equal(list.isOpen("a"), false);
 });
 
-test("an entry that can't be read names no target, whatever it said before, and the others hold", () => {
-    const { list, eventLog, gone } = createBench();
+test("an entry that can't be decoded removes its target and leaves the others unchanged", () => {
+    const { list, eventLog, removedTargets } = createBench();
     list.replace([row("a"), row("b")]);
     list.change([{ key: "a", version: 3, text: "{" }]);
     assert.equal(list.isOpen("a"), false);
     assert.equal(list.find("a"), undefined);
     assert.deepEqual(list.open("s").map(target => target.targetId), ["b"]);
-    assert.deepEqual(gone, ["a"]);
+    assert.deepEqual(removedTargets, ["a"]);
     assert.deepEqual(eventLog.events.slice(-2).map(event => event.kind), ["fault", "target_gone"]);
     list.change([row("a")]);
     assert.equal(list.isOpen("a"), true);
 });
 
-test("an entry that can't be read takes its target out of use also right after an outage", () => {
+test("an entry that can't be decoded removes its target also right after an outage", () => {
     const { list } = createBench();
     list.replace([row("a")]);
     list.recordStoreCall(false);
@@ -93,7 +93,7 @@
     assert.equal(list.isOpen("a"), false);
 });
 
-test("entries that can't be read are told of once each, and a bounded number of them", () => {
+test("entries that can't be decoded are logged once each, up to a limit", () => {
     const { list, eventLog } = createBench();
     const unreadable = (index: number) => ({ key: `x${index}`.padEnd(200, "x"), version: index, text: "{" });
     for (let index = 0; index < 500; index++) {
@@ -104,30 +104,30 @@
     assert.ok(faults.every(event => String(event.fields["target"]).length <= 80));
 });
 
-test("a target that starts again under its name is another one: the one before is gone with all that was believed", () => {
-    const { list, gone } = createBench();
+test("a target that restarts under the same name is a new target, and the previous incarnation is removed", () => {
+    const { list, removedTargets } = createBench();
     list.replace([row("a", false, 1_000), row("b", false, 1_000)]);
     list.change([row("a", false, 2_000)]);
-    assert.deepEqual(gone, ["a@1000"]);
+    assert.deepEqual(removedTargets, ["a@1000"]);
     assert.equal(list.isOpen("a@1000"), false);
     assert.equal(list.isOpen("a@2000"), true);
     assert.deepEqual(list.open("s").map(target => target.targetId).sort(), ["a@2000", "b@1000"]);
 });
 
-test("a late entry of the start before brings nothing back", () => {
-    const { list, gone } = createBench();
+test("a late entry of the previous incarnation is ignored", () => {
+    const { list, removedTargets } = createBench();
     list.replace([row("a", false, 2_000)]);
     list.change([row("a", true, 1_000)]);
     assert.equal(list.isOpen("a@2000"), true);
-    assert.deepEqual(gone, []);
+    assert.deepEqual(removedTargets, []);
 });
 
-test("a restart that falls into an outage of the list is met with the first reading after it", () => {
-    const { list, gone } = createBench();
+test("a restart during an outage takes effect with the first read after it", () => {
+    const { list, removedTargets } = createBench();
     list.replace([row("a", false, 1_000)]);
     list.recordStoreCall(false);
     list.replace([row("a", false, 2_000)]);
-    assert.deepEqual(gone, ["a@1000"]);
+    assert.deepEqual(removedTargets, ["a@1000"]);
     assert.equal(list.isOpen("a@1000"), false);
     assert.equal(list.isOpen("a@2000"), true);
 });
@@ -147,8 +147,8 @@
     assert.equal(list.isOpen("a@2000"), true);
 });
 
-// Guards against work sent to ended targets by a process that the store turns away while it answers others.
-test("an entry removed according to a coordinator that the store answers is gone, whatever this process's own calls show", () => {
+// Guards against work sent to ended targets by a process that the store rejects while it answers others.
+test("an entry that a coordinator found removed is removed despite failed store calls of this process", () => {
     const { list, clock } = createBench();
     list.replace([row("a"), row("b")]);
     list.recordStoreCall(false);
--- a/packages/daisyturn/src/process/forwarding/targets/__tests__/watchTable.test.ts
+++ b/packages/daisyturn/src/process/forwarding/targets/__tests__/watchTable.test.ts
@@ -8,7 +8,7 @@
 
 const failure = mayHaveRun(FailureReason.StoreUnavailable, "away");
 
-/** A feed that answers by a list; after its end it waits as long as it is asked to. */
+/** A feed that returns the given answers in order; after the last one, each call waits for its full wait time. */
 function createScriptedFeed(clock: FakeClock, answers: Result<FeedPage, Failure>[]) {
     const calls: string[] = [];
     const waits: number[] = [];
@@ -48,7 +48,7 @@
     return ok({ rows, position: { era, version }, isHistoryLost: false });
 }
 
-async function follow(answers: Result<FeedPage, Failure>[], milliseconds: number) {
+async function watch(answers: Result<FeedPage, Failure>[], milliseconds: number) {
     const clock = new FakeClock();
     const eventLog = new MemoryEventLog();
     const { feed, calls, waits } = createScriptedFeed(clock, answers);
@@ -80,32 +80,32 @@
     return { taken, calls, waits, eventLog, storeCalls, rollbacks };
 }
 
-test("a table is read whole once and then by its changes", async () => {
-    const { taken, calls } = await follow([page(5, "a", "b"), page(7, "b")], 500);
+test("a table is read in full once and then by its changes", async () => {
+    const { taken, calls } = await watch([page(5, "a", "b"), page(7, "b")], 500);
     assert.deepEqual(taken, ["all a,b", "change b"]);
     assert.deepEqual(calls.slice(0, 3), ["all", "after 5", "after 7"]);
 });
 
-test("a failed call is repeated from the same version, with growing pauses", async () => {
-    const { taken, calls } = await follow([page(5, "a"), err(failure), err(failure), page(8, "c")], 3_000);
+test("a failed call is repeated from the same version, with growing delays", async () => {
+    const { taken, calls } = await watch([page(5, "a"), err(failure), err(failure), page(8, "c")], 3_000);
     assert.deepEqual(taken, ["all a", "change c"]);
     assert.deepEqual(calls.slice(0, 4), ["all", "after 5", "after 5", "after 5"]);
 });
 
-test("lost history leads to reading the whole table", async () => {
+test("a table is read in full after its history is lost", async () => {
     const lost = ok<FeedPage, Failure>({ rows: [], position: { era: 0, version: 0 }, isHistoryLost: true });
-    const { taken } = await follow([page(5, "a"), lost, page(9, "b")], 1_000);
+    const { taken } = await watch([page(5, "a"), lost, page(9, "b")], 1_000);
     assert.deepEqual(taken, ["all a", "all b"]);
 });
 
-test("changes in quick succession are not asked for one by one", async () => {
+test("changes in quick succession are merged into fewer calls", async () => {
     const answers = [page(1, "a"), ...Array.from({ length: 50 }, (value, index) => page(index + 2, "a"))];
-    const { calls } = await follow(answers, 1_000);
+    const { calls } = await watch(answers, 1_000);
     assert.ok(calls.length <= 12, `${calls.length} calls in a second`);
 });
 
-test("the store's loss and return are recorded once each", async () => {
-    const { eventLog } = await follow([page(5, "a"), err(failure), err(failure), page(6)], 3_000);
+test("the start and the end of a store outage are recorded once each", async () => {
+    const { eventLog } = await watch([page(5, "a"), err(failure), err(failure), page(6)], 3_000);
     assert.deepEqual(eventLog.events.map(event => event.kind), ["store_unavailable", "store_available"]);
 });
 
@@ -117,7 +117,7 @@
         pageInEra(4, 53, "a", "c"),
         pageInEra(4, 54, "d"),
     ];
-    const { taken, calls, eventLog, rollbacks, storeCalls } = await follow(answers, 1_000);
+    const { taken, calls, eventLog, rollbacks, storeCalls } = await watch(answers, 1_000);
     assert.deepEqual(taken, ["all a,b", "restored a,c", "change d"]);
     assert.deepEqual(calls.slice(0, 5), ["all", "after 50", "all", "after 53", "after 54"]);
     assert.equal(rollbacks, 1);
@@ -130,7 +130,7 @@
 test("a rollback is detected from an answer with lost history, and so is a second rollback", async () => {
     const lost = ok<FeedPage, Failure>({ rows: [], position: { era: 4, version: 0 }, isHistoryLost: true });
     const answers = [pageInEra(3, 50, "a"), lost, pageInEra(5, 45, "b"), pageInEra(5, 46, "c")];
-    const { taken, rollbacks } = await follow(answers, 1_000);
+    const { taken, rollbacks } = await watch(answers, 1_000);
     assert.deepEqual(taken, ["all a", "restored b", "change c"]);
     assert.equal(rollbacks, 2);
 });
@@ -138,15 +138,15 @@
 // Guards against overwriting current state with rows from before the rollback.
 test("a late answer of an older era is ignored", async () => {
     const answers = [pageInEra(4, 50, "a"), pageInEra(3, 60, "old"), pageInEra(4, 51, "b")];
-    const { taken, calls, rollbacks } = await follow(answers, 1_000);
+    const { taken, calls, rollbacks } = await watch(answers, 1_000);
     assert.deepEqual(taken, ["all a", "change b"]);
     assert.deepEqual(calls.slice(0, 3), ["all", "after 50", "after 50"]);
     assert.equal(rollbacks, 0);
 });
 
-test("the first era received is not a rollback, and a store without eras is followed by version", async () => {
+test("the first era received is not a rollback, and a table of a store without eras is watched by version", async () => {
     for (const era of [0, 7]) {
-        const { taken, rollbacks } = await follow([pageInEra(era, 5, "a"), pageInEra(era, 6, "b")], 500);
+        const { taken, rollbacks } = await watch([pageInEra(era, 5, "a"), pageInEra(era, 6, "b")], 500);
         assert.deepEqual(taken, ["all a", "change b"]);
         assert.equal(rollbacks, 0);
     }
@@ -154,6 +154,6 @@
 
 // Guards against late detection of a rollback while the first call after an outage waits for changes.
 test("the first call after a failure does not wait for changes", async () => {
-    const { waits } = await follow([page(5, "a"), err(failure), page(6, "b"), page(7, "c")], 1_000);
+    const { waits } = await watch([page(5, "a"), err(failure), page(6, "b"), page(7, "c")], 1_000);
     assert.deepEqual(waits.slice(0, 3), [1_000, 0, 1_000]);
 });
--- a/packages/daisyturn/src/process/forwarding/targets/createClosedTargets.ts
+++ b/packages/daisyturn/src/process/forwarding/targets/createClosedTargets.ts
@@ -1,25 +1,25 @@
 import { type Clock, EventKind, type EventLog } from "daisyturn-utils";
 import { randomUUID } from "node:crypto";
 
-/** A target that is kept free of new work, and for how many milliseconds from now. */
+/** A target that receives no new work, and for how many milliseconds from now. */
 export type Closing = readonly [targetId: string, milliseconds: number];
 
-/** The complete set of targets that one process keeps closed. */
+/** The complete set of targets that one process has closed. */
 export interface ClosingList {
-    /** Identifies one run of the process that closed the targets. */
+    /** Identifies one incarnation of the process that closed the targets. */
     readonly closerId: string;
     /** Increases with each change; a list replaces those of the same closer with lower revisions. */
     readonly revision: number;
     readonly closings: readonly Closing[];
 }
 
-/** Engines that are about to change their stage: they refuse whatever has not started. */
+/** Engines that are about to change their stage and refuse calls that have not started. */
 export interface ClosedTargets {
-    /** Keeps new work away until a moment on the monotonic clock. */
+    /** Stops new work for a target until a time on the monotonic clock. */
     close(targetId: string, until: number): void;
     reopen(targetId: string): void;
     isClosed(targetId: string): boolean;
-    /** Whether this process itself keeps a target closed. */
+    /** Whether this process itself has closed a target. */
     hasOwnClosings(): boolean;
     /** The list of this process, or none once every closing it has announced has expired. */
     listOwn(): readonly ClosingList[];
@@ -79,8 +79,8 @@
 
     const describe = ([closerId, { revision, closings }]: readonly [string, KnownList]): ClosingList => {
         const now = clock.monotonicNow();
-        const isAhead = ([, until]: readonly [string, number]) => until > now;
-        const remaining = [...closings].filter(isAhead);
+        const isUnexpiredClosing = ([, until]: readonly [string, number]) => until > now;
+        const remaining = [...closings].filter(isUnexpiredClosing);
         return {
             closerId,
             revision,
@@ -90,7 +90,7 @@
 
     const isUnexpired = ([, { expiresAt }]: readonly [string, KnownList]) => expiresAt > clock.monotonicNow();
 
-    const keepsClosed = ({ closings }: KnownList, targetId: string) =>
+    const isClosedBy = ({ closings }: KnownList, targetId: string) =>
         (closings.get(targetId) ?? -Infinity) > clock.monotonicNow();
 
     return {
@@ -102,7 +102,7 @@
         },
         isClosed: targetId => {
             for (const list of lists.values()) {
-                if (keepsClosed(list, targetId)) {
+                if (isClosedBy(list, targetId)) {
                     return true;
                 }
             }
@@ -110,7 +110,7 @@
         },
         hasOwnClosings: () => {
             const own = lists.get(selfId);
-            return own !== undefined && [...own.closings.keys()].some(targetId => keepsClosed(own, targetId));
+            return own !== undefined && [...own.closings.keys()].some(targetId => isClosedBy(own, targetId));
         },
         listOwn: () => [...lists].filter(([closerId]) => closerId === selfId).filter(isUnexpired).map(describe),
         listKnown: () => {
--- a/packages/daisyturn/src/process/forwarding/targets/createForwardingConfigurationManager.ts
+++ b/packages/daisyturn/src/process/forwarding/targets/createForwardingConfigurationManager.ts
@@ -4,10 +4,10 @@
 import type { ForwardingConfiguration } from "../../../version/forwarding/forwardingConfiguration.js";
 import type { TableObserver } from "./watchTable.js";
 
-/** Keeps the newest configuration that the operators have published. */
+/** Stores the latest configuration that the operators have published. */
 export interface ForwardingConfigurationManager extends TableObserver {
     current(): RouteTable | undefined;
-    /** Called each time another version is put in force. */
+    /** Calls the listener whenever another version becomes active. */
     onChanged(listener: (table: RouteTable) => void): void;
 }
 
@@ -15,14 +15,14 @@
 export interface ForwardingConfigurationManagerOptions {
     /** Key of the row that holds the configuration. */
     readonly key: string;
-    /** Throws where the text is no configuration. */
+    /** Throws if the text is not a valid configuration. */
     readonly decode: (text: string) => ForwardingConfiguration;
     readonly eventLog: EventLog;
 }
 
 /**
- * Creates the keeper. A version never gives way to a lower one, whatever the store shows after an outage; a row that
- * can't be read, or is missing, leaves the version in force as it is.
+ * Creates the manager. A version is never replaced by a lower one, even if the store returns one after an outage. A row
+ * that is missing or can't be decoded leaves the active version unchanged.
  */
 export function createForwardingConfigurationManager(
     options: ForwardingConfigurationManagerOptions,
@@ -31,7 +31,7 @@
     const listeners: ((table: RouteTable) => void)[] = [];
     let table: RouteTable | undefined;
 
-    const take = (row: FeedRow) => {
+    const apply = (row: FeedRow) => {
         if (row.key !== options.key || row.text === undefined) {
             return;
         }
@@ -61,7 +61,7 @@
     return {
         current: () => table,
         onChanged: listener => listeners.push(listener),
-        replace: rows => rows.forEach(take),
-        change: rows => rows.forEach(take),
+        replace: rows => rows.forEach(apply),
+        change: rows => rows.forEach(apply),
     };
 }
--- a/packages/daisyturn/src/process/forwarding/targets/createSilenceDetector.ts
+++ b/packages/daisyturn/src/process/forwarding/targets/createSilenceDetector.ts
@@ -3,43 +3,46 @@
 
 /** Detects targets that have stopped working on the calls that wait for them. */
 export interface SilenceDetector {
-    /** Notes that bytes of an answer arrived. */
+    /** Records that bytes of an answer were received. */
     recordBytesReceived(targetId: string): void;
     /**
-     * Notes a call that waits for its answer; to be ended once the answer begins or the call is over.
-     * @param isEngine whether the target can be asked for its activity; others count as silent by time alone
+     * Records a call that waits for its answer. The wait must be ended once the answer begins or the call ends.
+     * @param isEngine whether the target's activity can be queried; other targets count as silent by time alone
      */
     beginWait(targetId: string, isEngine: boolean): { end(): void; };
-    /** Asks the target for its activity if calls have waited for long and nothing was heard; at most one question at a time. */
+    /**
+     * Queries the target's activity if calls have waited long and nothing was received; at most one query at a time.
+     */
     check(targetId: string): void;
-    /** Whether calls have waited for long while nothing was heard of the target, and it is not known to be working. */
+    /** Whether calls have waited long while nothing was received from the target and it is not known to be working. */
     isSilent(targetId: string): boolean;
     forget(targetId: string): void;
 }
 
-/** Asks an engine for its activity. */
+/** Queries the activity of an engine. */
 export type ActivityQuery = (targetId: string) => Promise<EngineActivity>;
 
 interface WaitState {
-    /** Monotonic time at which the target was last heard or known to be working. */
-    heardAt: number;
+    /** Monotonic time at which bytes were last received or the target was last confirmed to be working. */
+    lastActivityAt: number;
     isEngine: boolean;
     readonly waits: Set<{ readonly since: number; }>;
     isChecking: boolean;
-    /** Checks that failed since the target was last heard. */
+    /** Checks that failed since `lastActivityAt`. */
     failedChecks: number;
 }
 
-/** Longer than the queue of a target that works, as far as calls are still worth waiting for. */
+/** Longer than calls wait in the queue of a working target, as far as they are still worth waiting for. */
 const silenceMilliseconds = 2_000;
-/** A target that can tell its activity is asked early enough for two answers to time out before it counts as silent. */
+/** Activity is queried early enough that two queries can time out before the target counts as silent. */
 const checkAfterMilliseconds = 1_400;
 /** More than one, because a single lost packet can fail a check. */
 const failedChecksForSilence = 2;
 
 /**
- * Creates the detector of one process. A prompt is answered only once it has been read, so an engine that reads long
- * prompts sends nothing for seconds; targets that can be asked count as silent only if they do not confirm that they work.
+ * Creates the detector of one process. A prompt is answered only after its prefill, so an engine that prefills long
+ * prompts sends nothing for seconds. Engines therefore count as silent only if they do not confirm that they are
+ * working.
  */
 export function createSilenceDetector(
     clock: Clock,
@@ -52,7 +55,7 @@
         let state = states.get(targetId);
         if (!state) {
             state = {
-                heardAt: clock.monotonicNow(),
+                lastActivityAt: clock.monotonicNow(),
                 isEngine: false,
                 waits: new Set(),
                 isChecking: false,
@@ -65,26 +68,26 @@
 
     const recordBytesReceived = (targetId: string) => {
         const state = find(targetId);
-        state.heardAt = clock.monotonicNow();
+        state.lastActivityAt = clock.monotonicNow();
         state.failedChecks = 0;
     };
 
-    /** Whether a call has waited, and nothing was heard, for so long. */
-    const isQuiet = (state: WaitState | undefined, milliseconds: number) => {
+    /** Whether a call has waited, and nothing was received, for longer than the given time. */
+    const hasWaitedInSilence = (state: WaitState | undefined, milliseconds: number) => {
         const oldest = state?.waits.values().next().value;
         const limit = clock.monotonicNow() - milliseconds;
-        return state !== undefined && oldest !== undefined && oldest.since < limit && state.heardAt < limit;
+        return state !== undefined && oldest !== undefined && oldest.since < limit && state.lastActivityAt < limit;
     };
 
-    const ask = async (targetId: string, state: WaitState) => {
+    const checkActivity = async (targetId: string, state: WaitState) => {
         state.isChecking = true;
-        const askedAt = clock.monotonicNow();
+        const checkStartedAt = clock.monotonicNow();
         const activity = await queryActivity(targetId);
         state.isChecking = false;
         if (activity === EngineActivity.Working) {
             recordBytesReceived(targetId);
         }
-        else if (state.heardAt <= askedAt) {
+        else if (state.lastActivityAt <= checkStartedAt) {
             state.failedChecks += 1;
         }
         eventLog.record(EventKind.TargetChecked, { target: targetId, activity, failures: state.failedChecks });
@@ -102,14 +105,14 @@
         },
         check: targetId => {
             const state = states.get(targetId);
-            if (state?.isEngine && !state.isChecking && isQuiet(state, checkAfterMilliseconds)) {
-                void ask(targetId, state);
+            if (state?.isEngine && !state.isChecking && hasWaitedInSilence(state, checkAfterMilliseconds)) {
+                void checkActivity(targetId, state);
             }
         },
         isSilent: targetId => {
             const state = states.get(targetId);
             const isUnconfirmed = state?.isEngine && state.failedChecks < failedChecksForSilence;
-            return isQuiet(state, silenceMilliseconds) && !isUnconfirmed;
+            return hasWaitedInSilence(state, silenceMilliseconds) && !isUnconfirmed;
         },
         forget: targetId => states.delete(targetId),
     };
--- a/packages/daisyturn/src/process/forwarding/targets/createTargetHealth.ts
+++ b/packages/daisyturn/src/process/forwarding/targets/createTargetHealth.ts
@@ -2,45 +2,49 @@
 import { EngineActivity } from "../../../ports/engineOrders.js";
 import { type ActivityQuery, createSilenceDetector } from "./createSilenceDetector.js";
 
-/** What a call showed of its target's health. */
+/** What the outcome of a call shows about its target's health. */
 export enum TargetEvidence {
-    /** An answer that is no error of the target. */
+    /** An answer that is not an error of the target. */
     Answered = "answered",
     /** An answer with an error of the target's own. */
     AnsweredError = "answered_error",
     /** No connection could be made. */
     Unreachable = "unreachable",
-    /** The connection broke, or the answer made no sense. */
+    /** The connection broke, or the answer was malformed. */
     Broken = "broken",
-    /** Calls wait and the target does not work on them, as `SilenceDetector` tells. */
+    /** Calls wait and the target does not work on them, as reported by `SilenceDetector`. */
     Silent = "silent",
 }
 
-/** Which targets are left alone for a while, going by what their calls have shown. */
+/** Tracks the health of targets by the outcomes of calls; suspected targets receive no work for a while. */
 export interface TargetHealth {
     record(targetId: string, evidence: TargetEvidence): void;
-    /** Notes that bytes of an answer arrived. */
+    /** Records that bytes of an answer were received. */
     recordBytesReceived(targetId: string): void;
-    /** As {@link SilenceDetector.beginWait}; targets are no engines unless it is told. */
+    /** As {@link SilenceDetector.beginWait}; a target is not an engine by default. */
     beginWait(targetId: string, isEngine?: boolean): { end(): void; };
-    /** Has the target asked for its activity if calls have waited for long and nothing was heard. */
+    /** Queries the target's activity if calls have waited long and nothing was received. */
     checkSilence(targetId: string): void;
-    /** Whether calls have waited for long while nothing was heard of the target, and it is not known to be working. */
+    /** Whether calls have waited long while nothing was received from the target and it is not known to be working. */
     isSilent(targetId: string): boolean;
     /**
-     * Whether calls to the target have failed since its last answer, or the target is silent, at this process or according
-     * to a recent report from another process.
+     * Whether calls to the target have failed since its last answer, or the target is silent, at this process or
+     * according to a recent report from another process.
      */
     isFailing(targetId: string): boolean;
     /** Targets failing for this process's own calls, without reports from others. */
     listOwnFailing(): readonly string[];
     /** Targets failing at this process or reported by members of its group, without reports from other groups. */
     listGroupFailing(): readonly string[];
-    /** Records targets reported as failing by a member of the same group or, if `isGroup`, by another group's coordinator. */
+    /**
+     * Records targets reported as failing by a member of the same group or, if `isGroup`, by another group's
+     * coordinator.
+     */
     recordFailing(targetIds: readonly string[], isGroup: boolean): void;
     /**
-     * Those of a service's targets that may be sent work. Never fewer than half: where that many seem to fail, the
-     * cause is more likely elsewhere, and the others could not bear the work.
+     * Selects the targets of a service that may receive work. If fewer than half are trusted, returns all of them:
+     * where that many seem to fail, the cause is more likely elsewhere, and the remaining ones could not handle the
+     * load.
      */
     selectTrusted<Target extends { readonly targetId: string; }>(targets: readonly Target[]): readonly Target[];
     forget(targetId: string): void;
@@ -48,9 +52,9 @@
 
 interface HealthState {
     failures: number;
-    /** Monotonic time until which the target is left alone. */
+    /** Monotonic time until which the target receives no work. */
     suspectUntil: number;
-    /** Whether the next call shows if the target works again; others wait for it. */
+    /** Whether a trial call, which shows if the target works again, is in progress; other calls are not sent. */
     isOnTrial: boolean;
     trialUntil: number;
     readonly answers: DecayingRate;
@@ -59,17 +63,17 @@
 
 /** The first suspicion lasts this long; each further failure doubles it. */
 const firstSuspicionMilliseconds = 400;
-const longestSuspicionMilliseconds = 3_000;
-/** A single broken answer may be chance; two in a row are not. */
+const maxSuspicionMilliseconds = 3_000;
+/** More than one, because a single broken answer can be a coincidence. */
 const brokenAnswersForSuspicion = 2;
-/** A trial call that has not ended by then no longer keeps others away. */
+/** A trial call that has not ended by then no longer blocks other calls. */
 const trialMilliseconds = 1_000;
-/** Over this time the part of failing answers is taken. */
+/** Decay time over which the fraction of error answers is computed. */
 const errorMemoryMilliseconds = 4_000;
-/** Below this many answers in that time, the part of failing ones says little. */
-const leastAnswers = 6;
-/** A target is taken for failing where its part of errors is above the others' by this much. */
-const errorExcess = 0.22;
+/** With fewer answers in that time, the error fraction is not significant and counts as 0. */
+const minAnswers = 6;
+/** A target counts as failing if its error fraction exceeds the median of its group by more than this. */
+const maxErrorFractionExcess = 0.22;
 const errorSuspicionMilliseconds = 2_000;
 
 /** How long a report stays valid after it is received; longer than the interval between reports. */
@@ -125,7 +129,7 @@
             return;
         }
         const milliseconds = Math.min(
-            longestSuspicionMilliseconds,
+            maxSuspicionMilliseconds,
             firstSuspicionMilliseconds * 2 ** Math.min(state.failures - 1, 8),
         );
         suspect(targetId, state, milliseconds, evidence);
@@ -157,31 +161,31 @@
         }
     };
 
-    const errorFraction = (state: HealthState | undefined): number => {
+    const computeErrorFraction = (state: HealthState | undefined): number => {
         const now = clock.monotonicNow();
         const errors = state?.errors.perSecond(now) ?? 0;
         const answers = (state?.answers.perSecond(now) ?? 0) + errors;
-        return answers * errorMemoryMilliseconds / 1_000 < leastAnswers ? 0 : errors / answers;
+        return answers * errorMemoryMilliseconds / 1_000 < minAnswers ? 0 : errors / answers;
     };
 
-    /** Leaves alone a target whose answers fail much more often than the median of its group. */
-    const findFailing = (targetIds: readonly string[]) => {
+    /** Suspects targets whose answers fail much more often than the median of their group. */
+    const suspectFailing = (targetIds: readonly string[]) => {
         if (targetIds.length < 2) {
             return;
         }
-        const fractions = targetIds.map(targetId => errorFraction(states.get(targetId)));
+        const fractions = targetIds.map(targetId => computeErrorFraction(states.get(targetId)));
         const sorted = [...fractions].sort((left, right) => left - right);
         const median = sorted[Math.floor((sorted.length - 1) / 2)] ?? 0;
         targetIds.forEach((targetId, index) => {
             const state = states.get(targetId);
-            const isFailing = (fractions[index] ?? 0) > median + errorExcess;
+            const isFailing = (fractions[index] ?? 0) > median + maxErrorFractionExcess;
             if (state && isFailing && !state.isOnTrial && state.suspectUntil <= clock.monotonicNow()) {
-                suspect(targetId, state, errorSuspicionMilliseconds, "answers fail more often than its group's");
+                suspect(targetId, state, errorSuspicionMilliseconds, "error rate far above its group's median");
             }
         });
     };
 
-    /** Once a suspicion ends, a single call goes first and shows whether the target works. */
+    /** Once a suspicion ends, a single trial call is sent first to show whether the target works. */
     const acceptsWork = (targetId: string): boolean => {
         const state = states.get(targetId);
         if (!state) {
@@ -241,7 +245,7 @@
             targetIds.forEach(targetId => expiry.set(targetId, clock.monotonicNow() + reportValidityMilliseconds));
         },
         selectTrusted: targets => {
-            findFailing(targets.map(target => target.targetId));
+            suspectFailing(targets.map(target => target.targetId));
             const trusted = targets.filter(target => acceptsWork(target.targetId));
             return trusted.length * 2 >= targets.length ? trusted : targets;
         },
--- a/packages/daisyturn/src/process/forwarding/targets/createTargetList.ts
+++ b/packages/daisyturn/src/process/forwarding/targets/createTargetList.ts
@@ -3,51 +3,51 @@
 import type { ListedTarget } from "../../../ports/listedTarget.js";
 import type { TableObserver } from "./watchTable.js";
 
-/** The targets that the platform lists, as this process last saw them. */
+/** The targets that the platform lists, as last received by this process. */
 export interface TargetList extends TableObserver {
-    /** Targets of a service that take new work. */
+    /** Targets of a service that accept new work. */
     open(service: string): readonly ListedTarget[];
-    /** Whether new work may still go to a target; asked again right before each send. */
+    /** Whether a target still accepts new work; checked again right before each send. */
     isOpen(targetId: string): boolean;
     /** A listed target, leaving or not. */
     find(targetId: string): ListedTarget | undefined;
-    /** Whether the list was read at least once. */
+    /** Whether the list has been read at least once. */
     isKnown(): boolean;
-    /** Tells of each call to the store, so that lapses during an outage are known as such. */
+    /** Records each call to the store, so that entries that expire because of an outage are recognized. */
     recordStoreCall(isAnswered: boolean): void;
-    /** Called once a target is gone for good, or has started anew: what was believed of it ends. */
+    /** Calls the listener once a target is removed or has restarted, so that all state about it can be discarded. */
     onRemoved(listener: (targetId: string) => void): void;
 }
 
 /** What {@link createTargetList} needs. */
 export interface TargetListOptions {
-    /** Throws where the text is no target. */
+    /** Throws if the text is not a valid target. */
     readonly decode: (name: string, text: string) => ListedTarget;
     readonly clock: Clock;
     readonly eventLog: EventLog;
 }
 
 /**
- * Entries lapse while the store is away, and targets that live are back about two seconds after its return. Until
- * then a missing entry says nothing.
+ * Entries expire during a store outage, and live targets are listed again about two seconds after it ends. Until then,
+ * a missing entry does not show that its target has been removed.
  */
-const returnMilliseconds = 2_200;
-/** Unreadable entries that are told apart in the log; whoever fills the table with others must not fill the log too. */
-const mostUnreadable = 64;
-const longestLoggedKey = 80;
+const expiryGraceMilliseconds = 2_200;
+/** Maximum number of unreadable keys that are logged, so that a table full of them does not fill the log. */
+const maxLoggedUnreadable = 64;
+const maxLoggedKeyLength = 80;
 
 /** Creates the list. */
 export function createTargetList(options: TargetListOptions): TargetList {
     const { clock, eventLog } = options;
     /** By the key of the entry, which is the target's name. */
     const entries = new Map<string, ListedTarget>();
-    /** The same targets by the identifier of one start. */
+    /** The same targets by target id, which identifies one incarnation. */
     const targets = new Map<string, ListedTarget>();
-    /** Keys whose entry has lapsed, and the monotonic time at which their targets count as gone. */
-    const lapsed = new Map<string, number>();
-    /** Keys whose entry can't be read: told of once, not at each heartbeat. */
+    /** Keys whose entry expired around an outage, and the monotonic time at which their targets count as removed. */
+    const expired = new Map<string, number>();
+    /** Keys whose entry can't be decoded; each is logged once, not at each heartbeat. */
     const unreadable = new Set<string>();
-    const goneListeners: ((targetId: string) => void)[] = [];
+    const removedListeners: ((targetId: string) => void)[] = [];
     let openByService = new Map<string, ListedTarget[]>();
     let isKnown = false;
     let lastFailureAt = -Infinity;
@@ -65,22 +65,22 @@
 
     const remove = (key: string, storeFailedAt = lastFailureAt) => {
         unreadable.delete(key);
-        const graceEnd = storeFailedAt + returnMilliseconds;
+        const graceEnd = storeFailedAt + expiryGraceMilliseconds;
         if (graceEnd > clock.monotonicNow()) {
-            lapsed.set(key, graceEnd);
+            expired.set(key, graceEnd);
             return;
         }
         forget(key, "entry removed");
     };
 
     const forget = (key: string, reason: string) => {
-        lapsed.delete(key);
+        expired.delete(key);
         const target = entries.get(key);
         if (target) {
             entries.delete(key);
             targets.delete(target.targetId);
             eventLog.record(EventKind.TargetGone, { target: target.targetId, reason });
-            goneListeners.forEach(listener => listener(target.targetId));
+            removedListeners.forEach(listener => listener(target.targetId));
         }
     };
 
@@ -90,40 +90,40 @@
             return;
         }
         try {
-            take(row.key, options.decode(row.key, row.text), isAfterRollback);
+            apply(row.key, options.decode(row.key, row.text), isAfterRollback);
         }
         catch (error) {
-            refuse(row.key, String(error));
+            reject(row.key, String(error));
         }
     };
 
-    const take = (key: string, target: ListedTarget, isAfterRollback: boolean) => {
+    const apply = (key: string, target: ListedTarget, isAfterRollback: boolean) => {
         unreadable.delete(key);
         const known = entries.get(key);
         if (known && (known.startedAt ?? 0) > (target.startedAt ?? 0)) {
-            // A late entry of the start before: it must not bring back what has ended.
+            // A late entry of the previous incarnation must not restore a target that has ended.
             return;
         }
         if (known && known.targetId !== target.targetId) {
-            forget(key, "started anew");
+            forget(key, "restarted");
         }
         // The snapshot may predate the start of leaving, so the target stays closed until it reports its state again.
         const isLeaving = target.isLeaving || isAfterRollback && known?.targetId === target.targetId && known.isLeaving;
         const updated = { ...target, isLeaving };
-        lapsed.delete(key);
+        expired.delete(key);
         entries.set(key, updated);
         targets.set(target.targetId, updated);
         recordChange(known, updated);
     };
 
-    /** An entry that is no target's names none to use, whatever it said before. */
-    const refuse = (key: string, reason: string) => {
-        if (!unreadable.has(key) && unreadable.size < mostUnreadable) {
+    /** An entry that can't be decoded removes its target, whatever the entry contained before. */
+    const reject = (key: string, reason: string) => {
+        if (!unreadable.has(key) && unreadable.size < maxLoggedUnreadable) {
             unreadable.add(key);
-            const target = key.slice(0, longestLoggedKey);
+            const target = key.slice(0, maxLoggedKeyLength);
             eventLog.record(EventKind.Fault, { target, reason: `unreadable entry: ${reason}` });
         }
-        forget(key, "entry can't be read");
+        forget(key, "entry can't be decoded");
     };
 
     const recordChange = (known: ListedTarget | undefined, target: ListedTarget) => {
@@ -139,14 +139,14 @@
         }
     };
 
-    /** Looked at on use, so that no timer has to run. */
-    const dropLapsed = () => {
-        if (lapsed.size === 0) {
+    /** Called on use, so that no timer is needed. */
+    const forgetExpired = () => {
+        if (expired.size === 0) {
             return;
         }
         const now = clock.monotonicNow();
-        const due = [...lapsed].filter(([, goneAt]) => goneAt <= now);
-        due.forEach(([key]) => forget(key, "entry did not come back after the outage"));
+        const due = [...expired].filter(([, removedAt]) => removedAt <= now);
+        due.forEach(([key]) => forget(key, "entry was not listed again after the outage"));
         if (due.length > 0) {
             index();
         }
@@ -154,11 +154,11 @@
 
     return {
         open: service => {
-            dropLapsed();
+            forgetExpired();
             return openByService.get(service) ?? [];
         },
         isOpen: targetId => {
-            dropLapsed();
+            forgetExpired();
             return targets.get(targetId)?.isLeaving === false;
         },
         find: targetId => targets.get(targetId),
@@ -168,7 +168,7 @@
                 lastFailureAt = clock.monotonicNow();
             }
         },
-        onRemoved: listener => goneListeners.push(listener),
+        onRemoved: listener => removedListeners.push(listener),
         replace: (rows, isAfterRollback = false) => {
             isKnown = true;
             const present = new Set(rows.map(row => row.key));
--- a/packages/daisyturn/src/process/forwarding/targets/watchTable.ts
+++ b/packages/daisyturn/src/process/forwarding/targets/watchTable.ts
@@ -5,29 +5,29 @@
 import type { RelayedPage, RelayedTable } from "../coordination/createRelayedTables.js";
 import type { TableReader } from "../coordination/createTableReader.js";
 
-/** Takes what a followed table says. */
+/** Receives the contents and changes of a watched table. */
 export interface TableObserver {
     /**
-     * All rows as of one moment: what is missing is gone.
+     * Receives all rows as of one time; rows that are missing have been removed.
      * @param isAfterRollback whether the store has lost recent writes, so that rows may be older than the known ones
      */
     replace(rows: readonly FeedRow[], isAfterRollback?: boolean): void;
     /**
-     * Rows that changed.
+     * Receives the rows that changed.
      * @param storeFailedAt monotonic time at which the store last failed to answer the coordinator that has read them,
-     * -Infinity if not lately; undefined if this process has read them itself
+     * -Infinity if it has not failed recently; undefined if this process has read them itself
      */
     change(rows: readonly FeedRow[], storeFailedAt?: number): void;
 }
 
-/** How a table is followed. Times are in milliseconds. */
+/** Timing of a watch. Times are in milliseconds. */
 export interface WatchTiming {
     /**
-     * How long one call waits for a change. It bounds how long a connection that has fallen silent stays unnoticed,
-     * and each call has a price.
+     * How long one call waits for a change. A longer wait delays the detection of a silent connection; a shorter one
+     * adds calls, and each call has a cost.
      */
     readonly waitMilliseconds: () => number;
-    /** Pause after a change, so that changes in quick succession come as one answer. */
+    /** Delay after a change, so that changes in quick succession arrive in one answer. */
     readonly mergeMilliseconds: number;
     /** Delay before the full read after a store rollback; randomized so that processes don't all read at once. */
     readonly rereadDelayMilliseconds?: () => number;
@@ -41,22 +41,22 @@
     readonly timing: WatchTiming;
     readonly clock: Clock;
     readonly eventLog: EventLog;
-    /** Told of each answer and each failure of the store, with the time the call took beyond its wait. */
+    /** Called after each call to the store with whether it was answered, and with false after a store rollback. */
     readonly onCall?: (isAnswered: boolean) => void;
     /** Called when the store was restored from an older snapshot. */
     readonly onRolledBack?: () => void;
-    /** News that another process passes on: while it does, the store is not asked. */
+    /** Changes relayed by another process; while it relays them, the store is not called. */
     readonly relay?: RelayedTable;
-    /** Takes what the store has answered, for other processes. */
+    /** Receives the store's answers, to relay them to other processes. */
     readonly reader?: Pick<TableReader, "noteAnswer" | "noteFailure">;
 }
 
-/** Beyond its wait, a call gets this long before its connection counts as silent. */
+/** Time that a call may take beyond its wait before its connection counts as silent. */
 const answerSlackMilliseconds = 500;
 const readTimeoutMilliseconds = 1_000;
-/** First and longest pause after a failed call; between them it doubles. */
+/** First and maximum delay after a failed call; the delay doubles with each consecutive failure. */
 const firstRetryMilliseconds = 250;
-const longestRetryMilliseconds = 1_200;
+const maxRetryMilliseconds = 1_200;
 
 /** A store rollback after which the table has not been read in full yet. */
 interface Rollback {
@@ -65,7 +65,9 @@
     readonly detectedAt: number;
 }
 
-/** Follows one table until the signal is aborted: reads it whole, then takes its changes, and anew after a loss. */
+/**
+ * Watches one table until the signal is aborted: reads it in full, then its changes, and in full again after a loss.
+ */
 export async function watchTable(options: WatchTableOptions, signal: AbortSignal): Promise<void> {
     const { feed, observer, timing, clock } = options;
     let position: StorePosition | undefined;
@@ -74,9 +76,10 @@
     let retryMilliseconds = firstRetryMilliseconds;
     let isReachable = true;
 
-    const noteRollback = (fromEra: number) => {
+    const recordRollback = (fromEra: number) => {
         rollback = { fromEra, detectedAt: clock.monotonicNow() };
-        // Entries written after the snapshot are missing until rewritten; a reported failure makes them lapse as in an outage.
+        // Entries written after the snapshot are missing until rewritten. Reporting a failed call gives them the same
+        // grace time as after an outage.
         options.onCall?.(false);
         options.onRolledBack?.();
     };
@@ -96,8 +99,8 @@
         }
     };
 
-    /** @returns the pause before the next call */
-    const take = (page: RelayedPage): number => {
+    /** @returns the delay before the next call, in milliseconds */
+    const applyPage = (page: RelayedPage): number => {
         const previousEra = era ?? page.position.era;
         if (page.position.era < previousEra) {
             // Ignores a late answer from before the rollback.
@@ -105,7 +108,7 @@
         }
         era = page.position.era;
         if (era > previousEra) {
-            noteRollback(previousEra);
+            recordRollback(previousEra);
         }
         if (page.isHistoryLost || position !== undefined && era > previousEra) {
             position = undefined;
@@ -122,7 +125,7 @@
         return page.rows.length > 0 ? timing.mergeMilliseconds : 0;
     };
 
-    const noteReachable = (reachable: boolean, reason?: string) => {
+    const recordReachability = (reachable: boolean, reason?: string) => {
         options.onCall?.(reachable);
         if (reachable !== isReachable) {
             isReachable = reachable;
@@ -131,7 +134,7 @@
         }
     };
 
-    const askStore = () => {
+    const requestPage = () => {
         const now = clock.monotonicNow();
         // The first call after a failure does not wait for changes, so that a rollback is detected at once.
         const wait = isReachable ? timing.waitMilliseconds() : 0;
@@ -140,44 +143,44 @@
             : feed.waitForChanges(position, wait, now + wait + answerSlackMilliseconds);
     };
 
-    /** @returns the pause before the next call */
-    const takeAnswer = (answer: Result<FeedPage, Failure>): number => {
-        noteReachable(answer.isOk, answer.isErr ? answer.error.message : undefined);
+    /** @returns the delay before the next call, in milliseconds */
+    const applyAnswer = (answer: Result<FeedPage, Failure>): number => {
+        recordReachability(answer.isOk, answer.isErr ? answer.error.message : undefined);
         if (answer.isErr) {
             options.reader?.noteFailure(options.name);
-            const pause = retryMilliseconds;
-            retryMilliseconds = Math.min(longestRetryMilliseconds, retryMilliseconds * 2);
-            return pause;
+            const delay = retryMilliseconds;
+            retryMilliseconds = Math.min(maxRetryMilliseconds, retryMilliseconds * 2);
+            return delay;
         }
         options.reader?.noteAnswer(options.name, answer.value, position);
         retryMilliseconds = firstRetryMilliseconds;
-        return take(answer.value);
+        return applyPage(answer.value);
     };
 
-    /** Takes what coordinators pass on, if any does, for the time in which the store is not asked. */
-    const takeRelayedUntil = async (until: number) => {
+    /** Applies changes that coordinators relay, if any, while the store is not called. */
+    const applyRelayedUntil = async (until: number) => {
         while (position !== undefined && clock.monotonicNow() < until && !signal.aborted) {
             const relayed = await options.relay?.nextUntil(position, until, signal);
             if (!relayed) {
                 return;
             }
-            take(relayed);
+            applyPage(relayed);
         }
     };
 
     while (!signal.aborted) {
         const relayed = position === undefined ? undefined : await options.relay?.next(position, signal);
         if (relayed) {
-            const pause = take(relayed);
+            const delay = applyPage(relayed);
             if (position === undefined) {
-                await clock.sleepUntil(clock.monotonicNow() + pause, signal);
+                await clock.sleepUntil(clock.monotonicNow() + delay, signal);
             }
         }
         else if (!signal.aborted) {
-            const answer = await askStore();
-            const nextAt = clock.monotonicNow() + takeAnswer(answer);
+            const answer = await requestPage();
+            const nextAt = clock.monotonicNow() + applyAnswer(answer);
             if (answer.isErr) {
-                await takeRelayedUntil(nextAt);
+                await applyRelayedUntil(nextAt);
             }
             await clock.sleepUntil(nextAt, signal);
         }
