--- a/packages/daisyturn/src/process/forwarding/limits/__tests__/createOverloadGuard.test.ts
+++ b/packages/daisyturn/src/process/forwarding/limits/__tests__/createOverloadGuard.test.ts
@@ -3,7 +3,7 @@
 import { test } from "node:test";
 import { createOverloadGuard } from "../createOverloadGuard.js";
 
-/** A clock on which each sleep ends as late as the test says. */
+/** A clock on which each sleep ends `late` milliseconds after its deadline. */
 class LateClock extends Clock {
     late = 0;
     now = 0;
@@ -26,7 +26,7 @@
     return createOverloadGuard({ clock, random: createSeededRandom(1), eventLog, sampleUtilization });
 }
 
-test("refusals grow with the lag and fade with it, and a lasting lag sends new connections elsewhere", async () => {
+test("refusals increase and decrease with the lag, and a lasting lag counts as a persistent overload", async () => {
     const clock = new LateClock();
     const eventLog = new MemoryEventLog();
     const guard = createGuard(clock, eventLog);
@@ -59,7 +59,7 @@
     await running;
 });
 
-test("calls are refused within a turn that is long already, before any timer could fire", async () => {
+test("calls are refused within a long turn of the event loop before any timer can fire", async () => {
     const clock = new LateClock();
     const guard = createGuard(clock, new MemoryEventLog());
     const stop = new AbortController();
@@ -72,7 +72,7 @@
     await running;
 });
 
-test("an event loop that is never idle refuses more and more, and fewer again once it has idle time", async () => {
+test("refusals increase while the event loop is never idle and decrease once it has idle time", async () => {
     const clock = new LateClock();
     let utilization = 1;
     const guard = createGuard(clock, new MemoryEventLog(), () => utilization);
@@ -98,7 +98,7 @@
     await running;
 });
 
-test("a process without calls sets no timer, and measures again from the next call on", async () => {
+test("a process without calls sets no timer and resumes measuring with the next call", async () => {
     const clock = new FakeClock();
     let timers = 0;
     class CountingClock extends Clock {
--- a/packages/daisyturn/src/process/forwarding/limits/__tests__/createSizeFairness.test.ts
+++ b/packages/daisyturn/src/process/forwarding/limits/__tests__/createSizeFairness.test.ts
@@ -2,8 +2,13 @@
 import { describe, it } from "node:test";
 import { createSizeFairness, type SizeFairness } from "../createSizeFairness.js";
 
-/** Takes prompts of these lengths in, of which those of a length in the second list are not served. */
-function account(fairness: SizeFairness, lengths: readonly number[], unserved: readonly number[], route = "route") {
+/** Records ended prompts of these lengths; prompts whose length is in the second list are not served. */
+function recordPrompts(
+    fairness: SizeFairness,
+    lengths: readonly number[],
+    unserved: readonly number[],
+    route = "route",
+) {
     for (const tokens of lengths) {
         fairness.begin(route, tokens).end(!unserved.includes(tokens));
     }
@@ -13,70 +18,71 @@
 const forty = [...tenLengths, ...tenLengths, ...tenLengths, ...tenLengths];
 
 describe("fairness by size", () => {
-    it("owes the longest prompts service where they alone are refused", () => {
+    it("reports the longest prompts as underserved if only they are refused", () => {
         const fairness = createSizeFairness();
-        account(fairness, forty, [10_000]);
+        recordPrompts(fairness, forty, [10_000]);
         assert.equal(fairness.begin("route", 10_000).isUnderserved(), true);
         assert.equal(fairness.begin("route", 50_000).isUnderserved(), true);
         assert.equal(fairness.begin("route", 1_000).isUnderserved(), false);
         assert.equal(fairness.begin("route", 6_000).isUnderserved(), false);
     });
 
-    // Guards against the longest being served hardly more than half as often as all, which misses the promise now and then.
-    it("owes the longest prompts service where they are served two thirds as often as all", () => {
+    // Guards against the longest prompts being served hardly more than half as often as all, which at times violates
+    // the guaranteed half.
+    it("reports the longest prompts as underserved if they are served two thirds as often as all", () => {
         const fairness = createSizeFairness();
-        account(fairness, forty, []);
-        account(fairness, [10_000, 10_000], [10_000]);
+        recordPrompts(fairness, forty, []);
+        recordPrompts(fairness, [10_000, 10_000], [10_000]);
         assert.equal(fairness.begin("route", 10_000).isUnderserved(), true);
     });
 
-    it("owes prompts of middle length nothing where the longest alone are refused", () => {
+    it("does not report prompts of medium length as underserved if only the longest are refused", () => {
         const fairness = createSizeFairness();
-        account(fairness, forty, [9_000, 10_000]);
+        recordPrompts(fairness, forty, [9_000, 10_000]);
         assert.equal(fairness.begin("route", 10_000).isUnderserved(), true);
         assert.equal(fairness.begin("route", 6_000).isUnderserved(), false);
     });
 
-    it("owes nobody anything where all lengths are refused alike, or none", () => {
+    it("reports no prompt as underserved if all lengths are refused equally or none is refused", () => {
         for (const unserved of [[], tenLengths]) {
             tenLengths.forEach(tokens => {
                 const fairness = createSizeFairness();
-                account(fairness, forty, unserved);
+                recordPrompts(fairness, forty, unserved);
                 assert.equal(fairness.begin("route", tokens).isUnderserved(), false);
             });
         }
     });
 
-    it("does not go by a single one, the longest of all, which no other is like", () => {
+    it("does not decide by a single prompt that is longer than all others", () => {
         const fairness = createSizeFairness();
-        account(fairness, forty, []);
-        account(fairness, [60_000], [60_000]);
+        recordPrompts(fairness, forty, []);
+        recordPrompts(fairness, [60_000], [60_000]);
         assert.equal(fairness.begin("route", 60_000).isUnderserved(), false);
     });
 
-    it("is even once the longest are served again, and forgets what lies far back", () => {
+    it("forgets older prompts and reports nothing once the longest prompts are served again", () => {
         const fairness = createSizeFairness();
-        account(fairness, forty, [10_000]);
-        account(fairness, forty, []);
-        account(fairness, forty, []);
+        recordPrompts(fairness, forty, [10_000]);
+        recordPrompts(fairness, forty, []);
+        recordPrompts(fairness, forty, []);
         assert.equal(fairness.begin("route", 10_000).isUnderserved(), false);
     });
 
-    // Guards against starvation that goes unseen for as long as the longest prompts wait in vain.
-    it("does not take prompts under way for served ones", () => {
+    // Guards against starvation that is not detected while the longest prompts are still waiting.
+    it("does not count prompts in progress as served", () => {
         const fairness = createSizeFairness();
-        account(fairness, forty, [10_000]);
+        recordPrompts(fairness, forty, [10_000]);
         for (let count = 0; count < 20; count++) {
             fairness.begin("route", 10_000);
         }
         assert.equal(fairness.begin("route", 10_000).isUnderserved(), true);
     });
 
-    it("keeps the account of each route by itself, and says nothing of a route that is hardly known", () => {
+    it("counts each route separately and reports no prompt of a route with few prompts as underserved", () => {
         const fairness = createSizeFairness();
-        account(fairness, forty, [10_000], "other");
+        recordPrompts(fairness, forty, [10_000], "other");
         assert.equal(fairness.begin("route", 10_000).isUnderserved(), false);
-        account(fairness, [1_000, 1_000, 10_000], [10_000]);
+        recordPrompts(fairness, [1_000, 1_000, 10_000], [10_000]);
         assert.equal(fairness.begin("route", 10_000).isUnderserved(), false);
     });
 });
--- a/packages/daisyturn/src/process/forwarding/limits/createLongPrefillTimes.ts
+++ b/packages/daisyturn/src/process/forwarding/limits/createLongPrefillTimes.ts
@@ -1,26 +1,26 @@
-/** How long the long prompts of each route take to read, from recent prompts, whether they were admitted or not. */
+/** Tracks the prefill times of the long prompts of each route, from recent prompts, whether admitted or not. */
 export interface LongPrefillTimes {
-    /** @param milliseconds time to read a prompt at an engine that nothing slows */
+    /** @param milliseconds prefill time of a prompt on an engine without other load */
     record(route: string, milliseconds: number): void;
-    /** Milliseconds within which nearly all prompts of the route are read; 0 if none is known. */
+    /** Milliseconds within which the prefill of nearly all prompts of the route ends; 0 if none is known. */
     find(route: string): number;
 }
 
-const rememberedPrompts = 128;
-/** The rest are too few to keep the queue short for them. */
+const maxPrompts = 128;
+/** The longest remaining prompts are too few to justify keeping the queue short for them. */
 const coveredFraction = 0.95;
-/** Routes with readings; beyond, the one that was noted first is dropped. */
-const mostRoutes = 64;
+/** Beyond this many routes, the one that was recorded first is dropped. */
+const maxRoutes = 64;
 
-/** Creates the readings that one process knows of. */
+/** Creates the prefill times of one process. */
 export function createLongPrefillTimes(): LongPrefillTimes {
     const routes = new Map<string, number[]>();
     return {
         record: (route, milliseconds) => {
-            const readings = routes.get(route) ?? [];
-            routes.set(route, [...readings, milliseconds].slice(-rememberedPrompts));
+            const times = routes.get(route) ?? [];
+            routes.set(route, [...times, milliseconds].slice(-maxPrompts));
             const oldest = routes.keys().next().value;
-            if (routes.size > mostRoutes && oldest !== undefined) {
+            if (routes.size > maxRoutes && oldest !== undefined) {
                 routes.delete(oldest);
             }
         },
--- a/packages/daisyturn/src/process/forwarding/limits/createOverloadGuard.ts
+++ b/packages/daisyturn/src/process/forwarding/limits/createOverloadGuard.ts
@@ -1,10 +1,10 @@
 import { type Clock, EventKind, type EventLog, type Random } from "daisyturn-utils";
 
-/** Protects a process that has more to do than its processor bears. */
+/** Protects a process from more load than its processor can handle. */
 export interface OverloadGuard {
-    /** Whether a call that arrives now is to be refused at once, so that those before it are served in time. */
+    /** Whether a call that arrives now should be refused at once, so that earlier calls are served on time. */
     shouldRefuse(): boolean;
-    /** Whether the process has been overloaded for so long that new connections should go elsewhere. */
+    /** Whether the overload has lasted so long that new connections should go to other processes. */
     isPersistentlyOverloaded(): boolean;
     run(signal: AbortSignal): Promise<void>;
 }
@@ -14,60 +14,63 @@
     readonly clock: Clock;
     readonly random: Random;
     readonly eventLog: EventLog;
-    /** Part of the time since the last call, from 0 to 1, in which the event loop was busy. */
+    /** Returns the fraction of the time since its last call, from 0 to 1, in which the event loop was busy. */
     readonly sampleUtilization: () => number;
 }
 
-/** Pause between two measurements. */
-const measureMilliseconds = 25;
-/** With no call for this long, a process below this utilization stops measuring until the next one: wake-ups cost time. */
+/** Interval between two measurements. */
+const measureIntervalMilliseconds = 25;
+/**
+ * Without calls for this long, a process below this utilization stops measuring until the next call, because wake-ups
+ * cost processor time.
+ */
 const idleMilliseconds = 150;
 const idleUtilization = 0.5;
 /**
- * Lag from which calls are refused, and at which most are. Above half a second the process would pass calls on whose
- * callers have long left: their closed connections wait in the same queue.
+ * Lag at which refusals begin, and at which they reach their maximum. Above half a second, the process would forward
+ * calls whose callers have left, because the events of their closed connections wait in the same queue.
  */
 const firstLagMilliseconds = 80;
 const fullLagMilliseconds = 300;
-const mostRefused = 0.9;
+const maxRefusedFraction = 0.9;
 /**
- * An event loop that is never idle has connections waiting in the kernel's queue, where no lag shows. From this part of
- * the time on, more and more calls are refused, and fewer again below it.
+ * An event loop that is never idle leaves connections waiting in the kernel's queue, which the lag does not show. Above
+ * this utilization, the fraction of refused calls increases with each measurement; below it, the fraction decreases.
  */
 const fullUtilization = 0.96;
-const refusalRise = 0.04;
-const refusalFall = 0.02;
-/** Weight of one measurement in the utilization, and of a lag that is below the one before. */
+const refusalIncrease = 0.04;
+const refusalDecrease = 0.02;
+/** Weight of a measurement in the smoothed utilization, and in the lag if it is lower than the previous lag. */
 const utilizationWeight = 0.25;
-const fallingWeight = 0.25;
-/** An overload that lasts so long is no passing burst. */
-const overwhelmedMilliseconds = 700;
+const decreasingLagWeight = 0.25;
+/** An overload that lasts longer than this is not a short burst. */
+const persistentOverloadMilliseconds = 700;
 
 /** Creates the guard of one process: it measures how late its own timer fires and how busy the event loop is. */
 export function createOverloadGuard(options: OverloadGuardOptions): OverloadGuard {
     const { clock, random, eventLog } = options;
     let lag = 0;
     let utilization = 0;
-    /** Part of the calls that is refused for the utilization's sake. */
-    let refusedPart = 0;
-    /** Monotonic time of the next measurement; what is past it has not been measured yet. */
+    /** Fraction of the calls that is refused because of the utilization. */
+    let refusedFraction = 0;
+    /** Monotonic time at which the next measurement is due; time beyond it is lag that has not been measured yet. */
     let dueAt = Infinity;
     let overloadedSince: number | undefined;
     let lastCallAt = clock.monotonicNow();
-    /** Resumes measuring; undefined while it goes on. */
+    /** Resumes measuring; undefined while measuring is active. */
     let resume: (() => void) | undefined;
 
     const measure = () => {
-        const late = Math.max(0, clock.monotonicNow() - dueAt);
-        lag = late > lag ? late : lag + (late - lag) * fallingWeight;
+        const delay = Math.max(0, clock.monotonicNow() - dueAt);
+        lag = delay > lag ? delay : lag + (delay - lag) * decreasingLagWeight;
         utilization += (options.sampleUtilization() - utilization) * utilizationWeight;
-        refusedPart = utilization > fullUtilization
-            ? Math.min(mostRefused, refusedPart + refusalRise)
-            : Math.max(0, refusedPart - refusalFall);
-        noteState(lag >= firstLagMilliseconds || refusedPart > 0);
+        refusedFraction = utilization > fullUtilization
+            ? Math.min(maxRefusedFraction, refusedFraction + refusalIncrease)
+            : Math.max(0, refusedFraction - refusalDecrease);
+        recordState(lag >= firstLagMilliseconds || refusedFraction > 0);
     };
 
-    const noteState = (isOverloaded: boolean) => {
+    const recordState = (isOverloaded: boolean) => {
         if (isOverloaded === (overloadedSince !== undefined)) {
             return;
         }
@@ -81,7 +84,7 @@
     const recordCall = () => {
         lastCallAt = clock.monotonicNow();
         if (resume) {
-            dueAt = lastCallAt + measureMilliseconds;
+            dueAt = lastCallAt + measureIntervalMilliseconds;
             // The time without measurements was idle.
             options.sampleUtilization();
             resume();
@@ -92,7 +95,7 @@
         overloadedSince === undefined && utilization < idleUtilization
         && clock.monotonicNow() - lastCallAt > idleMilliseconds;
 
-    const untilCall = (signal: AbortSignal) =>
+    const waitForCall = (signal: AbortSignal) =>
         new Promise<void>(resolve => {
             dueAt = Infinity;
             resume = () => {
@@ -106,20 +109,20 @@
     return {
         shouldRefuse: () => {
             recordCall();
-            // A flood of connections is taken in one turn, in which no timer fires.
+            // A flood of connections is accepted in one turn of the event loop, in which no timer fires.
             const lagNow = Math.max(lag, clock.monotonicNow() - dueAt);
             const excess = (lagNow - firstLagMilliseconds) / (fullLagMilliseconds - firstLagMilliseconds);
-            const part = Math.max(refusedPart, Math.min(1, excess) * mostRefused);
-            return part > 0 && random.fraction() < part;
+            const fraction = Math.max(refusedFraction, Math.min(1, excess) * maxRefusedFraction);
+            return fraction > 0 && random.fraction() < fraction;
         },
         isPersistentlyOverloaded: () =>
-            overloadedSince !== undefined && clock.monotonicNow() - overloadedSince > overwhelmedMilliseconds,
+            overloadedSince !== undefined && clock.monotonicNow() - overloadedSince > persistentOverloadMilliseconds,
         run: async signal => {
             while (!signal.aborted) {
                 if (isIdle()) {
-                    await untilCall(signal);
+                    await waitForCall(signal);
                 }
-                dueAt = clock.monotonicNow() + measureMilliseconds;
+                dueAt = clock.monotonicNow() + measureIntervalMilliseconds;
                 await clock.sleepUntil(dueAt, signal);
                 measure();
             }
--- a/packages/daisyturn/src/process/forwarding/limits/createWindowedRetryBudget.ts
+++ b/packages/daisyturn/src/process/forwarding/limits/createWindowedRetryBudget.ts
@@ -1,26 +1,26 @@
 import { type Clock, createDecayingRate, type DecayingRate } from "daisyturn-utils";
 
-/** How many repeated sends all processes together may add to a service's requests within a window. */
+/** Limit on the repeated sends that all processes together may add to a service's requests within a window. */
 export interface RetryAllowance {
-    /** Repeated sends for each request. */
+    /** Repeated sends per request. */
     readonly ratio: number;
     /** Length of the window, in milliseconds. */
     readonly windowMilliseconds: number;
 }
 
-/** Keeps this process's repeated sends below its part of what the whole fleet may add. */
+/** Limits this process's repeated sends to its share of what the whole fleet may add. */
 export interface WindowedRetryBudget {
     recordRequest(service: string): void;
-    /** Takes one repeated send if the window has room for it. */
+    /** Acquires one repeated send if the window's budget allows it. */
     tryAcquire(service: string): boolean;
 }
 
 /**
- * Part of the allowed ratio that is used. The rest covers that processes estimate the window by exponential decay, and
- * that requests sent to processes that died count nowhere.
+ * Fraction of the allowed ratio that is used. The margin covers the error of estimating the window by exponential
+ * decay, and requests sent to processes that have crashed, which no process counts.
  */
 const usedFraction = 0.75;
-/** Repeated sends that are free in a window: without them, a process with little work could never retry. */
+/** Repeated sends that are always allowed in a window. Without them, a process with few requests could never retry. */
 const freeSends = 3;
 
 interface ServiceWindow {
--- a/packages/daisyturn/src/process/forwarding/limits/measureSize.ts
+++ b/packages/daisyturn/src/process/forwarding/limits/measureSize.ts
@@ -1,12 +1,14 @@
 import type { PromptDescription } from "../../../ports/forwardedCall.js";
 
-/** The lengths that make up the size of a prompt. */
+/** The lengths from which the size of a prompt is computed. */
 export type SizedPrompt = Pick<PromptDescription, "promptTokens" | "maxOutputTokens">;
 
-/** What an output token costs an engine, in prompt tokens: it takes a step of its own, where prompts are read in chunks. */
+/**
+ * Cost of an output token in prompt tokens. It takes an engine step of its own, while prompts are prefilled in chunks.
+ */
 const outputTokenWeight = 10;
 
-/** Size of a prompt with its answer, in prompt tokens; prompts of a route are compared by it. */
+/** Returns the size of a prompt with its answer, in prompt tokens. Prompts of a route are compared by this size. */
 export function measureSize({ promptTokens, maxOutputTokens }: SizedPrompt): number {
     return promptTokens + maxOutputTokens * outputTokenWeight;
 }
