--- a/packages/daisyturn/src/process/forwarding/__fixtures__/placementBench.ts
+++ b/packages/daisyturn/src/process/forwarding/__fixtures__/placementBench.ts
@@ -8,17 +8,17 @@
 import { createCallPlacement } from "../placement/createCallPlacement.js";
 import { createTargetViews } from "../views/createTargetViews.js";
 
-/** Long prompts share a beginning of this many tokens. */
+/** Long prompts share a prefix of this many tokens. */
 export const sharedTokens = 13_000;
 const ownTokens = 4_000;
 
-/** The service that the placement tests use; its figures are those of a model of some ten billion parameters. */
+/** The service of the placement tests, with the figures of a model of about ten billion parameters. */
 export const engineService: ForwardService = {
     name: "engines",
     engine: { kvTokens: 385_000, bytesPerToken: 163_840, linkMegabits: 1_300_000, tokensPerEvent: 9 },
 };
 
-/** A long prompt whose beginning many others share. */
+/** Creates a long prompt whose prefix many other prompts share. */
 export function createLongPrompt(shared: string, own: string): PromptDescription {
     return {
         model: "m",
@@ -29,7 +29,7 @@
     };
 }
 
-/** A short prompt with a short answer. */
+/** Creates a short prompt with a short answer. */
 export function createShortPrompt(own: string): PromptDescription {
     return {
         model: "m",
@@ -40,7 +40,7 @@
     };
 }
 
-/** Asks for the placement of a prompt. */
+/** Creates the requirements for the placement of a prompt. */
 export function createDemand(prompt: PromptDescription, changes: Partial<PromptRequirements> = {}): PromptRequirements {
     return {
         service: engineService,
@@ -56,7 +56,7 @@
     };
 }
 
-/** A placement policy over real views, on a clock that the test moves. */
+/** Creates a placement policy over real views, on a clock that the test controls. */
 export function createPlacementBench(
     stages: readonly (EngineStage | undefined)[],
     seed = 1,
--- a/packages/daisyturn/src/process/forwarding/__tests__/sizeCounts.test.ts
+++ b/packages/daisyturn/src/process/forwarding/__tests__/sizeCounts.test.ts
@@ -4,7 +4,7 @@
 import { createSizeCounts } from "../createSizeCounts.js";
 import { reportSizeCounts } from "../reportSizeCounts.js";
 
-test("prompts are counted by route and size, and each is told once", () => {
+test("prompts are counted by route and size, and each is drained once", () => {
     const counts = createSizeCounts();
     counts.record("long", 17_000, true);
     counts.record("long", 17_001, false);
@@ -17,7 +17,7 @@
     assert.deepEqual(counts.drain(), []);
 });
 
-test("a class of sizes holds no prompt that is smaller than it says, or a quarter larger", () => {
+test("a size class contains no prompt below its least size or more than a quarter above it", () => {
     const counts = createSizeCounts();
     for (const tokens of [1, 2, 3, 511, 512, 513, 16_384, 100_000]) {
         counts.record("route", tokens, true);
@@ -26,7 +26,7 @@
     }
 });
 
-test("each route's counts are logged in one line, and nothing where none has ended", async () => {
+test("the counts of each route are logged in one line, and nothing is logged if no prompt has ended", async () => {
     const clock = new FakeClock();
     const eventLog = new MemoryEventLog();
     const sizeCounts = createSizeCounts();
--- a/packages/daisyturn/src/process/forwarding/createSizeCounts.ts
+++ b/packages/daisyturn/src/process/forwarding/createSizeCounts.ts
@@ -1,23 +1,23 @@
-/** How many prompts of one route and of about one size ended, and how many of them were answered with success. */
+/** Number of prompts of one route and one size class that ended, and how many of them were answered successfully. */
 export interface SizeCount {
     readonly route: string;
-    /** The least size of the class, as `measureSize` tells it. */
+    /** Smallest size of the class, as returned by `measureSize`. */
     readonly leastSize: number;
     readonly ended: number;
     readonly served: number;
 }
 
 /**
- * Counts prompts by size, whole and without sampling. Whether the largest are refused more often than the others shows in
- * no mean, and single lines are sampled and bounded.
+ * Counts all prompts by size, without sampling. A mean does not show whether the largest prompts are refused more often
+ * than the others, and the log lines of single calls are sampled and limited.
  */
 export interface SizeCounts {
     record(route: string, size: number, isServed: boolean): void;
-    /** What was counted since the last call, by route and size. */
+    /** Returns and resets the counts since the last call, by route and size. */
     drain(): readonly SizeCount[];
 }
 
-/** Classes of size a doubling: fine enough to tell the largest tenth from the fifth below it. */
+/** Size classes per doubling of the size; fine enough to separate the largest tenth from the fifth below it. */
 const classesPerDoubling = 4;
 
 interface Count {
@@ -37,17 +37,17 @@
             classes.set(sizeClass, { ended: ended + 1, served: served + (isServed ? 1 : 0) });
         },
         drain: () => {
-            const taken = routes;
+            const drained = routes;
             routes = new Map();
-            return [...taken].flatMap(([route, classes]) =>
+            return [...drained].flatMap(([route, classes]) =>
                 [...classes]
                     .sort(([left], [right]) => left - right)
-                    .map(([sizeClass, count]) => ({ route, leastSize: leastSizeOf(sizeClass), ...count }))
+                    .map(([sizeClass, count]) => ({ route, leastSize: findLeastSize(sizeClass), ...count }))
             );
         },
     };
 }
 
-function leastSizeOf(sizeClass: number): number {
+function findLeastSize(sizeClass: number): number {
     return Math.ceil(2 ** (sizeClass / classesPerDoubling));
 }
--- a/packages/daisyturn/src/process/forwarding/experiments/mechanism.ts
+++ b/packages/daisyturn/src/process/forwarding/experiments/mechanism.ts
@@ -1,36 +1,36 @@
 /**
- * A mechanism of the decisions on forwarded calls that an experiment can take out by itself, to measure what it is worth
- * under a load. In service, none is taken out.
+ * Mechanisms of forwarding that an experiment can switch off one by one to measure their effect under load. In
+ * production, none is switched off.
  */
 export enum Mechanism {
-    /** Prompts that begin alike look for the same engine first. */
+    /** Prompts with the same prefix have the same preferred engine. */
     Homes = "homes",
-    /** A target of the own availability zone is preferred. */
+    /** A target in the process's own availability zone is preferred. */
     ZonePreference = "zone-preference",
-    /** What engines are believed to keep shortens the reading that is forecast. */
+    /** The estimated contents of engine caches shorten the forecast prefill. */
     CacheBeliefs = "cache-beliefs",
-    /** An engine that lacks the beginning of a prompt fetches its KV cache from one that keeps it. */
+    /** An engine that has not cached the prefix of a prompt fetches its KV cache from an engine that has. */
     KvFetch = "kv-fetch",
-    /** How slow each engine has shown itself to be scales its forecasts. */
+    /** The forecasts for an engine are scaled by its estimated slowdown. */
     Pace = "pace",
-    /** How fast engines read prompts is learned, in place of the rates of one model. */
+    /** Prefill rates are learned from the engines instead of being those of one model. */
     PrefillRates = "prefill-rates",
-    /** What reading would do to the pauses of answers decides where prompts are read and answers decoded. */
+    /** The placement of prefill and decode takes into account how prefill lengthens the pauses of answers. */
     PauseForecast = "pause-forecast",
-    /** Engines that decode read prompts too, while others only read. */
+    /** Decode engines also prefill prompts, beside the engines that only prefill. */
     ReadingAtDecoders = "reading-at-decoders",
-    /** A call that will be late lets all others go first. */
+    /** A call that will be late yields to all others. */
     Deferral = "deferral",
-    /** A call whose answer would begin after its caller has left is refused at once. */
+    /** A call whose answer is forecast to begin after its caller has left is refused at once. */
     RefusalByForecast = "refusal-by-forecast",
-    /** Long prompts whose like were served too seldom keep their place before those that will be late. */
+    /** An underserved long prompt is queued with the calls that can be on time, before those that will be late. */
     SizeFairness = "size-fairness",
-    /** Processes tell each other what they have under way. */
+    /** Processes send each other their work in progress. */
     PeerMessages = "peer-messages",
-    /** Targets that fail are left alone and tried again by few calls. */
+    /** Failing targets receive no work for a while and then a few trial calls. */
     Trust = "trust",
-    /** Engines change between reading and decoding with the demand. */
+    /** Engines change between prefill and decode with the demand. */
     StageChanges = "stage-changes",
-    /** A process that is overloaded refuses some calls at once. */
+    /** An overloaded process refuses some calls at once. */
     OverloadGuard = "overload-guard",
 }
--- a/packages/daisyturn/src/process/forwarding/experiments/switchOffViews.ts
+++ b/packages/daisyturn/src/process/forwarding/experiments/switchOffViews.ts
@@ -1,9 +1,9 @@
 import type { TargetViews } from "../views/createTargetViews.js";
 import { Mechanism } from "./mechanism.js";
 
-/** The views of a process without what these mechanisms take from them; other mechanisms are left as they are. */
+/** Returns the views with these mechanisms switched off where they depend on a view; other mechanisms are unchanged. */
 export function switchOffViews(views: TargetViews, switchedOff: ReadonlySet<Mechanism>): TargetViews {
-    const nothing = () => undefined;
+    const doNothing = () => undefined;
     let { loads, health, caches, slowdowns, prefillRates, demand } = views;
     if (switchedOff.has(Mechanism.CacheBeliefs)) {
         caches = { ...caches, keptTokens: () => 0 };
@@ -12,12 +12,12 @@
         slowdowns = { ...slowdowns, factor: () => 1 };
     }
     if (switchedOff.has(Mechanism.PrefillRates)) {
-        prefillRates = { ...prefillRates, observe: nothing, recordRemote: nothing };
+        prefillRates = { ...prefillRates, observe: doNothing, recordRemote: doNothing };
     }
     if (switchedOff.has(Mechanism.PeerMessages)) {
-        loads = { ...loads, recordPeer: nothing };
-        demand = { ...demand, recordPeer: nothing };
-        caches = { ...caches, recordRemote: nothing };
+        loads = { ...loads, recordPeer: doNothing };
+        demand = { ...demand, recordPeer: doNothing };
+        caches = { ...caches, recordRemote: doNothing };
     }
     if (switchedOff.has(Mechanism.Trust)) {
         health = { ...health, selectTrusted: targets => targets };
--- a/packages/daisyturn/src/process/forwarding/forwardingMetrics.ts
+++ b/packages/daisyturn/src/process/forwarding/forwardingMetrics.ts
@@ -1,4 +1,4 @@
-/** How a call ended, for counters; few values, so that labels stay few. */
+/** How a call ended. Used as a metric label, so the number of values is kept small. */
 export enum CallOutcome {
     OnTime = "on_time",
     /** The answer began too late. */
@@ -9,24 +9,24 @@
     TargetError = "target_error",
     Refused = "refused",
     Failed = "failed",
-    /** The answer was broken off after it had begun. */
+    /** The answer ended early after it had begun. */
     BrokenOff = "broken_off",
     /** The caller left first. */
     Cancelled = "cancelled",
 }
 
-/** Counts calls. Where the counts go is for whoever embeds the library to say. */
+/** Counts calls. The application that embeds the library decides where the counts are published. */
 export abstract class ForwardingMetrics {
     /**
      * @param milliseconds from the call's arrival to the first byte of its answer
      * @param longestPause milliseconds between two events of its answer; 0 where it had fewer
      */
     abstract recordCall(kind: string, outcome: CallOutcome, milliseconds: number, longestPause: number): void;
-    /** Notes one send to a target by its result: `answered`, or the reason of its failure. */
+    /** Records one send to a target by its result: `answered`, or the reason for its failure. */
     abstract recordSend(result: string): void;
 }
 
-/** Counts nothing. */
+/** Discards all counts. */
 export class NoForwardingMetrics extends ForwardingMetrics {
     override recordCall(): void {}
     override recordSend(): void {}
--- a/packages/daisyturn/src/process/forwarding/index.ts
+++ b/packages/daisyturn/src/process/forwarding/index.ts
@@ -1,5 +1,5 @@
 /**
- * Forwarded calls: targets and their load, placement, stages, and what processes tell each other of it.
+ * Forwarded calls: targets and their load, placement, stages, and the coordination between processes.
  *
  * @module
  */
--- a/packages/daisyturn/src/process/forwarding/reportSizeCounts.ts
+++ b/packages/daisyturn/src/process/forwarding/reportSizeCounts.ts
@@ -8,21 +8,21 @@
     readonly eventLog: EventLog;
 }
 
-/** Pause between two reports; a process that is killed loses what it has counted since the last one. */
-const reportMilliseconds = 2_000;
+/** Interval between two reports. A killed process loses its counts since the last report. */
+const reportIntervalMilliseconds = 2_000;
 
 /** Logs a line for each route whose prompts have ended since the last report, until the signal is aborted. */
 export async function reportSizeCounts(options: ReportSizeCountsOptions, signal: AbortSignal): Promise<void> {
     const { sizeCounts, clock, eventLog } = options;
     while (!signal.aborted) {
-        await clock.sleepUntil(clock.monotonicNow() + reportMilliseconds, signal);
+        await clock.sleepUntil(clock.monotonicNow() + reportIntervalMilliseconds, signal);
         groupByRoute(sizeCounts.drain()).forEach((counts, route) => {
             eventLog.record(EventKind.PromptsBySize, { route, sizes: counts.map(formatCount).join(",") });
         });
     }
 }
 
-/** Least size of the class, prompts served and prompts ended. */
+/** Formats a count as `leastSize:served/ended`. */
 function formatCount({ leastSize, served, ended }: SizeCount): string {
     return `${leastSize}:${served}/${ended}`;
 }
