--- a/packages/daisyturn/src/process/forwarding/stages/planStage.ts
+++ b/packages/daisyturn/src/process/forwarding/stages/planStage.ts
@@ -14,15 +14,15 @@
 
 /**
  * Load of the prefill engines above which another engine is moved to prefill. A change makes an engine unavailable for
- * seconds and discards its cache, so shorter bursts are left to the placement of each prompt. Changes at a load of 0.75
- * lowered the share of answers on time.
+ * seconds and discards its cache, so shorter bursts are left to the placement of each prompt. With a threshold of
+ * 0.75, fewer answers were on time.
  */
 const minLoadForPrefill = 1.2;
 /**
  * A decode engine is moved to prefill only while the remaining ones stay below this used fraction of their slots and KV
- * cache. At 0.3, prefill engines stayed overloaded while two thirds of the decode slots were free. At 0.6, the goodput
- * in a long burst of long prompts was higher by 0.05 of the maximum, and twice as many of the longest prompts were
- * served.
+ * cache. With 0.3, prefill engines stayed overloaded while two thirds of the decode slots were free. With 0.6, the
+ * goodput in a long burst of long prompts is higher by 0.05 of the maximum, and twice as many of the longest prompts
+ * are served.
  */
 const maxFillForPrefill = 0.6;
 /** Below this load of the remaining prefill engines, one of them can be spared. */
@@ -43,7 +43,7 @@
 const minDecodeFraction = 0.3;
 export const minDecodeEngines = 2;
 
-/** The minimum number of decoding engines among the given number of engines. */
+/** The minimum number of decode engines among the given number of engines. */
 export function countDecodeEnginesNeeded(engines: number): number {
     return Math.min(engines - 1, Math.max(minDecodeEngines, Math.ceil(engines * minDecodeFraction)));
 }
