--- a/packages/daisyturn/src/process/forwarding/stages/changeStages.ts
+++ b/packages/daisyturn/src/process/forwarding/stages/changeStages.ts
@@ -41,7 +41,7 @@
 const roundsForPrefill = 4;
 /** Used without an engine of a stage or at the minimum of decode engines, where each second of delay loses answers. */
 const roundsWhenMissing = 2;
-/** Returning an engine to decoding gains little and costs seconds of its time, so prefill demand must stay low. */
+/** Returning an engine to decoding gains little and costs seconds of its time, so prefill demand must be low for long. */
 const roundsForDecode = 40;
 const callTimeoutMilliseconds = 1_000;
 /** A change takes seconds. An engine that has not changed by then is reopened. */
