--- a/packages/daisyturn/src/process/forwarding/stages/changeStages.ts
+++ b/packages/daisyturn/src/process/forwarding/stages/changeStages.ts
@@ -41,7 +41,7 @@
 const roundsForPrefill = 4;
 /** Used without an engine of a stage or at the minimum of decode engines, where each second of delay loses answers. */
 const roundsWhenMissing = 2;
-/** Returning an engine to decoding gains little and costs seconds of its time, so prefill demand must be low for long. */
+/** Returning an engine to decode gains little and costs seconds of its time, so prefill demand must be low for long. */
 const roundsForDecode = 40;
 const callTimeoutMilliseconds = 1_000;
 /** A change takes seconds. An engine that has not changed by then is reopened. */
@@ -100,10 +100,10 @@
 
     const planService = (service: string) => {
         const { engines, hasLostEngines } = listLiveEngines(service);
-        const { prefillEngines, decoders } = splitByStage(engines);
+        const { readers, decoders } = splitByStage(engines);
         const decodingFill = computeFill(decoders, options.kvTokens(service));
         const view = {
-            readers: prefillEngines.length,
+            readers: readers.length,
             decoders: decoders.length,
             demand: demand.engines(service),
             decodingFill,
@@ -236,29 +236,29 @@
 
 function splitByStage(engines: readonly ListedTarget[]) {
     return {
-        prefillEngines: engines.filter(({ stage }) => stage === EngineStage.Prefill),
+        readers: engines.filter(({ stage }) => stage === EngineStage.Prefill),
         decoders: engines.filter(({ stage }) => stage !== EngineStage.Prefill),
     };
 }
 
 function findInsufficientStage(engines: readonly ListedTarget[]): EngineStage | undefined {
-    const { prefillEngines, decoders } = splitByStage(engines);
+    const { readers, decoders } = splitByStage(engines);
     if (decoders.length < countDecodeEnginesNeeded(engines.length)) {
         return EngineStage.Decode;
     }
-    return prefillEngines.length === 0 ? EngineStage.Prefill : undefined;
+    return readers.length === 0 ? EngineStage.Prefill : undefined;
 }
 
 function findRoundsNeeded(
     stage: EngineStage,
-    prefillEngines: number,
+    readers: number,
     decoders: number,
     hasLostEngines: boolean,
 ): number {
     if (hasLostEngines && stage === EngineStage.Decode && decoders < minDecodeEngines) {
         return 1;
     }
-    if (prefillEngines === 0 || decoders <= minDecodeEngines) {
+    if (readers === 0 || decoders <= minDecodeEngines) {
         return roundsWhenMissing;
     }
     return stage === EngineStage.Prefill ? roundsForPrefill : roundsForDecode;
