--- a/packages/daisyturn/src/process/forwarding/coordination/messages/loadMessage.ts
+++ b/packages/daisyturn/src/process/forwarding/coordination/messages/loadMessage.ts
@@ -1,6 +1,6 @@
 import type { EndedPrompt } from "../../limits/createSizeFairness.js";
 import type { ClosingList } from "../../targets/createClosedTargets.js";
-import type { PartPlacement } from "../../views/createCacheEstimates.js";
+import type { CachedPart } from "../../views/createCacheEstimates.js";
 import type { EventIntervalObservation } from "../../views/createEventIntervals.js";
 import type { ServiceDemand } from "../../views/createPrefillDemand.js";
 import type { PrefillObservation } from "../../views/createPrefillRates.js";
@@ -34,7 +34,7 @@
     readonly placed: number;
     readonly work: readonly WorkUnderWay[];
     /** Prompt parts that targets have presumably cached since the last message. */
-    readonly kept: readonly PartPlacement[];
+    readonly kept: readonly CachedPart[];
     /** Prefill demand by service. */
     readonly demand: readonly ServiceDemand[];
     readonly closed: readonly ClosingList[];
--- a/packages/daisyturn/src/process/forwarding/index.ts
+++ b/packages/daisyturn/src/process/forwarding/index.ts
@@ -1,5 +1,5 @@
 /**
- * Forwarded calls: targets and their load, placement, stages, and what processes tell each other of it.
+ * Forwarded calls: targets and their load, placement, stages, and the coordination between processes.
  *
  * @module
  */
@@ -21,7 +21,7 @@
 export * from "./placement/createCallPlacement.js";
 export * from "./placement/createLeastRunningPlacement.js";
 export * from "./placement/decidePrompt.js";
-export { toUnsharedMilliseconds } from "./placement/estimatePrefill.js";
+export { normalizePrefillMilliseconds } from "./placement/estimatePrefill.js";
 export * from "./reportSizeCounts.js";
 export * from "./stages/changeStages.js";
 export * from "./stages/planStage.js";
--- a/packages/daisyturn/src/process/forwarding/placement/createLeastRunningPlacement.ts
+++ b/packages/daisyturn/src/process/forwarding/placement/createLeastRunningPlacement.ts
@@ -4,7 +4,7 @@
 import type { TargetList } from "../targets/createTargetList.js";
 import type { TargetLoads } from "../views/createTargetLoads.js";
 import { CallPlacement, type PlacedStep, type PromptPlacement, type PromptRequirements } from "./callPlacement.js";
-import { findLeast } from "./findLeast.js";
+import { findMinBy } from "./findMinBy.js";
 import { groupEngines } from "./groupEngines.js";
 
 /** What {@link createLeastRunningPlacement} needs. */
@@ -14,14 +14,15 @@
     readonly closed: ClosedTargets;
 }
 
-/** Shorter prompts are read where they are decoded: moving their cache takes as long as reading them. */
-const leastSplitTokens = 2_000;
-/** The home of a prompt's beginning is left once so many more calls run there than at the least busy engine. */
-const homeBound = 8;
+/** Shorter prompts are prefilled where they are decoded: moving their KV cache takes as long as prefilling them. */
+const minSplitTokens = 2_000;
+/** The preferred engine is used while it runs at most this many calls more than the least busy engine. */
+const maxExtraCalls = 8;
 
 /**
- * Creates the plain policy that the estimating one is measured against: the target with the least running calls, long
- * prompts read apart at the home of their beginning. It estimates nothing, knows no caches and defers no call.
+ * Creates the baseline policy to which the estimating policy is compared. It chooses the target with the fewest running
+ * calls and prefills long prompts at the preferred engine of their prefix. It makes no estimates, does not know caches
+ * and defers no call.
  */
 export function createLeastRunningPlacement(options: LeastRunningPlacementOptions): CallPlacement {
     const { targets, loads, closed } = options;
@@ -30,30 +31,36 @@
     const listUsable = (service: string, avoid: ReadonlySet<string>) =>
         targets.open(service).filter(target => !closed.isClosed(target.targetId) && !avoid.has(target.targetId));
 
-    const findReader = (engines: readonly ListedTarget[], prompt: PromptDescription, availabilityZone: string) => {
-        const { readers, readerHome } = groupEngines(engines, prompt, availabilityZone);
-        const least = findLeast(readers, callsAt);
-        const home = readers.find(reader => reader.targetId === readerHome);
-        return home && least && callsAt(home) <= callsAt(least) + homeBound ? home : least;
+    const findPrefillEngine = (
+        engines: readonly ListedTarget[],
+        prompt: PromptDescription,
+        availabilityZone: string,
+    ) => {
+        const { prefillEngines, preferredPrefillEngine } = groupEngines(engines, prompt, availabilityZone);
+        const leastBusy = findMinBy(prefillEngines, callsAt);
+        const preferred = prefillEngines.find(engine => engine.targetId === preferredPrefillEngine);
+        return preferred && leastBusy && callsAt(preferred) <= callsAt(leastBusy) + maxExtraCalls
+            ? preferred
+            : leastBusy;
     };
 
     class LeastRunningPlacement extends CallPlacement {
         override placePlain(service: string, avoid: ReadonlySet<string>): ListedTarget | undefined {
-            return findLeast(listUsable(service, avoid), callsAt);
+            return findMinBy(listUsable(service, avoid), callsAt);
         }
 
         override placePrompt(demand: PromptRequirements): PromptPlacement | undefined {
             const { service, prompt, avoid, isWholeOnly, availabilityZone } = demand;
             const engines = listUsable(service.name, avoid);
-            const decode = findLeast(engines.filter(engine => engine.stage !== EngineStage.Prefill), callsAt);
-            const isSplit = !isWholeOnly && prompt.promptTokens > leastSplitTokens;
-            const reader = isSplit ? findReader(engines, prompt, availabilityZone) : undefined;
+            const decode = findMinBy(engines.filter(engine => engine.stage !== EngineStage.Prefill), callsAt);
+            const isSplit = !isWholeOnly && prompt.promptTokens > minSplitTokens;
+            const prefill = isSplit ? findPrefillEngine(engines, prompt, availabilityZone) : undefined;
             return decode && {
                 decode: createStep(decode),
-                prefill: reader && createStep(reader),
+                prefill: prefill && createStep(prefill),
                 firstEvent: 0,
                 soonestEvent: 0,
-                reading: 0,
+                prefillMilliseconds: 0,
                 isDeferred: false,
             };
         }
