--- a/packages/daisyturn/src/process/admission/createAdmission.ts
+++ b/packages/daisyturn/src/process/admission/createAdmission.ts
@@ -74,10 +74,10 @@
         if (accountTicket.isErr) {
             return accountTicket;
         }
-        const answer = await admitToEngines(request, signal);
-        if (answer.isErr) {
+        const result = await admitToEngines(request, signal);
+        if (result.isErr) {
             accountTicket.value.release();
-            return answer;
+            return result;
         }
         return ok<AdmissionTicket, Failure>({
             release: () => {
@@ -98,12 +98,12 @@
             return err(notRun(FailureReason.NoTarget, "No engine is open for this model.", retryAt));
         }
         const latestStart = getFirstTokenDeadline(request) - addMargin(assessment.ownPrefill);
-        const before = queue.engineTimeAhead(request, latestStart);
-        const delay = before / engineCapacity.estimateAdmissionRate(request.partner) * millisecondsPerSecond;
+        const timeAhead = queue.engineTimeAhead(request, latestStart);
+        const delay = timeAhead / engineCapacity.estimateAdmissionRate(request.partner) * millisecondsPerSecond;
         if (!isInTime(request, assessment, delay)) {
             return err(createLateFailure(request, assessment, delay));
         }
-        if (before === 0 && tryAdmit(request)) {
+        if (timeAhead === 0 && tryAdmit(request)) {
             return ok(emptyTicket);
         }
         if (!queue.hasCapacity(request)) {
@@ -148,12 +148,12 @@
         signal: AbortSignal,
     ): Promise<AdmissionResult> =>
         new Promise(resolve => {
-            const settle = (answer: AdmissionResult) => {
+            const settle = (result: AdmissionResult) => {
                 queue.remove(waiting);
                 refusals.delete(waiting);
                 partnerUsage.setWaiting(request.partner, queue.engineTimeOf(request.partner));
                 signal.removeEventListener("abort", cancel);
-                resolve(answer);
+                resolve(result);
             };
             const cancel = () => settle(err(notRun(FailureReason.Cancelled, "The caller closed the connection.")));
             const waiting: WaitingRequest = {
--- a/packages/daisyturn/src/process/admission/engineTurns.ts
+++ b/packages/daisyturn/src/process/admission/engineTurns.ts
@@ -29,7 +29,7 @@
 /** Maximum factor by which a partner's recent usage raises or lowers its probability. */
 const maxBoost = 4;
 /** Added to usage rates, so that ratios of very small rates stay near 1; engine milliseconds per second. */
-const minUsageRate = 100;
+const usageRateOffset = 100;
 
 interface Contender {
     readonly processId: string;
@@ -64,7 +64,7 @@
      * processes overfills the engines more.
      */
     const computeChances = (partners: readonly string[]): Map<string, number> => {
-        const usageLevel = (partner: string) => (partnerUsage.usageRate(partner) + minUsageRate) / weightOf(partner);
+        const usageLevel = (partner: string) => (partnerUsage.usageRate(partner) + usageRateOffset) / weightOf(partner);
         const mean = partners.reduce((sum, partner) => sum + usageLevel(partner), 0) / partners.length;
         const boost = (partner: string) =>
             Math.min(maxBoost, Math.max(1 / maxBoost, (mean / usageLevel(partner)) ** 2));
--- a/packages/daisyturn/src/process/routing/router.ts
+++ b/packages/daisyturn/src/process/routing/router.ts
@@ -52,6 +52,6 @@
 
 /** Chooses engines for requests. */
 export interface Router {
-    /** NotRun failures: NoTarget, Overloaded or DeadlineUnreachable, with `retryAt` from the load estimates. */
+    /** NotRun failures: NoTarget, Overloaded or DeadlineUnreachable, with a realistic `retryAt`. */
     place(request: RoutingRequest): Result<Placement, Failure>;
 }
