--- a/packages/daisyturn-cli/src/commands/logProblems.ts
+++ b/packages/daisyturn-cli/src/commands/logProblems.ts
@@ -1,7 +1,7 @@
 import { CommandError } from "../commandError.js";
 import { ExitCode } from "../exitCode.js";
 import type { Terminal } from "../terminal.js";
-import type { BrokenLine } from "../timeLine/index.js";
+import type { LineProblem } from "../timeLine/index.js";
 
 const toldProblems = 20;
 
@@ -9,7 +9,7 @@
 export function createProblemTeller(terminal: Terminal) {
     let count = 0;
     return {
-        tell: ({ source, line, problem }: BrokenLine) => {
+        tell: ({ source, line, problem }: LineProblem) => {
             count += 1;
             if (count <= toldProblems) {
                 terminal.writeError(`${source}:${line}: ${problem}\n`);
--- a/packages/daisyturn-cli/src/timeLine/__tests__/mergeEvents.test.ts
+++ b/packages/daisyturn-cli/src/timeLine/__tests__/mergeEvents.test.ts
@@ -4,18 +4,18 @@
 import { describe, it } from "node:test";
 import { createLoggedProcess } from "../__fixtures__/createLogText.js";
 import {
-    type BrokenLine,
     createEventFilter,
     drawTimeLine,
     type EventFilter,
     formatEvent,
+    type LineProblem,
     mergeEvents,
     orderEvents,
     readEvents,
     type TimedEvent,
 } from "../index.js";
 
-async function merge(texts: readonly string[], onBroken: (broken: BrokenLine) => void = () => undefined) {
+async function merge(texts: readonly string[], onBroken: (broken: LineProblem) => void = () => undefined) {
     const events: TimedEvent[] = [];
     const logs = texts.map((...[text, index]) =>
         orderEvents(readEvents(Readable.from([text]), `log-${index}`, onBroken), onBroken)
@@ -47,7 +47,7 @@
     it("tells of broken lines by file and line, and goes on", async () => {
         const log = createLoggedProcess("entry-1", new FakeClock());
         log.eventLog.record(EventKind.ProcessReady);
-        const broken: BrokenLine[] = [];
+        const broken: LineProblem[] = [];
         const events = await merge(
             [`half a li\n${log.text()}stamp=nonsense event=x process=y\n`],
             one => broken.push(one),
@@ -63,7 +63,7 @@
             logs[step % 2]?.eventLog.record(EventKind.Fault, { step });
             await clock.advance(1);
         }
-        const broken: BrokenLine[] = [];
+        const broken: LineProblem[] = [];
         const text = logs.map(log => log.text()).join("");
         const events = await merge([text], one => broken.push(one));
         assert.deepEqual(
--- a/packages/daisyturn-cli/src/timeLine/index.ts
+++ b/packages/daisyturn-cli/src/timeLine/index.ts
@@ -6,4 +6,4 @@
 export { orderEvents } from "./orderEvents.js";
 export { parseEventLine } from "./parseEventLine.js";
 export { readEvents } from "./readEvents.js";
-export type { BrokenLine, TimedEvent } from "./timedEvent.js";
+export type { LineProblem, TimedEvent } from "./timedEvent.js";
--- a/packages/daisyturn-cli/src/timeLine/orderEvents.ts
+++ b/packages/daisyturn-cli/src/timeLine/orderEvents.ts
@@ -1,4 +1,4 @@
-import type { BrokenLine, TimedEvent } from "./timedEvent.js";
+import type { LineProblem, TimedEvent } from "./timedEvent.js";
 
 /** Events of one log that are held back to be put in order. */
 const heldEvents = 200;
@@ -10,7 +10,7 @@
  */
 export async function* orderEvents(
     events: AsyncIterable<TimedEvent>,
-    onBroken: (broken: BrokenLine) => void,
+    onBroken: (broken: LineProblem) => void,
 ): AsyncGenerator<TimedEvent> {
     const held: TimedEvent[] = [];
     let last = "";
--- a/packages/daisyturn-cli/src/timeLine/timedEvent.ts
+++ b/packages/daisyturn-cli/src/timeLine/timedEvent.ts
@@ -16,7 +16,7 @@
 }
 
 /** A line that is no event. */
-export interface BrokenLine {
+export interface LineProblem {
     readonly source: string;
     /** Counted from 1. */
     readonly line: number;
--- a/packages/daisyturn-standins/src/demo/runDemo.ts
+++ b/packages/daisyturn-standins/src/demo/runDemo.ts
@@ -1,5 +1,5 @@
 import { ChangeAction, type ChangeAnswer, HoldKind, type ItemChange, ItemKind } from "daisyturn";
-import { type BrokenLine, drawTimeLine, mergeEvents, openLogs, type TimedEvent } from "daisyturn-cli";
+import { drawTimeLine, type LineProblem, mergeEvents, openLogs, type TimedEvent } from "daisyturn-cli";
 import { writeFileSync } from "node:fs";
 import * as path from "node:path";
 import { createFleetPlan } from "../fleet/createFleetPlan.js";
@@ -115,7 +115,7 @@
 
 /** Merges the logs of all entry processes into one page beside them. */
 async function writeTimeLine(fleet: Fleet): Promise<string> {
-    const broken: BrokenLine[] = [];
+    const broken: LineProblem[] = [];
     const events: TimedEvent[] = [];
     const logs = openLogs(fleet.entries.map(entry => entry.logFile), line => broken.push(line));
     for await (const event of mergeEvents(logs)) {
