--- a/packages/daisyturn-cli/src/__fixtures__/createCommandBench.ts
+++ b/packages/daisyturn-cli/src/__fixtures__/createCommandBench.ts
@@ -35,7 +35,7 @@
     peerAddress: "127.0.0.1:1",
 };
 
-/** What a command printed, and its exit code. */
+/** Output and exit code of a command. */
 export interface CommandRun {
     readonly code: number;
     readonly out: string;
@@ -43,10 +43,10 @@
     json(): JsonObject;
 }
 
-/** How the person at the terminal answers; absent: nobody is there. */
+/** Response of the operator at the terminal; absent where the terminal is not interactive. */
 export type Confirm = (question: string) => boolean | Promise<boolean>;
 
-/** One entry process's server for operators, with a real configuration and what a test puts beside it. */
+/** Creates the operators' server of one entry process, with a real configuration and the additional routes given. */
 export async function createCommandBench(routes: OperatorRoutes = []) {
     const clock = new SystemClock();
     const random = createSeededRandom(1);
@@ -87,15 +87,15 @@
     const address = `http://127.0.0.1:${server.port}`;
     const defaults = { DAISYTURN_OPERATORS: address, DAISYTURN_OPERATOR_KEY: "operator-key" };
 
-    /** Runs a command as a shell would. */
+    /** Runs a command with the arguments that a shell would pass. */
     const run = async (
-        words: readonly string[],
+        args: readonly string[],
         confirm?: Confirm,
         environment: Readonly<Record<string, string>> = defaults,
     ): Promise<CommandRun> => {
         let out = "";
         let errors = "";
-        const code = await runCommandLine(words, {
+        const code = await runCommandLine(args, {
             write: text => {
                 out += text;
             },
@@ -109,7 +109,7 @@
         return { code, out, errors, json: () => JSON.parse(out) as JsonObject };
     };
 
-    /** Publishes as another operator of the partner would, past the command line. */
+    /** Publishes items as another operator of the same partner, without the command line. */
     const publish = async (...items: readonly ConfigurationItem[]) => {
         const changes = items.map(item => ({ action: ChangeAction.Put as const, item }));
         const answer = await keeper.publish({ writeId: ids.next("wr"), partner: "nyamata", operator: "bob", changes });
@@ -124,12 +124,12 @@
     return { address, keeper, run, publish, close };
 }
 
-/** A route that answers with what `answer` gives at that time. */
+/** Creates a route that calls `answer` for each request and responds with its result. */
 export function createRoute(method: OperatorMethod, path: string, answer: (body: unknown) => JsonObject) {
     return { method, path, handle: ({ body }: { readonly body: unknown; }) => ok<JsonObject, Failure>(answer(body)) };
 }
 
-/** Passes everything on to a server, but breaks the connection before the answer where `breaks` says so. */
+/** Forwards requests to a server, but closes the connection before the response where `breaks` returns true. */
 export async function createBreakingProxy(address: string, breaks: (method: string, url: string) => boolean) {
     const proxy = createServer((incoming, outgoing) => {
         const { method = "", url = "", headers } = incoming;
--- a/packages/daisyturn-cli/src/__tests__/commands.test.ts
+++ b/packages/daisyturn-cli/src/__tests__/commands.test.ts
@@ -47,9 +47,9 @@
         await bench.close();
     });
 
-    it("asks for a role and follows the request to its end", async () => {
+    it("requests a change of role and waits until the request has ended", async () => {
         const states = ["running", "done"];
-        const asked: unknown[] = [];
+        const requested: unknown[] = [];
         const request = (state: string) => ({
             requestId: "r-1",
             state,
@@ -57,7 +57,7 @@
         });
         const bench = await createCommandBench([
             createRoute(Post, "/v1/engines/:name/orders", body => {
-                asked.push(body);
+                requested.push(body);
                 return request("requested");
             }),
             createRoute(Get, "/v1/engines", () => ({
@@ -65,22 +65,22 @@
                 orders: [{ engineId: "engine-1", request: request(states.shift() ?? "failed") }],
             })),
         ]);
-        const words = ["engine", "role", "engine-1", EngineRole.Prefill, "--request-id", "r-1"];
-        assert.equal((await bench.run(words)).out, "request r-1: requested\n");
-        const done = await bench.run([...words, "--wait", "--json"]);
+        const args = ["engine", "role", "engine-1", EngineRole.Prefill, "--request-id", "r-1"];
+        assert.equal((await bench.run(args)).out, "request r-1: requested\n");
+        const done = await bench.run([...args, "--wait", "--json"]);
         assert.deepEqual([done.code, done.json()["state"]], [ExitCode.Success, "done"]);
-        const failed = await bench.run([...words, "--wait"]);
+        const failed = await bench.run([...args, "--wait"]);
         assert.equal(failed.code, ExitCode.Refused);
         assert.match(failed.errors, /failed, stuck/);
-        const wanted = { requestId: "r-1", kind: "change_role", role: "prefill" };
-        assert.deepEqual(asked, [wanted, wanted, wanted]);
+        const expected = { requestId: "r-1", kind: "change_role", role: "prefill" };
+        assert.deepEqual(requested, [expected, expected, expected]);
         assert.equal((await bench.run(["engine", "role", "engine-1", "both"])).code, ExitCode.Usage);
         await bench.close();
     });
 });
 
 describe("fleet, lease and claim commands", () => {
-    it("show what the fleet answers, with keys of any characters", async () => {
+    it("print the fleet's answer, also for keys with special characters", async () => {
         const bench = await createCommandBench([
             createRoute(Get, "/v1/lease", () => ({ name: "kigali/controller", fencingNumber: 4 })),
             {
@@ -97,14 +97,14 @@
     });
 });
 
-describe("how the fleet is reached", () => {
-    it("tries the next address when one can't be reached, and tells when none can", async () => {
+describe("connection to the fleet", () => {
+    it("tries the next address if one can't be reached, and reports an error if none can", async () => {
         const bench = await createCommandBench();
-        const nobody = "http://127.0.0.1:1";
+        const unreachable = "http://127.0.0.1:1";
         const key = { DAISYTURN_OPERATOR_KEY: "operator-key" };
-        const both = { ...key, DAISYTURN_OPERATORS: `${nobody},${bench.address}` };
+        const both = { ...key, DAISYTURN_OPERATORS: `${unreachable},${bench.address}` };
         assert.equal((await bench.run(["fleet", "status"], undefined, both)).code, ExitCode.Success);
-        const none = await bench.run(["fleet", "status"], undefined, { ...key, DAISYTURN_OPERATORS: nobody });
+        const none = await bench.run(["fleet", "status"], undefined, { ...key, DAISYTURN_OPERATORS: unreachable });
         assert.equal(none.code, ExitCode.Unreachable);
         assert.match(none.errors, /127\.0\.0\.1:1: ECONNREFUSED/);
         const wrongKey = { ...both, DAISYTURN_OPERATOR_KEY: "guess" };
@@ -112,7 +112,7 @@
         await bench.close();
     });
 
-    it("reads addresses and the key's place from a settings file", async () => {
+    it("reads the addresses and the location of the key from a settings file", async () => {
         const bench = await createCommandBench();
         const keyFile = writeFile("key", "operator-key\n");
         const settings = writeFile("client.yaml", `operators: [${bench.address}]\nkey: { file: ${keyFile} }\n`);
@@ -129,7 +129,7 @@
 });
 
 describe("settings check", () => {
-    it("tells all problems, and exits with a code of its own", async () => {
+    it("reports all problems, and exits with a distinct exit code", async () => {
         const bench = await createCommandBench();
         const file = writeFile("entry.yaml", "proces: {}\n");
         const checked = await bench.run(["settings", "check", file]);
@@ -154,7 +154,7 @@
         line("2", "process_started", "entry-2", "vm=vm-2") + line("3", "fault", "entry-2"),
     );
 
-    it("merges logs, filters, and goes on after broken lines", async () => {
+    it("merges and filters logs, and skips invalid lines", async () => {
         const bench = await createCommandBench();
         const all = await bench.run(["time-line", first, second]);
         assert.deepEqual(all.out.match(/entry-\d +\w+/g)?.map(text => text.replace(/ +/, " ")), [
@@ -176,7 +176,7 @@
         await bench.close();
     });
 
-    it("draws a page of its own, with as many events as asked for", async () => {
+    it("draws a self-contained page with at most the requested number of events", async () => {
         const bench = await createCommandBench();
         const page = path.join(folder, "page.html");
         const drawn = await bench.run(["time-line", first, second, "--html", page, "--limit", "3"]);
--- a/packages/daisyturn-cli/src/client/createOperatorClient.ts
+++ b/packages/daisyturn-cli/src/client/createOperatorClient.ts
@@ -6,11 +6,11 @@
 import { z } from "zod";
 import type { ClientSettings } from "./clientSettings.js";
 
-const connectMilliseconds = 3_000;
-const answerMilliseconds = 40_000;
+const connectTimeoutMilliseconds = 3_000;
+const responseTimeoutMilliseconds = 40_000;
 const successStatus = 200;
 
-/** Errors of `connect`, before any byte of the request is sent. */
+/** Codes of connection errors, which occur before any byte of the request is sent. */
 const unsentCodes = new Set([
     "ECONNREFUSED",
     "EHOSTUNREACH",
@@ -35,39 +35,43 @@
     }),
 });
 
-/** One call to the fleet. */
+/** One request to the fleet. */
 export interface OperatorCall {
     readonly method: OperatorMethod;
-    /** Each part already escaped; see {@link formatPath}. */
+    /** With each segment percent-encoded; see {@link formatPath}. */
     readonly path: string;
     readonly query?: Readonly<Record<string, string | undefined>>;
     readonly body?: JsonObject;
-    /** Asking twice does no harm: reads, and changes under a write id of the client. */
+    /** Whether sending it twice has no further effect: true for reads, and for changes with a write id of the client. */
     readonly isRepeatable: boolean;
 }
 
-/** Asks the fleet in an operator's name. */
+/** Sends requests to the fleet on behalf of an operator. */
 export interface OperatorClient {
-    /** Asks the entry processes in turn until one answers. */
+    /**
+     * Tries the entry processes in order until one answers. A call that is not repeatable is not sent again after an
+     * attempt that may have reached a process.
+     */
     call(call: OperatorCall): Promise<Result<JsonObject, Failure>>;
     close(): Promise<void>;
 }
 
-/** Creates a client. */
 export function createOperatorClient(settings: ClientSettings): OperatorClient {
     const dispatcher = new Agent({
-        headersTimeout: answerMilliseconds,
-        bodyTimeout: answerMilliseconds,
-        connect: { timeout: connectMilliseconds, ...readTls(settings) },
+        headersTimeout: responseTimeoutMilliseconds,
+        bodyTimeout: responseTimeoutMilliseconds,
+        connect: { timeout: connectTimeoutMilliseconds, ...readTls(settings) },
     });
 
     const call = async (given: OperatorCall): Promise<Result<JsonObject, Failure>> => {
-        let last: Result<JsonObject, Failure> = Result.err(notRun(FailureReason.PeerUnavailable, "no address"));
+        let last: Result<JsonObject, Failure> = Result.err(
+            notRun(FailureReason.PeerUnavailable, "no address is configured"),
+        );
         let mayHaveBeenSent = false;
         for (const address of settings.operators) {
-            last = await callOne(address, given);
-            const isSilent = last.isErr && last.error.reason === FailureReason.PeerUnavailable;
-            if (!isSilent) {
+            last = await callAddress(address, given);
+            const isUnreachable = last.isErr && last.error.reason === FailureReason.PeerUnavailable;
+            if (!isUnreachable) {
                 return last;
             }
             mayHaveBeenSent ||= last.isErr && last.error.verdict === ExecutionVerdict.MayHaveRun;
@@ -78,7 +82,7 @@
         return mayHaveBeenSent ? last.mapErr(failure => ({ ...failure, verdict: ExecutionVerdict.MayHaveRun })) : last;
     };
 
-    const callOne = async (address: string, given: OperatorCall): Promise<Result<JsonObject, Failure>> => {
+    const callAddress = async (address: string, given: OperatorCall): Promise<Result<JsonObject, Failure>> => {
         const target = new URL(given.path, address);
         for (const [name, value] of Object.entries(given.query ?? {})) {
             if (value !== undefined) {
@@ -95,14 +99,14 @@
             return readAnswer(answer.statusCode, await answer.body.text(), address);
         }
         catch (error) {
-            return Result.err(describeBrokenCall(error, address));
+            return Result.err(describeConnectionError(error, address));
         }
     };
 
     return { call, close: () => dispatcher.close() };
 }
 
-/** Builds a path from parts that may hold any character. */
+/** Builds a path; the parts may contain any character. */
 export function formatPath(...parts: readonly string[]): string {
     return `/v1/${parts.map(encodeURIComponent).join("/")}`;
 }
@@ -121,7 +125,10 @@
         return Result.ok(body as JsonObject);
     }
     const failure = failureSchema.safeParse(body);
-    const unknown = mayHaveRun(FailureReason.Internal, `${address} gave an answer that is not daisyturn's (${status})`);
+    const unknown = mayHaveRun(
+        FailureReason.Internal,
+        `${address} sent a response that is not from daisyturn (status ${status})`,
+    );
     return Result.err(failure.success ? failure.data.error : unknown);
 }
 
@@ -134,7 +141,7 @@
     }
 }
 
-function describeBrokenCall(error: unknown, address: string): Failure {
+function describeConnectionError(error: unknown, address: string): Failure {
     const { code = "unknown error" } = error as { code?: string; };
     const message = `${address}: ${code}`;
     return unsentCodes.has(code)
--- a/packages/daisyturn-cli/src/commands/addPublishFlags.ts
+++ b/packages/daisyturn-cli/src/commands/addPublishFlags.ts
@@ -9,17 +9,17 @@
             alias: "y",
             type: "boolean",
             default: false,
-            describe: "Accept the differences without a question",
+            describe: "Accept the differences without confirmation",
         })
         .option("dry-run", { type: "boolean", default: false, describe: "Show the differences and change nothing" })
         .option("expect-generation", {
             type: "number",
             requiresArg: true,
-            describe: "Refuse unless the fleet stands at this generation",
+            describe: "Refuse the change unless the fleet is at this generation",
         })
         .option("write-id", {
             type: "string",
             requiresArg: true,
-            describe: "Id of an earlier try whose outcome was not known: changes nothing twice",
+            describe: "Write id of an earlier attempt with an unknown outcome; the change is applied at most once",
         }) as unknown as Argv<Flags & PublishFlags>;
 }
--- a/packages/daisyturn-cli/src/commands/changeEngineRole.ts
+++ b/packages/daisyturn-cli/src/commands/changeEngineRole.ts
@@ -8,7 +8,7 @@
 import { type CommonFlags, print, readAs } from "./commandContext.js";
 
 const secondMilliseconds = 1_000;
-const pollMilliseconds = 1_000;
+const pollIntervalMilliseconds = 1_000;
 
 const requestSchema = z.looseObject({
     requestId: z.string(),
@@ -31,7 +31,7 @@
     readonly waitSeconds: number;
 }
 
-/** Records a request for the controller, and with `--wait` follows it to its end. */
+/** Records a request for the controller, and with `--wait` waits until it has ended. */
 export async function changeEngineRole(terminal: Terminal, flags: RoleFlags, client: OperatorClient): Promise<void> {
     const requestId = flags.requestId ?? `cli-${randomUUID()}`;
     const answer = await client.call({
@@ -40,9 +40,12 @@
         body: { requestId, kind: OrderKind.ChangeRole, role: flags.role },
         isRepeatable: true,
     });
-    // The server's failure does not name the id under which the operator must ask again.
-    const told = answer.mapErr(failure => ({ ...failure, message: `${failure.message} (--request-id ${requestId})` }));
-    const recorded = readAs(requestSchema, told);
+    // The server's failure does not contain the id that the operator needs to repeat the request.
+    const result = answer.mapErr(failure => ({
+        ...failure,
+        message: `${failure.message} (--request-id ${requestId})`,
+    }));
+    const recorded = readAs(requestSchema, result);
     const ended = flags.wait ? await waitForEnd(terminal, flags, client, recorded) : recorded;
     print(terminal, flags, ended, () => `${formatRequest(ended)}\n`);
     if (ended.state === OrderRequestState.Refused || ended.state === OrderRequestState.Failed) {
@@ -63,19 +66,22 @@
         if (clock.monotonicNow() >= deadline) {
             throw new CommandError(ExitCode.NotYet, formatRequest(request));
         }
-        await clock.sleepUntil(clock.monotonicNow() + pollMilliseconds);
+        await clock.sleepUntil(clock.monotonicNow() + pollIntervalMilliseconds);
         request = await readRequest(client, flags.name, recorded);
     }
     return request;
 }
 
-/** What became of the request; a later one in its place means that it has ended. */
+/**
+ * Reads the state of the request.
+ * @throws CommandError if a later request has replaced it, which means that it has ended; its outcome is no longer known
+ */
 async function readRequest(client: OperatorClient, engine: string, recorded: OrderRequest): Promise<OrderRequest> {
     const call = { method: OperatorMethod.Get, path: formatPath("engines"), isRepeatable: true };
     const { orders } = readAs(listSchema, await client.call(call));
     const present = orders.find(order => order.engineId === engine)?.request;
     if (present?.requestId !== recorded.requestId) {
-        throw new CommandError(ExitCode.NotYet, `the request ${recorded.requestId} was followed by another one`);
+        throw new CommandError(ExitCode.NotYet, `request ${recorded.requestId} was replaced by a later request`);
     }
     return present;
 }
--- a/packages/daisyturn-cli/src/commands/changeFields.ts
+++ b/packages/daisyturn-cli/src/commands/changeFields.ts
@@ -1,7 +1,7 @@
 import { type JsonObject, type JsonValue, UserError } from "daisyturn-utils";
 import { parse } from "yaml";
 
-/** Applies `FIELD=VALUE` and dropped fields to an item; values are read as YAML. */
+/** Returns the item with `FIELD=VALUE` assignments applied and dropped fields removed; values are parsed as YAML. */
 export function changeFields(
     item: JsonObject,
     assignments: readonly string[],
@@ -24,14 +24,14 @@
 function readAssignment(assignment: string): { readonly field: string; readonly value: JsonValue; } {
     const at = assignment.indexOf("=");
     if (at <= 0) {
-        throw createProblem("--set", assignment, "is no FIELD=VALUE");
+        throw createProblem("--set", assignment, "must have the form FIELD=VALUE");
     }
     return { field: assignment.slice(0, at), value: parse(assignment.slice(at + 1)) as JsonValue };
 }
 
 function refuseFixed(field: string, fixed: readonly string[]): void {
     if (fixed.includes(field)) {
-        throw createProblem("--set", field, "names the item and can't be changed");
+        throw createProblem("--set", field, "identifies the item and can't be changed");
     }
 }
 
--- a/packages/daisyturn-cli/src/commands/commandContext.ts
+++ b/packages/daisyturn-cli/src/commands/commandContext.ts
@@ -8,15 +8,15 @@
 import { ExitCode } from "../exitCode.js";
 import type { Terminal } from "../terminal.js";
 
-/** Flags that every command takes. */
+/** Flags of every command. */
 export interface CommonFlags extends ClientFlags {
     readonly json: boolean;
 }
 
-/** Declares the flags that every command takes. */
+/** Declares the flags of every command. */
 export function addCommonFlags(parser: Argv): Argv<CommonFlags> {
     return parser
-        .option("json", { type: "boolean", default: false, describe: "Print JSON for programs" })
+        .option("json", { type: "boolean", default: false, describe: "Print JSON" })
         .option("address", {
             type: "string",
             array: true,
@@ -26,7 +26,7 @@
         .option("settings", { type: "string", requiresArg: true, describe: "Settings file of the client" });
 }
 
-/** Runs a command with a client that is closed afterwards. */
+/** Runs a command with a client, and closes the client afterwards. */
 export async function withClient(
     terminal: Terminal,
     flags: CommonFlags,
@@ -41,12 +41,15 @@
     }
 }
 
-/** Prints a value as JSON, or as text for a person. */
+/** Prints a value as JSON if `--json` is given, or else as formatted text. */
 export function print(terminal: Terminal, flags: CommonFlags, value: object, formatText: () => string): void {
     terminal.write(flags.json ? `${JSON.stringify(value)}\n` : formatText());
 }
 
-/** The value of an answer; throws where the fleet refused or did not answer. */
+/**
+ * Returns the value of an answer.
+ * @throws CommandError if the fleet refused or did not answer
+ */
 export function expectAnswer(answer: Result<JsonObject, Failure>): JsonObject {
     if (answer.isErr) {
         throw createFailureError(answer.error);
@@ -54,7 +57,10 @@
     return answer.value;
 }
 
-/** The answer as the command needs it; an answer of another form comes from another release. */
+/**
+ * Parses an answer. An unexpected format can occur if the fleet runs another release than the command line.
+ * @throws CommandError if the fleet refused or did not answer, or if the format is unexpected
+ */
 export function readAs<Schema extends z.ZodType>(
     schema: Schema,
     answer: Result<JsonObject, Failure>,
@@ -62,7 +68,10 @@
     const parsed = schema.safeParse(expectAnswer(answer));
     if (!parsed.success) {
         const path = parsed.error.issues[0]?.path.join(".") ?? "";
-        throw new CommandError(ExitCode.Internal, `the answer is of an unknown form at ${path}: not the same release?`);
+        throw new CommandError(
+            ExitCode.Internal,
+            `unexpected format of the answer at ${path}: the fleet may run another release`,
+        );
     }
     return parsed.data;
 }
--- a/packages/daisyturn-cli/src/commands/engineCommands.ts
+++ b/packages/daisyturn-cli/src/commands/engineCommands.ts
@@ -45,18 +45,18 @@
     })),
 });
 
-/** What is put on an engine, or lifted. */
+/** A command that puts a hold on an engine; without `holdKind`, one that lifts the hold. */
 interface HoldCommand {
-    readonly word: string;
+    readonly subcommand: string;
     readonly describe: string;
     readonly holdKind?: HoldKind;
 }
 
 const holdCommands: readonly HoldCommand[] = [
-    { word: "drain", describe: "Let an engine take no new work", holdKind: HoldKind.Drain },
-    { word: "withdraw", describe: "Take an engine out for good", holdKind: HoldKind.Withdraw },
-    { word: "replace", describe: "Let another engine take an engine's place", holdKind: HoldKind.Replace },
-    { word: "resume", describe: "Lift the partner's own hold on an engine" },
+    { subcommand: "drain", describe: "Stop sending new work to an engine", holdKind: HoldKind.Drain },
+    { subcommand: "withdraw", describe: "Remove an engine from service permanently", holdKind: HoldKind.Withdraw },
+    { subcommand: "replace", describe: "Replace an engine with another one", holdKind: HoldKind.Replace },
+    { subcommand: "resume", describe: "Lift the partner's own hold on an engine" },
 ];
 
 /** `engine list | drain | withdraw | replace | resume | role | vouch` */
@@ -66,7 +66,7 @@
     return parser.command("engine", "Drain, replace, withdraw engines and change their roles", engine => {
         for (const hold of holdCommands) {
             engine.command(
-                `${hold.word} <name>`,
+                `${hold.subcommand} <name>`,
                 hold.describe,
                 command => addHoldFlags(command, hold),
                 flags => run(flags, client => changeHold(terminal, flags, client, hold)),
@@ -81,16 +81,20 @@
             )
             .command(
                 "role <name> <role>",
-                "Ask the controller for a change of role",
+                "Request a change of role from the controller",
                 addRoleFlags,
                 flags => run(flags, client => changeEngineRole(terminal, flags, client)),
             )
             .command(
                 "vouch <incarnation>",
-                "Answer for the end of a process run that holds up an engine",
+                "Confirm the end of a process incarnation that blocks orders to an engine",
                 command =>
                     command
-                        .positional("incarnation", { type: "string", demandOption: true, describe: "Of the ended run" })
+                        .positional("incarnation", {
+                            type: "string",
+                            demandOption: true,
+                            describe: "Incarnation of the ended process",
+                        })
                         .option("note", { type: "string", demandOption: true, describe: "How you know" }),
                 flags => run(flags, client => vouch(terminal, flags, client)),
             )
@@ -120,7 +124,7 @@
         .option("request-id", {
             type: "string",
             requiresArg: true,
-            describe: "Id of an earlier try; changes nothing twice",
+            describe: "Id of an earlier attempt; the change is applied at most once",
         })
         .option("wait", { type: "boolean", default: false, describe: "Wait until the change has ended" })
         .option("wait-seconds", { type: "number", default: 300, describe: "How long to wait" });
@@ -177,7 +181,7 @@
     print(terminal, flags, { generation: targets.generation, engines: list }, () => formatTable(head, rows));
 }
 
-/** A request that waits for the controller; one that has ended is no change. */
+/** Returns the state of a request that waits for the controller; a request in another state is not shown. */
 function describeOpenRequest(state: string | undefined): string {
     return state === OrderRequestState.Requested ? state : "";
 }
@@ -192,7 +196,7 @@
     const path = formatPath("vouches");
     const call = { method: OperatorMethod.Post, path, body: { incarnation, note }, isRepeatable: true };
     const recorded = expectAnswer(await client.call(call));
-    print(terminal, flags, recorded, () => `Recorded: the run ${incarnation} has ended.\n`);
+    print(terminal, flags, recorded, () => `Recorded: incarnation ${incarnation} has ended.\n`);
 }
 
 function createRead(...parts: readonly string[]) {
--- a/packages/daisyturn-cli/src/commands/fleetCommands.ts
+++ b/packages/daisyturn-cli/src/commands/fleetCommands.ts
@@ -27,25 +27,30 @@
     return parser
         .command("fleet", "Show the entry processes", fleet =>
             fleet
-                .command("status", "Members and the generation in force at each", command =>
+                .command("status", "Show the members and the active generation of each", command =>
                     command, flags =>
                     run(flags, client =>
                         showFleet(terminal, flags, client)))
                 .demandCommand(1))
         .command("lease", "Show the controller lease", lease =>
             lease
-                .command("show", "Who gives orders to engines", command =>
+                .command("show", "Show the process that sends orders to engines", command =>
                     command, flags =>
                     run(flags, client =>
                         show(terminal, flags, client, formatPath("lease"))))
                 .demandCommand(1))
         .command("claim", "Show calls that run at most once", claim =>
             claim
-                .command("show <account> <service> <key>", "What became of an idempotency key", addClaimNames, flags =>
-                    run(flags, client => {
-                        const path = formatPath("claims", flags.account, flags.service);
-                        return show(terminal, flags, client, path, { key: flags.key });
-                    }))
+                .command(
+                    "show <account> <service> <key>",
+                    "Show the claim of an idempotency key",
+                    addClaimNames,
+                    flags =>
+                        run(flags, client => {
+                            const path = formatPath("claims", flags.account, flags.service);
+                            return show(terminal, flags, client, path, { key: flags.key });
+                        }),
+                )
                 .demandCommand(1));
 }
 
--- a/packages/daisyturn-cli/src/commands/ledgerCommand.ts
+++ b/packages/daisyturn-cli/src/commands/ledgerCommand.ts
@@ -4,7 +4,7 @@
 import type { Terminal } from "../terminal.js";
 import { mergeEvents, openLogs, type TimedEvent } from "../timeLine/index.js";
 import type { CommonFlags } from "./commandContext.js";
-import { createProblemTeller, describeUnreadable } from "./logProblems.js";
+import { createProblemReporter, describeReadError } from "./logProblems.js";
 
 interface LedgerFlags extends CommonFlags {
     readonly logs: readonly string[];
@@ -19,14 +19,14 @@
 export function addLedgerCommand(parser: Argv<CommonFlags>, terminal: Terminal): Argv<CommonFlags> {
     return parser.command(
         "ledger <logs..>",
-        "How forwarded calls ended, by route, with medians of their times; - is standard input",
+        "Show how forwarded calls ended, by route, with median times; - is standard input",
         command =>
             command
                 .positional("logs", { type: "string", array: true, demandOption: true, describe: "Log files" })
                 .option("by-size", {
                     type: "boolean",
                     default: false,
-                    describe: "How many prompts of each size were served, of all that ended",
+                    describe: "Show how many prompts of each size ended, and how many of them were served",
                 }),
         flags => flags.bySize ? showSizes(terminal, flags) : showLedger(terminal, flags),
     );
@@ -48,21 +48,21 @@
     terminal.write(flags.json ? `${JSON.stringify({ rows })}\n` : formatTable(sizeHead, rows.map(listSizeCells)));
 }
 
-/** Reads the logs in the order of their stamps, and tells of the lines that can't be read. */
+/** Reads the logs in the order of their stamps, and reports problems of lines. */
 async function readLogs<Found>(
     terminal: Terminal,
     { logs }: LedgerFlags,
     read: (events: AsyncIterable<TimedEvent>) => Promise<Found>,
 ): Promise<Found> {
-    const problems = createProblemTeller(terminal);
+    const problems = createProblemReporter(terminal);
     try {
-        return await read(mergeEvents(openLogs(logs, problems.tell)));
+        return await read(mergeEvents(openLogs(logs, problems.report)));
     }
     catch (error) {
-        throw describeUnreadable(error);
+        throw describeReadError(error);
     }
     finally {
-        problems.sum();
+        problems.reportOmitted();
     }
 }
 
--- a/packages/daisyturn-cli/src/commands/logProblems.ts
+++ b/packages/daisyturn-cli/src/commands/logProblems.ts
@@ -3,28 +3,30 @@
 import type { Terminal } from "../terminal.js";
 import type { LineProblem } from "../timeLine/index.js";
 
-const toldProblems = 20;
+const maxReportedProblems = 20;
 
-/** Tells the first problems one by one and counts the others: a log of another program has nothing else. */
-export function createProblemTeller(terminal: Terminal) {
+/**
+ * Reports the first problems one by one and only counts the others: in a log of another program, every line is a problem.
+ */
+export function createProblemReporter(terminal: Terminal) {
     let count = 0;
     return {
-        tell: ({ source, line, problem }: LineProblem) => {
+        report: ({ source, line, problem }: LineProblem) => {
             count += 1;
-            if (count <= toldProblems) {
+            if (count <= maxReportedProblems) {
                 terminal.writeError(`${source}:${line}: ${problem}\n`);
             }
         },
-        sum: () => {
-            if (count > toldProblems) {
-                terminal.writeError(`${count - toldProblems} more lines with problems\n`);
+        reportOmitted: () => {
+            if (count > maxReportedProblems) {
+                terminal.writeError(`${count - maxReportedProblems} more lines with problems\n`);
             }
         },
     };
 }
 
-/** What is told of a log file that can't be opened; any other error is given back as it is. */
-export function describeUnreadable(error: unknown): unknown {
+/** Converts the error of a log file that can't be opened to a CommandError; returns any other error unchanged. */
+export function describeReadError(error: unknown): unknown {
     const { code, path } = error as { code?: string; path?: string; };
     return code === undefined || path === undefined
         ? error
--- a/packages/daisyturn-cli/src/commands/profileCommands.ts
+++ b/packages/daisyturn-cli/src/commands/profileCommands.ts
@@ -43,7 +43,7 @@
                 command, flags =>
                 run(flags, client =>
                     listProfiles(terminal, flags, client)))
-            .command("show <name>", "Show a profile as it may be published", addName, flags =>
+            .command("show <name>", "Show a profile in the format of `profile publish`", addName, flags =>
                 run(flags, client =>
                     showProfile(terminal, flags, client, flags.name)))
             .command("publish <files..>", "Publish the profiles in YAML files, all in one generation", command =>
@@ -54,7 +54,7 @@
                 addPublishFlags(addFieldFlags(addName(command))), flags =>
                 run(flags, client =>
                     changeProfile(terminal, flags, client)))
-            .command("retire <name>", "Remove a profile; running requests keep it", command =>
+            .command("retire <name>", "Remove a profile; running requests continue to use it", command =>
                 addPublishFlags(addRetireFlags(addName(command))), flags =>
                 run(flags, client =>
                     retireProfile(terminal, flags, client)))
@@ -80,20 +80,29 @@
             default: [],
             describe: "FIELD=VALUE; may be given several times",
         })
-        .option("unset", { type: "string", array: true, default: [], describe: "FIELD to drop" });
+        .option("unset", {
+            type: "string",
+            array: true,
+            default: [],
+            describe: "Field to remove; may be given several times",
+        });
 }
 
 function addRetireFlags<Flags extends CommonFlags>(command: Argv<Flags>) {
     return command
         .option("with-services", { type: "boolean", default: false, describe: "Remove its services as well" })
-        .option("wait", { type: "boolean", default: false, describe: "Wait until nothing runs under it any more" })
+        .option("wait", {
+            type: "boolean",
+            default: false,
+            describe: "Wait until no request uses the profile any more",
+        })
         .option("wait-seconds", { type: "number", default: 120, describe: "How long to wait" });
 }
 
 function addHistoryFlags(command: Argv<CommonFlags>) {
     return command
         .positional("name", { type: "string", describe: "Only changes of this profile" })
-        .option("limit", { type: "number", default: defaultHistory, describe: "Changes to look through" });
+        .option("limit", { type: "number", default: defaultHistory, describe: "Maximum number of changes to search" });
 }
 
 async function listProfiles(terminal: Terminal, flags: CommonFlags, client: OperatorClient): Promise<void> {
@@ -129,7 +138,7 @@
     await publishChange(terminal, flags, client, items.map(putItem));
 }
 
-/** One profile for each YAML document; partner and kind may be left out. */
+/** Reads one profile from each YAML document; `partner` and `kind` may be omitted. */
 function readProfileFile(file: string, partner: string): ConfigurationItem[] {
     const documents = parseAllDocuments(readFileSync(file, "utf8"));
     const list = Array.isArray(documents) ? documents : [];
@@ -141,8 +150,8 @@
                 line: document.errors[0]?.linePos?.[0].line ?? 1,
                 option: "profile",
                 value: "see the line",
-                problem: document.errors[0]?.message.split("\n")[0] ?? "no profile",
-                remedy: "Write what `daisyturn profile show NAME` shows of another one.",
+                problem: document.errors[0]?.message.split("\n")[0] ?? "is not a profile",
+                remedy: "Use the format in which `daisyturn profile show NAME` prints an existing profile.",
             });
         }
         return { partner, ...value as JsonObject, kind: ItemKind.Profile } as unknown as ConfigurationItem;
@@ -193,7 +202,7 @@
 type AcceptedChange = AcceptedChanges[number];
 type Step = AcceptedChange["changes"][number];
 
-/** Without a name: changes of any profile. */
+/** Whether a change affects the profile of this name; without a name, any profile. */
 function touchesProfile(change: AcceptedChange, name: string | undefined): boolean {
     return change.changes.some(step => {
         const identity = step.item ?? step.identity;
--- a/packages/daisyturn-cli/src/commands/readItems.ts
+++ b/packages/daisyturn-cli/src/commands/readItems.ts
@@ -43,7 +43,7 @@
     return readAs(oneSchema, answer).item as unknown as ConfigurationItem;
 }
 
-/** The partner that the operator's key belongs to. */
+/** Reads the partner to which the operator's key belongs. */
 export async function readPartner(client: OperatorClient): Promise<string> {
     const answer = await client.call({ method: OperatorMethod.Get, path: formatPath("operator"), isRepeatable: true });
     return readAs(operatorSchema, answer).partner;
--- a/packages/daisyturn-cli/src/commands/retireProfile.ts
+++ b/packages/daisyturn-cli/src/commands/retireProfile.ts
@@ -8,8 +8,8 @@
 import { print, readAs } from "./commandContext.js";
 import { readItems, readPartner } from "./readItems.js";
 
-/** The server answers a waiting question after this at the latest. */
-const questionMilliseconds = 10_000;
+/** Longest time for which the server is requested to delay one answer. */
+const maxWaitPerRequestMilliseconds = 10_000;
 const secondMilliseconds = 1_000;
 
 const reportSchema = z.looseObject({
@@ -28,7 +28,7 @@
     readonly waitSeconds: number;
 }
 
-/** Removes a profile. Requests that run under it keep it to their end; `--wait` waits for that end. */
+/** Removes a profile. Running requests continue to use it until they end; `--wait` waits for their end. */
 export async function retireProfile(terminal: Terminal, flags: RetireFlags, client: OperatorClient): Promise<void> {
     const changes = await planRemoval(flags, client);
     const published = await publishChange(terminal, flags, client, changes, guards =>
@@ -43,7 +43,7 @@
     }
 }
 
-/** The same that the server will do, for the comparison. */
+/** Lists the changes that the server will make, for the preview. */
 async function planRemoval(flags: RetireFlags, client: OperatorClient): Promise<ItemChange[]> {
     const partner = await readPartner(client);
     const remove = (kind: ItemKind, name: string): ItemChange => ({
@@ -51,10 +51,10 @@
         identity: { kind, partner, name },
     });
     const services = flags.withServices ? (await readItems(client, ItemKind.Service)).items : [];
-    const under = services.filter(service => service["profile"] === flags.name);
+    const usingServices = services.filter(service => service["profile"] === flags.name);
     return [
         remove(ItemKind.Profile, flags.name),
-        ...under.map(service => remove(ItemKind.Service, String(service["name"]))),
+        ...usingServices.map(service => remove(ItemKind.Service, String(service["name"]))),
     ];
 }
 
@@ -66,21 +66,26 @@
 ): Promise<void> {
     const deadline = terminal.clock.monotonicNow() + flags.waitSeconds * secondMilliseconds;
     for (;;) {
-        const report = await askReport(client, flags.name, generation, deadline - terminal.clock.monotonicNow());
+        const report = await fetchReport(client, flags.name, generation, deadline - terminal.clock.monotonicNow());
         if (report.isComplete) {
             print(terminal, flags, report, () => "Nothing runs under it any more.\n");
             return;
         }
         if (terminal.clock.monotonicNow() >= deadline) {
-            const again = "wait on with the write id: --write-id ID --wait";
-            throw new CommandError(ExitCode.NotYet, `retired, but still in use: ${formatReport(report)}; ${again}`);
+            const advice = "to continue waiting, use --write-id ID --wait";
+            throw new CommandError(ExitCode.NotYet, `retired, but still in use: ${formatReport(report)}; ${advice}`);
         }
         terminal.writeError(`${formatReport(report)}\n`);
     }
 }
 
-async function askReport(client: OperatorClient, name: string, generation: number, left: number): Promise<Report> {
-    const wait = Math.max(0, Math.min(questionMilliseconds, Math.floor(left)));
+async function fetchReport(
+    client: OperatorClient,
+    name: string,
+    generation: number,
+    remainingMilliseconds: number,
+): Promise<Report> {
+    const wait = Math.max(0, Math.min(maxWaitPerRequestMilliseconds, Math.floor(remainingMilliseconds)));
     const answer = await client.call({
         method: OperatorMethod.Get,
         path: formatPath("retirements", ItemKind.Profile, name),
@@ -92,6 +97,6 @@
 
 function formatReport({ runningAt, notConfirmedBy }: Report): string {
     const running = runningAt.map(({ processId, requests }) => `${requests} at ${processId}`).join(", ");
-    const silent = notConfirmedBy.length === 0 ? "" : `; not confirmed by ${notConfirmedBy.join(", ")}`;
-    return `running: ${running || "none known"}${silent}`;
+    const unconfirmed = notConfirmedBy.length === 0 ? "" : `; not confirmed by ${notConfirmedBy.join(", ")}`;
+    return `running: ${running || "none known"}${unconfirmed}`;
 }
--- a/packages/daisyturn-cli/src/commands/settingsCommands.ts
+++ b/packages/daisyturn-cli/src/commands/settingsCommands.ts
@@ -14,7 +14,7 @@
 export function addSettingsCommands(parser: Argv<CommonFlags>, terminal: Terminal): Argv<CommonFlags> {
     return parser.command("settings", "Check settings files of the daemon", settings =>
         settings
-            .command("check <files..>", "Tell all problems of settings files", command =>
+            .command("check <files..>", "Report all problems of settings files", command =>
                 command.positional("files", {
                     type: "string",
                     array: true,
--- a/packages/daisyturn-cli/src/commands/timeLineCommand.ts
+++ b/packages/daisyturn-cli/src/commands/timeLineCommand.ts
@@ -12,9 +12,9 @@
     type TimedEvent,
 } from "../timeLine/index.js";
 import type { CommonFlags } from "./commandContext.js";
-import { createProblemTeller, describeUnreadable } from "./logProblems.js";
+import { createProblemReporter, describeReadError } from "./logProblems.js";
 
-/** A page with more events is slow to open and hard to read. */
+/** A page with more events opens slowly and is hard to read. */
 const defaultDrawnEvents = 20_000;
 
 interface TimeLineFlags extends CommonFlags, Omit<EventFilter, "from" | "until"> {
@@ -36,30 +36,34 @@
 }
 
 function addFlags(command: Argv<CommonFlags>) {
-    const wanted = (describe: string) => ({ type: "string", requiresArg: true, describe } as const);
+    const textOption = (describe: string) => ({ type: "string", requiresArg: true, describe } as const);
     return command
         .positional("logs", { type: "string", array: true, demandOption: true, describe: "Log files" })
-        .option("request", wanted("Only events of this request"))
-        .option("engine", wanted("Only events of this engine or other target"))
-        .option("process", wanted("Only events of this entry process, or of others about it"))
-        .option("vm", wanted("Only events of the entry processes on this VM"))
-        .option("profile", wanted("Only events of this profile"))
-        .option("partner", wanted("Only events of this partner"))
-        .option("kind", wanted("Only events of this kind"))
-        .option("from", wanted("Only events from this time on, such as 2026-05-04T06:00:00Z"))
-        .option("until", wanted("Only events up to this time"))
-        .option("html", wanted("Draw the events into this file in place of printing them"))
-        .option("limit", { type: "number", default: defaultDrawnEvents, describe: "Events drawn at most" });
+        .option("request", textOption("Only events of this request"))
+        .option("engine", textOption("Only events of this engine or other target"))
+        .option("process", textOption("Only events of this entry process, or of others about it"))
+        .option("vm", textOption("Only events of the entry processes on this VM"))
+        .option("profile", textOption("Only events of this profile"))
+        .option("partner", textOption("Only events of this partner"))
+        .option("kind", textOption("Only events of this kind"))
+        .option("from", textOption("Only events from this time on, such as 2026-05-04T06:00:00Z"))
+        .option("until", textOption("Only events up to this time"))
+        .option("html", textOption("Draw the events into this HTML file instead of printing them"))
+        .option("limit", {
+            type: "number",
+            default: defaultDrawnEvents,
+            describe: "Maximum number of events in the drawing",
+        });
 }
 
 async function showTimeLine(terminal: Terminal, flags: TimeLineFlags): Promise<void> {
-    const problems = createProblemTeller(terminal);
+    const problems = createProblemReporter(terminal);
     const filter = createEventFilter({
         ...flags,
         from: readTime("--from", flags.from),
         until: readTime("--until", flags.until),
     });
-    const events = mergeEvents(openLogs(flags.logs, problems.tell));
+    const events = mergeEvents(openLogs(flags.logs, problems.report));
     try {
         if (flags.html === undefined) {
             await printEvents(terminal, flags, filterEvents(events, filter));
@@ -69,14 +73,14 @@
         }
     }
     catch (error) {
-        throw describeUnreadable(error);
+        throw describeReadError(error);
     }
-    problems.sum();
+    problems.reportOmitted();
 }
 
-async function* filterEvents(events: AsyncIterable<TimedEvent>, fits: (event: TimedEvent) => boolean) {
+async function* filterEvents(events: AsyncIterable<TimedEvent>, matches: (event: TimedEvent) => boolean) {
     for await (const event of events) {
-        if (fits(event)) {
+        if (matches(event)) {
             yield event;
         }
     }
@@ -95,17 +99,17 @@
     events: AsyncIterable<TimedEvent>,
 ): Promise<void> {
     const drawn: TimedEvent[] = [];
-    let left = 0;
+    let omitted = 0;
     for await (const event of events) {
         if (drawn.length < flags.limit) {
             drawn.push(event);
         }
         else {
-            left += 1;
+            omitted += 1;
         }
     }
     writeFileSync(file, drawTimeLine(drawn));
-    const more = left === 0 ? "" : `; ${left} later ones are left out (--limit)`;
+    const more = omitted === 0 ? "" : `; ${omitted} later ones are left out (--limit)`;
     terminal.writeError(`${drawn.length} events drawn in ${file}${more}\n`);
 }
 
@@ -115,7 +119,7 @@
         throw new UserError({
             option,
             value: text ?? "",
-            problem: "is no time",
+            problem: "is not a valid time",
             remedy: "Write it as in: 2026-05-04T06:00:00Z",
         });
     }
--- a/packages/daisyturn-cli/src/exitCode.ts
+++ b/packages/daisyturn-cli/src/exitCode.ts
@@ -1,18 +1,18 @@
-/** Exit codes of the command line, so that scripts can tell what became of a command. */
+/** Exit codes of the command line; scripts use them to determine the outcome of a command. */
 export enum ExitCode {
     Success = 0,
-    /** A fault of the command line itself. */
+    /** An internal error of the command line. */
     Internal = 1,
-    /** Arguments or the client's settings can't be taken. */
+    /** Invalid arguments or client settings. */
     Usage = 2,
     /** Refused; nothing was changed. */
     Refused = 3,
-    /** Nobody knows yet whether it took effect. Ask again with the write id that is told. */
+    /** The outcome is unknown. Repeat the command with the write id or request id of the error message. */
     MayHaveRun = 4,
     /** No entry process could be reached; nothing was changed. */
     Unreachable = 5,
-    /** A file that was checked has problems. */
+    /** Problems were found in a checked file. */
     ProblemsFound = 6,
-    /** What was waited for has not come in time; it goes on by itself. */
+    /** The operation was not finished within the waiting time; it continues without the command. */
     NotYet = 7,
 }
--- a/packages/daisyturn-cli/src/ledger/__tests__/ledger.test.ts
+++ b/packages/daisyturn-cli/src/ledger/__tests__/ledger.test.ts
@@ -7,16 +7,21 @@
     return { stamp: "", at: 0, kind, process: "p", incarnation: "i", fields, source: "log", line: 1 };
 }
 
-/** The lines of one prompt whose reading took `reading` milliseconds. */
-function describeCall(request: string, reading: number, outcome: string): TimedEvent[] {
+/** Returns the log lines of a prompt whose prefill took `prefillMilliseconds`. */
+function describeCall(request: string, prefillMilliseconds: number, outcome: string): TimedEvent[] {
     return [
         event("request_accepted", { request, route: "ask", tokens: "900" }),
         event("request_placed", { request, reader: "r", readerWait: "20", readerWork: "30" }),
         event("request_dispatched", { request, after: "2", part: "prefill" }),
-        event("target_answered", { request, after: String(2 + reading) }),
-        event("request_dispatched", { request, after: String(2 + reading), part: "decode" }),
+        event("target_answered", { request, after: String(2 + prefillMilliseconds) }),
+        event("request_dispatched", { request, after: String(2 + prefillMilliseconds), part: "decode" }),
         event("target_answered", { request, after: "900" }),
-        event("request_answered", { request, outcome, firstByte: String(reading + 30), longestPause: "80" }),
+        event("request_answered", {
+            request,
+            outcome,
+            firstByte: String(prefillMilliseconds + 30),
+            longestPause: "80",
+        }),
     ];
 }
 
@@ -24,7 +29,7 @@
     yield* events;
 }
 
-test("calls are summed by route and outcome, with their reading against its forecast", async () => {
+test("summarizes calls by route and outcome, with the prefill time and its forecast", async () => {
     const events = [
         ...describeCall("a", 100, "on_time"),
         ...describeCall("b", 400, "late"),
@@ -52,7 +57,7 @@
     ]);
 });
 
-test("calls of which a line is missing are counted, and not mistaken for others", async () => {
+test("counts calls without their first or last line as incomplete, and does not mix them up with others", async () => {
     const [first, ...others] = describeCall("a", 100, "on_time");
     assert.ok(first);
     const { calls, incomplete } = await collectCalls(
@@ -61,7 +66,7 @@
     assert.deepEqual([calls.length, incomplete], [0, 2]);
 });
 
-test("lines that belong to no call are passed over", async () => {
+test("skips lines that belong to no call", async () => {
     const { calls } = await collectCalls(listEvents([event("target_gone", { target: "t" })]));
     assert.deepEqual(summarizeCalls(calls), []);
 });
--- a/packages/daisyturn-cli/src/ledger/__tests__/sumSizes.test.ts
+++ b/packages/daisyturn-cli/src/ledger/__tests__/sumSizes.test.ts
@@ -11,7 +11,7 @@
     yield* events;
 }
 
-test("sums the processes' counts and tells how the largest tenth fares against all", async () => {
+test("sums the counts of all processes, and compares the served share of the largest tenth with that of all", async () => {
     const rows = await sumSizes(listEvents([
         event("prompts_by_size", { route: "ask", sizes: "512:40/40,4096:20/25" }),
         event("prompts_by_size", { route: "ask", sizes: "512:20/20,8192:5/5,32768:1/10" }),
@@ -28,7 +28,7 @@
     assert.ok(Math.abs(largest - 0.1 / 0.86) < 1e-9, String(largest));
 });
 
-test("a route without a served prompt has no ratio, and sizes that can't be read are passed over", async () => {
+test("returns no ratio for a route without a served prompt, and skips invalid sizes", async () => {
     const rows = await sumSizes(listEvents([event("prompts_by_size", { route: "ask", sizes: "512:0/2,what" })]));
     assert.deepEqual(rows.map(({ ended, ratio }) => [ended, ratio]), [
         [2, undefined],
--- a/packages/daisyturn-cli/src/ledger/collectCalls.ts
+++ b/packages/daisyturn-cli/src/ledger/collectCalls.ts
@@ -1,22 +1,25 @@
 import { EventKind } from "daisyturn-utils";
 import type { TimedEvent } from "../timeLine/index.js";
 
-/** One forwarded call as the log lines of its process tell it; times are in milliseconds. */
+/**
+ * One forwarded call, reconstructed from the log lines of its process; times are in milliseconds. `reading` is the
+ * printed name of the prefill time.
+ */
 export interface LoggedCall {
     readonly route: string;
-    /** How it ended, with the reason where it was not answered. */
+    /** How the call ended, with the reason where the log line has one. */
     readonly outcome: string;
-    /** Of the prompt; undefined for plain calls. */
+    /** Length of the prompt; undefined for calls of plain services. */
     readonly tokens?: number;
-    /** From its arrival to the first byte of its answer. */
+    /** From the call's arrival to the first byte of its answer. */
     readonly firstByte?: number;
     readonly longestPause?: number;
-    /** What its last prefill took, and what was forecast for it. */
+    /** Duration of the last prefill, and its forecast. */
     readonly reading?: number;
     readonly forecastReading?: number;
 }
 
-/** The lines of one call, as far as they have been read. */
+/** Data from the lines of a call whose last line has not been read yet. */
 interface OpenCall {
     readonly route: string;
     readonly tokens?: number;
@@ -27,7 +30,7 @@
 
 const prefillPart = "prefill";
 
-/** Puts the lines of each call together; a call without its first or last line is left out, and counted. */
+/** Groups log lines by call. Calls without their first or last line are omitted and counted as incomplete. */
 export async function collectCalls(
     events: AsyncIterable<TimedEvent>,
 ): Promise<{ readonly calls: readonly LoggedCall[]; readonly incomplete: number; }> {
@@ -50,13 +53,13 @@
             calls.push(...(call ? [endCall(call, event)] : []));
         }
         else if (call) {
-            noteStep(call, event);
+            recordStep(call, event);
         }
     }
     return { calls, incomplete: open.size + endedOnly };
 }
 
-function noteStep(call: OpenCall, event: TimedEvent): void {
+function recordStep(call: OpenCall, event: TimedEvent): void {
     if (event.kind === EventKind.RequestPlaced && event.fields["reader"] !== undefined) {
         call.forecastReading = (readNumber(event, "readerWait") ?? 0) + (readNumber(event, "readerWork") ?? 0);
     }
--- a/packages/daisyturn-cli/src/ledger/sumSizes.ts
+++ b/packages/daisyturn-cli/src/ledger/sumSizes.ts
@@ -1,13 +1,13 @@
 import { EventKind } from "daisyturn-utils";
 import type { TimedEvent } from "../timeLine/index.js";
 
-/** Prompts of one route in one part of their order by size. Calls that were sent again count each time. */
+/** Prompts of one route in one range of sizes. A call that was sent again counts each time. */
 export interface SizeRow {
     readonly route: string;
     readonly part: string;
     readonly ended: number;
     readonly served: number;
-    /** Served of those that ended, against the same of all of the route; 1 where the part fares as well as all. */
+    /** Served share of the part divided by that of the whole route; above 1 the part is served better than average. */
     readonly ratio?: number;
 }
 
@@ -16,7 +16,7 @@
     served: number;
 }
 
-/** A part of all prompts in the order of their size, as fractions from the smallest. */
+/** A range of the prompts sorted by size, as fractions of their number, counted from the smallest. */
 interface Part {
     readonly name: string;
     readonly from: number;
@@ -32,7 +32,7 @@
 ];
 const sizePattern = /^(\d+):(\d+)\/(\d+)$/;
 
-/** Sums the counts by size that the processes have logged, by route, and splits them into parts of their order. */
+/** Sums the logged counts by size for each route, and splits them into ranges of sizes. */
 export async function sumSizes(events: AsyncIterable<TimedEvent>): Promise<readonly SizeRow[]> {
     const routes = new Map<string, Map<number, Count>>();
     for await (const { kind, fields } of events) {
@@ -49,33 +49,33 @@
 
 function addCounts(classes: Map<number, Count>, sizes: string): void {
     for (const size of sizes.split(",")) {
-        const [, leastSize, served, ended] = sizePattern.exec(size) ?? [];
-        if (leastSize === undefined) {
+        const [, minSize, served, ended] = sizePattern.exec(size) ?? [];
+        if (minSize === undefined) {
             continue;
         }
-        const count = classes.get(Number(leastSize)) ?? { ended: 0, served: 0 };
-        classes.set(Number(leastSize), { ended: count.ended + Number(ended), served: count.served + Number(served) });
+        const count = classes.get(Number(minSize)) ?? { ended: 0, served: 0 };
+        classes.set(Number(minSize), { ended: count.ended + Number(ended), served: count.served + Number(served) });
     }
 }
 
 function splitRoute(route: string, classes: ReadonlyMap<number, Count>): readonly SizeRow[] {
     const ordered = [...classes].sort(([left], [right]) => left - right).map(([, count]) => count);
     const total = ordered.reduce((sum, { ended }) => sum + ended, 0);
-    const shareOfAll = shareOf(cutOut(ordered, 0, total));
+    const overallShare = computeServedShare(sumRange(ordered, 0, total));
     return parts.map(({ name, from, to }) => {
-        const count = cutOut(ordered, from * total, to * total);
+        const count = sumRange(ordered, from * total, to * total);
         return {
             route,
             part: name,
             ended: Math.round(count.ended),
             served: Math.round(count.served),
-            ratio: shareOfAll > 0 ? shareOf(count) / shareOfAll : undefined,
+            ratio: overallShare > 0 ? computeServedShare(count) / overallShare : undefined,
         };
     });
 }
 
-/** What stands between two places of the order; a class that is cut counts by its fraction. */
-function cutOut(ordered: readonly Count[], from: number, to: number): Count {
+/** Sums the counts between two positions of the order; a size class that is partly inside counts proportionally. */
+function sumRange(ordered: readonly Count[], from: number, to: number): Count {
     const sum = { ended: 0, served: 0 };
     let begin = 0;
     for (const { ended, served } of ordered) {
@@ -87,6 +87,6 @@
     return sum;
 }
 
-function shareOf({ ended, served }: Count): number {
+function computeServedShare({ ended, served }: Count): number {
     return ended > 0 ? served / ended : 0;
 }
--- a/packages/daisyturn-cli/src/ledger/summarizeCalls.ts
+++ b/packages/daisyturn-cli/src/ledger/summarizeCalls.ts
@@ -1,6 +1,6 @@
 import type { LoggedCall } from "./collectCalls.js";
 
-/** The calls of one route that ended in one way; all but the first three are medians, in milliseconds or tokens. */
+/** Calls of one route with the same outcome. All fields after the first three are medians, in milliseconds or tokens. */
 export interface LedgerRow {
     readonly route: string;
     readonly outcome: string;
@@ -12,7 +12,7 @@
     readonly forecastReading?: number;
 }
 
-/** Sums calls up by route and outcome, in the order of their names. */
+/** Groups calls by route and outcome, sorted by these names. */
 export function summarizeCalls(calls: readonly LoggedCall[]): readonly LedgerRow[] {
     const groups = new Map<string, LoggedCall[]>();
     for (const call of calls) {
@@ -43,7 +43,7 @@
     };
 }
 
-/** The lower one of the two in the middle. */
+/** Returns the median; of an even number of values, the lower of the two in the middle. */
 function findMedian(values: readonly number[]): number | undefined {
     const sorted = [...values].sort((left, right) => left - right);
     return sorted[Math.floor((sorted.length - 1) / 2)];
--- a/packages/daisyturn-cli/src/output/formatDifferences.ts
+++ b/packages/daisyturn-cli/src/output/formatDifferences.ts
@@ -7,7 +7,7 @@
     [ItemEffect.Unchanged]: "=",
 };
 
-/** What a change would do, for a person: one line for each item, and one below it for each field that differs. */
+/** Formats the effects of a change: one line for each item, followed by one line for each field that differs. */
 export function formatDifferences(differences: readonly ItemDifference[]): string {
     return differences.map(formatDifference).join("");
 }
@@ -18,10 +18,10 @@
 }
 
 function listFields(before: ConfigurationItem | undefined, after: ConfigurationItem | undefined): string[] {
-    const old = toFields(before);
-    const young = toFields(after);
-    const names = [...new Set([...Object.keys(old), ...Object.keys(young)])].sort();
-    return names.flatMap(name => formatField(name, old[name], young[name]));
+    const previous = toFields(before);
+    const updated = toFields(after);
+    const names = [...new Set([...Object.keys(previous), ...Object.keys(updated)])].sort();
+    return names.flatMap(name => formatField(name, previous[name], updated[name]));
 }
 
 function formatField(name: string, before: string | undefined, after: string | undefined): string[] {
@@ -32,7 +32,7 @@
     return [`    ${name}: ${change}\n`];
 }
 
-/** The fields beside those that name the item. */
+/** Returns the fields except those that identify the item, each as JSON. */
 function toFields(item: ConfigurationItem | undefined): Record<string, string> {
     const entries = Object.entries(item ?? {}).filter(([name]) => !["kind", "partner", "name"].includes(name));
     return Object.fromEntries(entries.map(([name, value]) => [name, JSON.stringify(value)]));
--- a/packages/daisyturn-cli/src/output/formatTable.ts
+++ b/packages/daisyturn-cli/src/output/formatTable.ts
@@ -1,4 +1,4 @@
-/** Lines of a table whose columns are as wide as their widest cell. */
+/** Formats a table; each column is as wide as its widest cell. */
 export function formatTable(head: readonly string[], rows: readonly (readonly string[])[]): string {
     const lines = [head, ...rows];
     const widths = head.map((...[, column]) => Math.max(...lines.map(line => (line[column] ?? "").length)));
@@ -8,7 +8,7 @@
         .join("");
 }
 
-/** A wall-clock time as people read it; nothing where there is none. */
+/** Formats a wall-clock time in ISO 8601; an empty text for undefined. */
 export function formatTime(milliseconds: number | undefined): string {
     return milliseconds === undefined ? "" : new Date(milliseconds).toISOString();
 }
--- a/packages/daisyturn-cli/src/publishing/publishChange.ts
+++ b/packages/daisyturn-cli/src/publishing/publishChange.ts
@@ -9,10 +9,10 @@
 import { formatDifferences } from "../output/formatDifferences.js";
 import type { Terminal } from "../terminal.js";
 
-/** Times that a change is compared anew because others' changes came in between. */
-const mostComparisons = 5;
-const outcomeQuestions = 5;
-const outcomePauseMilliseconds = 1_000;
+/** Maximum number of comparisons when other changes are accepted between the comparison and the write. */
+const maxComparisons = 5;
+const maxOutcomeQueries = 5;
+const outcomeQueryIntervalMilliseconds = 1_000;
 
 const itemSchema = z.looseObject({ kind: z.string(), partner: z.string(), name: z.string() });
 
@@ -42,24 +42,26 @@
     readonly writeId?: string;
 }
 
-/** What was accepted. */
+/** The accepted change. */
 export type PublishedChange = z.infer<typeof answerSchema>;
 
 type Preview = z.infer<typeof previewSchema>;
 
-/** How a change is made once its differences were accepted. */
+/** Sends a change after the operator has accepted its differences. */
 export type MakeChange = (guards: ChangeGuards) => ReturnType<OperatorClient["call"]>;
 
-/** Name of a change, and the generation that it was compared with. */
+/** Id of a change, and the generation with which it was compared. */
 export interface ChangeGuards {
     readonly writeId: string;
     readonly expectedGeneration: number;
 }
 
 /**
- * Shows what a change would do, asks, and makes it, provided that the fleet still stands as it was shown. If it does
- * not, the change is compared again; the operator is asked again only if something else would happen now.
- * @param make undefined: the changes are published as they are
+ * Shows the effects of a change, asks for confirmation and publishes it, provided that the fleet is still at the
+ * generation of the comparison. If it is not, the change is compared again; confirmation is asked for again only if the
+ * effects differ.
+ * @param make sends the change; undefined: the changes are published as given
+ * @returns undefined if nothing was changed
  */
 export async function publishChange(
     terminal: Terminal,
@@ -69,35 +71,38 @@
     make?: MakeChange,
 ): Promise<PublishedChange | undefined> {
     const writeId = flags.writeId ?? `cli-${randomUUID()}`;
-    const earlier = flags.writeId === undefined ? undefined : await askOutcome(client, writeId);
+    const earlier = flags.writeId === undefined ? undefined : await queryOutcome(client, writeId);
     if (earlier) {
-        return tellPublished(terminal, flags, writeId, earlier);
+        return printPublished(terminal, flags, writeId, earlier);
     }
     const makeChange = make ?? (guards => callChanges(client, changes, guards, false));
     let accepted = "";
     for (let comparison = 1;; comparison++) {
-        const preview = await comparePlanned(client, changes, { writeId, expectedGeneration: flags.expectGeneration });
+        const preview = await previewChanges(client, changes, { writeId, expectedGeneration: flags.expectGeneration });
         const shown = formatDifferences(preview.differences as never);
         if (shown !== accepted && !await acceptDifferences(terminal, flags, preview, shown)) {
             return undefined;
         }
         accepted = shown;
         const expectedGeneration = flags.expectGeneration ?? preview.generation;
-        const answer = await settleAnswer(
+        const answer = await resolveOutcome(
             terminal,
             client,
             writeId,
             await makeChange({ writeId, expectedGeneration }),
         );
-        const isOvertaken = answer.isErr && answer.error.reason === FailureReason.Conflict
-            && flags.expectGeneration === undefined && comparison < mostComparisons;
-        if (!isOvertaken) {
-            return tellPublished(terminal, flags, writeId, answer);
+        const isOutdated = answer.isErr && answer.error.reason === FailureReason.Conflict
+            && flags.expectGeneration === undefined && comparison < maxComparisons;
+        if (!isOutdated) {
+            return printPublished(terminal, flags, writeId, answer);
         }
     }
 }
 
-/** Whether to go on: false for a dry run, for a change that changes nothing, and for an operator who says no. */
+/**
+ * Whether to publish the change: false for a dry run and for a change without effect.
+ * @throws CommandError if the operator declines, or if there is no interactive terminal
+ */
 async function acceptDifferences(
     terminal: Terminal,
     flags: PublishFlags,
@@ -109,11 +114,14 @@
         print(terminal, flags, preview, () => `${shown}Nothing was changed (generation ${preview.generation}).\n`);
         return false;
     }
-    // The differences are for a person also where a program reads the output.
+    // Written to standard error, so that a program that reads the output gets only the result.
     terminal.writeError(shown);
-    const isAccepted = flags.yes || await terminal.confirm(`Change generation ${preview.generation} like this?`);
+    const isAccepted = flags.yes || await terminal.confirm(`Apply these changes to generation ${preview.generation}?`);
     if (isAccepted === undefined) {
-        throw new CommandError(ExitCode.Usage, "nobody is there to accept the differences: use --yes");
+        throw new CommandError(
+            ExitCode.Usage,
+            "the differences can't be confirmed without an interactive terminal: use --yes",
+        );
     }
     if (!isAccepted) {
         throw new CommandError(ExitCode.Refused, "not accepted; nothing was changed");
@@ -121,7 +129,7 @@
     return true;
 }
 
-async function comparePlanned(
+async function previewChanges(
     client: OperatorClient,
     changes: readonly ItemChange[],
     guards: Partial<ChangeGuards>,
@@ -146,8 +154,8 @@
 
 type Answer = Awaited<ReturnType<OperatorClient["call"]>>;
 
-/** Finds out what became of a change whose answer was lost. */
-async function settleAnswer(
+/** Determines the outcome of a change whose answer was lost. */
+async function resolveOutcome(
     terminal: Terminal,
     client: OperatorClient,
     writeId: string,
@@ -156,37 +164,37 @@
     if (answer.isOk || answer.error.verdict !== ExecutionVerdict.MayHaveRun) {
         return answer;
     }
-    for (let question = 0; question < outcomeQuestions; question++) {
-        await terminal.clock.sleepUntil(terminal.clock.monotonicNow() + outcomePauseMilliseconds);
-        const outcome = await askOutcome(client, writeId);
+    for (let query = 0; query < maxOutcomeQueries; query++) {
+        await terminal.clock.sleepUntil(terminal.clock.monotonicNow() + outcomeQueryIntervalMilliseconds);
+        const outcome = await queryOutcome(client, writeId);
         if (outcome) {
             return outcome;
         }
     }
-    throw createFailureError(nameWriteId(answer.error, writeId));
+    throw createFailureError(addWriteIdAdvice(answer.error, writeId));
 }
 
-/** The accepted change under this write id; undefined if there is none so far, or nobody can tell. */
-async function askOutcome(client: OperatorClient, writeId: string): Promise<Answer | undefined> {
+/** Returns the accepted change with this write id; undefined if there is none so far, or if the query fails. */
+async function queryOutcome(client: OperatorClient, writeId: string): Promise<Answer | undefined> {
     const path = formatPath("changes", writeId);
     const outcome = await client.call({ method: OperatorMethod.Get, path, isRepeatable: true });
     const known = outcomeSchema.safeParse(outcome.unwrapOr({}));
     return known.success && known.data.state === ChangeState.Accepted ? outcome : undefined;
 }
 
-function tellPublished(terminal: Terminal, flags: PublishFlags, writeId: string, answer: Answer): PublishedChange {
+function printPublished(terminal: Terminal, flags: PublishFlags, writeId: string, answer: Answer): PublishedChange {
     const published = readAs(answerSchema, answer);
     print(terminal, flags, { writeId, ...published }, () => formatPublished(published, writeId));
     return published;
 }
 
-function nameWriteId(failure: Failure, writeId: string): Failure {
-    const advice = `ask again with --write-id ${writeId}, which changes nothing twice`;
+function addWriteIdAdvice(failure: Failure, writeId: string): Failure {
+    const advice = `repeat the command with --write-id ${writeId}, which applies the change at most once`;
     return { ...failure, message: `${failure.message}; it may have been accepted: ${advice}` };
 }
 
 function formatPublished({ generation, inForceAt, notConfirmedBy = [] }: PublishedChange, writeId: string): string {
     const pending = notConfirmedBy.length === 0 ? "" : `, not confirmed by ${notConfirmedBy.join(", ")}`;
-    const spread = inForceAt === undefined ? "" : `; in force at ${inForceAt.join(", ") || "none yet"}${pending}`;
-    return `Accepted as generation ${generation}${spread} (write id ${writeId}).\n`;
+    const confirmation = inForceAt === undefined ? "" : `; in force at ${inForceAt.join(", ") || "none yet"}${pending}`;
+    return `Accepted as generation ${generation}${confirmation} (write id ${writeId}).\n`;
 }
--- a/packages/daisyturn-cli/src/runCommandLine.ts
+++ b/packages/daisyturn-cli/src/runCommandLine.ts
@@ -12,27 +12,27 @@
 import { ExitCode } from "./exitCode.js";
 import type { Terminal } from "./terminal.js";
 
-const epilogue = "Exit codes: 0 done; 1 fault of the command line; 2 wrong arguments or client settings; "
-    + "3 refused, nothing changed; 4 not known whether it took effect; 5 no entry process reached; "
-    + "6 problems found in a checked file; 7 not finished in the time waited for.";
+const epilogue = "Exit codes: 0 success; 1 internal error of the command line; 2 invalid arguments or client settings; "
+    + "3 refused, nothing changed; 4 outcome unknown; 5 no entry process reachable, nothing changed; "
+    + "6 problems found in a checked file; 7 not finished within the waiting time.";
 
 const { version } = createRequire(import.meta.url)("../package.json") as { version: string; };
 
 /** Runs the operators' command line and returns its exit code. */
-export async function runCommandLine(words: readonly string[], terminal: Terminal): Promise<ExitCode> {
+export async function runCommandLine(args: readonly string[], terminal: Terminal): Promise<ExitCode> {
     try {
-        await createParser(words, terminal).parseAsync();
+        await createParser(args, terminal).parseAsync();
         return ExitCode.Success;
     }
     catch (error) {
-        const told = describeError(error);
-        terminal.writeError(words.includes("--json") ? `${JSON.stringify(told)}\n` : `daisyturn: ${told.message}\n`);
-        return told.exitCode;
+        const report = describeError(error);
+        terminal.writeError(args.includes("--json") ? `${JSON.stringify(report)}\n` : `daisyturn: ${report.message}\n`);
+        return report.exitCode;
     }
 }
 
-function createParser(words: readonly string[], terminal: Terminal): Argv<CommonFlags> {
-    let parser = addCommonFlags(yargs([...words]).scriptName("daisyturn"));
+function createParser(args: readonly string[], terminal: Terminal): Argv<CommonFlags> {
+    let parser = addCommonFlags(yargs([...args]).scriptName("daisyturn"));
     for (
         const addCommands of [
             addSettingsCommands,
@@ -57,14 +57,14 @@
         });
 }
 
-interface ToldError {
+interface ErrorReport {
     readonly exitCode: ExitCode;
     readonly message: string;
     readonly failure?: unknown;
     readonly problems?: unknown;
 }
 
-function describeError(error: unknown): ToldError {
+function describeError(error: unknown): ErrorReport {
     if (error instanceof CommandError) {
         const { exitCode, message, failure, problems } = error;
         return { exitCode, message, failure, problems };
--- a/packages/daisyturn-cli/src/terminal.ts
+++ b/packages/daisyturn-cli/src/terminal.ts
@@ -1,17 +1,17 @@
 import { type Clock, SystemClock } from "daisyturn-utils";
 import { createInterface } from "node:readline/promises";
 
-/** What a command reads from and writes to. Tests put their own in its place. */
+/** Input and output of a command. Tests use their own implementation. */
 export interface Terminal {
     write(text: string): void;
     writeError(text: string): void;
-    /** Asks for yes or no; undefined if nobody is there to answer. */
+    /** Asks a yes-or-no question; undefined if the terminal is not interactive. */
     confirm(question: string): Promise<boolean | undefined>;
     readonly environment: Readonly<Record<string, string | undefined>>;
     readonly clock: Clock;
 }
 
-/** The terminal that the process was started from. */
+/** Creates the terminal of this process. */
 export function createProcessTerminal(): Terminal {
     const confirm = async (question: string) => {
         if (!process.stdin.isTTY) {
--- a/packages/daisyturn-cli/src/timeLine/__fixtures__/createLogText.ts
+++ b/packages/daisyturn-cli/src/timeLine/__fixtures__/createLoggedProcess.ts
@@ -1,6 +1,6 @@
 import { createHybridLogicalClock, createLogfmtEventLog, FakeClock, type HybridLogicalClock } from "daisyturn-utils";
 
-/** A process that writes its log into memory. */
+/** Creates the event log and clock of a process; the log is kept in memory. */
 export function createLoggedProcess(processId: string, clock: FakeClock) {
     const hybridClock: HybridLogicalClock = createHybridLogicalClock(clock);
     let text = "";
--- a/packages/daisyturn-cli/src/timeLine/__tests__/mergeEvents.test.ts
+++ b/packages/daisyturn-cli/src/timeLine/__tests__/mergeEvents.test.ts
@@ -2,7 +2,7 @@
 import assert from "node:assert/strict";
 import { Readable } from "node:stream";
 import { describe, it } from "node:test";
-import { createLoggedProcess } from "../__fixtures__/createLogText.js";
+import { createLoggedProcess } from "../__fixtures__/createLoggedProcess.js";
 import {
     createEventFilter,
     drawTimeLine,
@@ -15,10 +15,10 @@
     type TimedEvent,
 } from "../index.js";
 
-async function merge(texts: readonly string[], onBroken: (broken: LineProblem) => void = () => undefined) {
+async function merge(texts: readonly string[], onProblem: (problem: LineProblem) => void = () => undefined) {
     const events: TimedEvent[] = [];
     const logs = texts.map((...[text, index]) =>
-        orderEvents(readEvents(Readable.from([text]), `log-${index}`, onBroken), onBroken)
+        orderEvents(readEvents(Readable.from([text]), `log-${index}`, onProblem), onProblem)
     );
     for await (const event of mergeEvents(logs)) {
         events.push(event);
@@ -27,7 +27,7 @@
 }
 
 describe("mergeEvents", () => {
-    it("puts an effect after its cause although the causing process's wall clock is ahead", async () => {
+    it("puts an effect after its cause even if the wall clock of the causing process is ahead", async () => {
         const ahead = new FakeClock();
         ahead.jumpWall(60_000);
         const sender = createLoggedProcess("entry-1", ahead);
@@ -44,39 +44,39 @@
         ]);
     });
 
-    it("tells of broken lines by file and line, and goes on", async () => {
+    it("reports invalid lines by file and line, and continues", async () => {
         const log = createLoggedProcess("entry-1", new FakeClock());
         log.eventLog.record(EventKind.ProcessReady);
-        const broken: LineProblem[] = [];
+        const problems: LineProblem[] = [];
         const events = await merge(
             [`half a li\n${log.text()}stamp=nonsense event=x process=y\n`],
-            one => broken.push(one),
+            problem => problems.push(problem),
         );
         assert.equal(events.length, 1);
-        assert.deepEqual(broken.map(one => one.line), [1, 3]);
+        assert.deepEqual(problems.map(problem => problem.line), [1, 3]);
     });
 
-    it("puts the logs of two processes in one file in order, and tells of what is too far out of it", async () => {
+    it("sorts a file with the logs of two processes, and reports events that are too far out of order", async () => {
         const clock = new FakeClock();
         const logs = ["entry-1", "entry-2"].map(name => createLoggedProcess(name, clock));
         for (let step = 0; step < 150; step++) {
             logs[step % 2]?.eventLog.record(EventKind.Fault, { step });
             await clock.advance(1);
         }
-        const broken: LineProblem[] = [];
+        const problems: LineProblem[] = [];
         const text = logs.map(log => log.text()).join("");
-        const events = await merge([text], one => broken.push(one));
+        const events = await merge([text], problem => problems.push(problem));
         assert.deepEqual(
             events.map(event => Number(event.fields["step"])),
             Array.from({ length: 150 }, (...[, at]) => at),
         );
-        assert.equal(broken.length, 0);
-        const far = await merge([text + text + text], one => broken.push(one));
+        assert.equal(problems.length, 0);
+        const far = await merge([text + text + text], problem => problems.push(problem));
         assert.equal(far.length, 450);
-        assert.ok(broken.length > 0 && broken.every(one => one.problem.startsWith("out of order")));
+        assert.ok(problems.length > 0 && problems.every(problem => problem.problem.startsWith("out of order")));
     });
 
-    it("keeps values with blanks, quotes and equals signs whole", async () => {
+    it("preserves values with spaces, quotes and equals signs", async () => {
         const log = createLoggedProcess("entry-1", new FakeClock());
         const reason = "a \"quoted\" value = with signs";
         log.eventLog.record(EventKind.Fault, { reason });
@@ -86,7 +86,7 @@
 });
 
 describe("createEventFilter", () => {
-    it("narrows to a request, an engine and a process", async () => {
+    it("filters by request, engine and process", async () => {
         const log = createLoggedProcess("entry-1", new FakeClock());
         log.eventLog.record(EventKind.RequestDispatched, { request: "r1", engine: "e1" });
         log.eventLog.record(EventKind.RequestDispatched, { request: "r2", engine: "e1" });
@@ -98,7 +98,7 @@
         assert.equal(count({ process: "entry-2" }), 0);
     });
 
-    it("narrows to a VM by what each run of a process said at its start", async () => {
+    it("filters by the VM that each incarnation logged at its start", async () => {
         const logs = ["entry-1", "entry-2"].map(name => createLoggedProcess(name, new FakeClock()));
         for (const [index, log] of logs.entries()) {
             log.eventLog.record(EventKind.ProcessStarted, { vm: `vm-${index + 1}` });
@@ -111,7 +111,7 @@
 });
 
 describe("drawTimeLine", () => {
-    it("shows each event, and nothing that a field holds acts as markup", async () => {
+    it("shows each event, and escapes markup in fields", async () => {
         const log = createLoggedProcess("entry-1", new FakeClock());
         log.eventLog.record(EventKind.Fault, { reason: "<script>alert(1)</script>" });
         const events = await merge([log.text()]);
--- a/packages/daisyturn-cli/src/timeLine/drawTimeLine.ts
+++ b/packages/daisyturn-cli/src/timeLine/drawTimeLine.ts
@@ -7,7 +7,7 @@
 const top = 40;
 const dotRadius = 4;
 
-/** Colours by the first word of the event's kind; others are grey. */
+/** Colors by the first word of the event's kind; other events are gray. */
 const colourByFamily: Readonly<Record<string, string>> = {
     request: "#1f77b4",
     claim: "#17becf",
@@ -22,15 +22,17 @@
     out: "#d62728",
 };
 
-/** Draws events as one self-contained HTML page: a lane per process in SVG, and the list below. */
+/** Draws events as a self-contained HTML page: an SVG with one lane per process, followed by a list of the events. */
 export function drawTimeLine(events: readonly TimedEvent[]): string {
     const lanes = [...new Set(events.map(event => event.process))].sort();
     const begin = events[0]?.at ?? 0;
     const end = Math.max(begin + 1, events.at(-1)?.at ?? begin);
-    const across = (at: number) => left + (at - begin) / (end - begin) * (width - left - dotRadius);
+    const computeX = (at: number) => left + (at - begin) / (end - begin) * (width - left - dotRadius);
     const height = top + lanes.length * laneHeight + laneHeight;
     const laneMarks = lanes.map((lane, index) => drawLane(lane, top + index * laneHeight));
-    const dots = events.map(event => drawDot(event, across(event.at), top + lanes.indexOf(event.process) * laneHeight));
+    const dots = events.map(event =>
+        drawDot(event, computeX(event.at), top + lanes.indexOf(event.process) * laneHeight)
+    );
     const rows = events.map(event => `<li>${escapeText(formatEvent(event))}</li>`);
     return [
         "<!doctype html><html lang=\"en\"><head><meta charset=\"utf-8\"><title>daisyturn time line</title>",
@@ -60,7 +62,7 @@
     return `<circle cx="${x.toFixed(1)}" cy="${y}" r="${dotRadius}" fill="${colour}"><title>${title}</title></circle>`;
 }
 
-/** Log fields hold what callers sent, so nothing of them may act as markup. */
+/** Escapes markup: log fields contain text from callers, which must not be interpreted as HTML. */
 function escapeText(text: string): string {
     return text.replaceAll("&", "&amp;").replaceAll("<", "&lt;").replaceAll(">", "&gt;").replaceAll("\"", "&quot;");
 }
--- a/packages/daisyturn-cli/src/timeLine/eventFilter.ts
+++ b/packages/daisyturn-cli/src/timeLine/eventFilter.ts
@@ -1,54 +1,54 @@
 import type { TimedEvent } from "./timedEvent.js";
 
-/** What the time line is narrowed to; an event must fit every one that is given. */
+/** Criteria for events of the time line; an event must match all that are given. */
 export interface EventFilter {
     readonly request?: string;
     readonly engine?: string;
     /** Process id of an entry process. */
     readonly process?: string;
-    /** Id of the VM on which a process said that it started. */
+    /** Id of the VM that a process logged at its start. */
     readonly vm?: string;
     readonly profile?: string;
     readonly partner?: string;
     readonly kind?: string;
-    /** Wall-clock times in milliseconds, both included. */
+    /** Wall-clock times in milliseconds, both inclusive. */
     readonly from?: number;
     readonly until?: number;
 }
 
 /**
- * Creates the test of a filter; it must be given all events in their order, because only the first event of a process
- * names its VM. An event of a peer fits a process filter that names that peer.
+ * Creates the predicate of a filter. It must be called with all events in order, because only the first event of an
+ * incarnation contains its VM. A process filter also matches events of other processes about that process.
  */
 export function createEventFilter(filter: EventFilter): (event: TimedEvent) => boolean {
-    const vmOfRun = new Map<string, string>();
+    const vmByIncarnation = new Map<string, string>();
 
     const findVm = (event: TimedEvent) => {
-        const run = `${event.process}/${event.incarnation}`;
+        const incarnationKey = `${event.process}/${event.incarnation}`;
         const vm = event.fields["vm"];
         if (vm !== undefined) {
-            vmOfRun.set(run, vm);
+            vmByIncarnation.set(incarnationKey, vm);
         }
-        return vmOfRun.get(run);
+        return vmByIncarnation.get(incarnationKey);
     };
 
-    return event => fitsVm(filter, findVm(event)) && fitsFields(event, filter);
+    return event => matchesVm(filter, findVm(event)) && matchesFields(event, filter);
 }
 
-function fitsVm(filter: EventFilter, vm: string | undefined): boolean {
+function matchesVm(filter: EventFilter, vm: string | undefined): boolean {
     return filter.vm === undefined || filter.vm === vm;
 }
 
-function fitsFields(event: TimedEvent, filter: EventFilter): boolean {
+function matchesFields(event: TimedEvent, filter: EventFilter): boolean {
     const { fields } = event;
-    const fits = (wanted: string | undefined, ...values: (string | undefined)[]) =>
-        wanted === undefined || values.includes(wanted);
-    return fits(filter.request, fields["request"], fields["call"])
-        && fits(filter.engine, fields["engine"], fields["target"])
-        && fits(filter.process, event.process, fields["peer"])
-        && fits(filter.profile, fields["profile"])
-        && fits(filter.partner, fields["partner"])
-        && fits(filter.kind, event.kind)
+    const matches = (expected: string | undefined, ...values: (string | undefined)[]) =>
+        expected === undefined || values.includes(expected);
+    return matches(filter.request, fields["request"], fields["call"])
+        && matches(filter.engine, fields["engine"], fields["target"])
+        && matches(filter.process, event.process, fields["peer"])
+        && matches(filter.profile, fields["profile"])
+        && matches(filter.partner, fields["partner"])
+        && matches(filter.kind, event.kind)
         && event.at >= (filter.from ?? Number.NEGATIVE_INFINITY)
         && event.at <= (filter.until ?? Number.POSITIVE_INFINITY);
 }
--- a/packages/daisyturn-cli/src/timeLine/mergeEvents.ts
+++ b/packages/daisyturn-cli/src/timeLine/mergeEvents.ts
@@ -6,23 +6,23 @@
 }
 
 /**
- * Merges logs into one causal order by their stamps. Each log is in the order of its own process, so only one event of
- * each is held at a time. Events with equal stamps come in the order of the process's name.
+ * Merges logs into one causal order by their stamps. Each log must already be in order, so only one event of each log
+ * is in memory at a time. Events with equal stamps are sorted by the name of the process.
  */
 export async function* mergeEvents(logs: readonly AsyncIterable<TimedEvent>[]): AsyncGenerator<TimedEvent> {
     const heads: Head[] = [];
-    const pull = async (rest: AsyncIterator<TimedEvent>) => {
+    const advance = async (rest: AsyncIterator<TimedEvent>) => {
         const next = await rest.next();
         if (!next.done) {
             heads.push({ event: next.value, rest });
         }
     };
-    await Promise.all(logs.map(log => pull(log[Symbol.asyncIterator]())));
+    await Promise.all(logs.map(log => advance(log[Symbol.asyncIterator]())));
     while (heads.length > 0) {
         const first = heads.reduce((best, head) => comesBefore(head.event, best.event) ? head : best);
         heads.splice(heads.indexOf(first), 1);
         yield first.event;
-        await pull(first.rest);
+        await advance(first.rest);
     }
 }
 
--- a/packages/daisyturn-cli/src/timeLine/openLogs.ts
+++ b/packages/daisyturn-cli/src/timeLine/openLogs.ts
@@ -3,16 +3,16 @@
 import { readEvents } from "./readEvents.js";
 import type { LineProblem, TimedEvent } from "./timedEvent.js";
 
-/** Name that stands for standard input. */
+/** File name that denotes standard input. */
 export const standardInputName = "-";
 
-/** Opens logs for merging. A file that can't be opened makes the reading throw with its name. */
+/** Opens logs for merging. If a file can't be opened, the iteration throws an error that contains its path. */
 export function openLogs(
     files: readonly string[],
-    onBroken: (broken: LineProblem) => void,
+    onProblem: (problem: LineProblem) => void,
 ): AsyncIterable<TimedEvent>[] {
     return files.map(file => {
         const input = file === standardInputName ? process.stdin : createReadStream(file);
-        return orderEvents(readEvents(input, file, onBroken), onBroken);
+        return orderEvents(readEvents(input, file, onProblem), onProblem);
     });
 }
--- a/packages/daisyturn-cli/src/timeLine/orderEvents.ts
+++ b/packages/daisyturn-cli/src/timeLine/orderEvents.ts
@@ -1,34 +1,34 @@
 import type { LineProblem, TimedEvent } from "./timedEvent.js";
 
-/** Events of one log that are held back to be put in order. */
-const heldEvents = 200;
+/** Number of events of one log that are buffered for sorting. */
+const maxBufferedEvents = 200;
 
 /**
- * Puts the events of one log in the order of their stamps, as far as it takes no more than some held back. A log of
- * several processes, or of a process that was restarted after its clock was set back, is out of order; what comes later
- * than that is told and kept where it stands.
+ * Sorts the events of one log by their stamps with a bounded buffer. A log of several processes, or of a process that was
+ * restarted after its clock was set back, is out of order. An event that is too late for the buffer is reported as a
+ * problem and returned at its place in the log.
  */
 export async function* orderEvents(
     events: AsyncIterable<TimedEvent>,
-    onBroken: (broken: LineProblem) => void,
+    onProblem: (problem: LineProblem) => void,
 ): AsyncGenerator<TimedEvent> {
-    const held: TimedEvent[] = [];
+    const buffered: TimedEvent[] = [];
     let last = "";
     const release = () => {
-        const event = held.shift();
+        const event = buffered.shift();
         if (event && event.stamp < last) {
-            onBroken({
+            onProblem({
                 source: event.source,
                 line: event.line,
-                problem: "out of order; give each process's log alone",
+                problem: "out of order; pass the log of each process as a separate file",
             });
         }
         last = event && event.stamp > last ? event.stamp : last;
         return event;
     };
     for await (const event of events) {
-        insert(held, event);
-        const released = held.length > heldEvents ? release() : undefined;
+        insert(buffered, event);
+        const released = buffered.length > maxBufferedEvents ? release() : undefined;
         if (released) {
             yield released;
         }
@@ -38,11 +38,11 @@
     }
 }
 
-/** From the end, where nearly every event belongs; equal stamps stay in the order of the log. */
-function insert(held: TimedEvent[], event: TimedEvent): void {
-    let at = held.length;
-    while (at > 0 && (held[at - 1]?.stamp ?? "") > event.stamp) {
+/** Searches from the end, where most events belong; events with equal stamps stay in the order of the log. */
+function insert(buffered: TimedEvent[], event: TimedEvent): void {
+    let at = buffered.length;
+    while (at > 0 && (buffered[at - 1]?.stamp ?? "") > event.stamp) {
         at -= 1;
     }
-    held.splice(at, 0, event);
+    buffered.splice(at, 0, event);
 }
--- a/packages/daisyturn-cli/src/timeLine/parseEventLine.ts
+++ b/packages/daisyturn-cli/src/timeLine/parseEventLine.ts
@@ -4,10 +4,10 @@
 
 const stampPattern = /^(\d{14})-\d{6,}$/;
 
-/** Collectors of many logs put the name of the machine and a time of their own before each line. */
+/** Log collectors prepend the host name and their own time to each line. */
 const prefixPattern = /^.*?(?=\bstamp=)/;
 
-/** Reads one log line. The error says what is missing. */
+/** Parses one log line. The error names the missing field. */
 export function parseEventLine(line: string, source: string, lineNumber: number): Result<TimedEvent, string> {
     const { stamp, event, process, incarnation, level, ...rest } = logfmt.parse(
         line.replace(prefixPattern, ""),
--- a/packages/daisyturn-cli/src/timeLine/readEvents.ts
+++ b/packages/daisyturn-cli/src/timeLine/readEvents.ts
@@ -3,11 +3,11 @@
 import { parseEventLine } from "./parseEventLine.js";
 import type { LineProblem, TimedEvent } from "./timedEvent.js";
 
-/** Reads events line by line; what can't be read is told to `onBroken` and passed over. */
+/** Reads events line by line; lines that can't be parsed are reported to `onProblem` and skipped. */
 export async function* readEvents(
     input: Readable,
     source: string,
-    onBroken: (broken: LineProblem) => void,
+    onProblem: (problem: LineProblem) => void,
 ): AsyncGenerator<TimedEvent> {
     let line = 0;
     for await (const text of createInterface({ input, crlfDelay: Infinity })) {
@@ -20,7 +20,7 @@
             yield parsed.value;
         }
         else {
-            onBroken({ source, line, problem: parsed.error });
+            onProblem({ source, line, problem: parsed.error });
         }
     }
 }
