--- a/packages/daisyturn-cli/src/__tests__/profileCommands.test.ts
+++ b/packages/daisyturn-cli/src/__tests__/profileCommands.test.ts
@@ -38,7 +38,7 @@
         await bench.close();
     });
 
-    it("publishes the output of `show` after showing the differences, and changes nothing the second time", async () => {
+    it("publishes the output of `show` after showing the differences, and changes nothing when repeated", async () => {
         await bench.publish(dossier);
         const shown = await bench.run(["profile", "show", "dossier"]);
         const counter = writeFile(shown.out.replace("name: dossier", "name: counter").replace("large", "small"));
--- a/packages/daisyturn-cli/src/client/createOperatorClient.ts
+++ b/packages/daisyturn-cli/src/client/createOperatorClient.ts
@@ -42,7 +42,7 @@
     readonly path: string;
     readonly query?: Readonly<Record<string, string | undefined>>;
     readonly body?: JsonObject;
-    /** Whether sending it twice has no further effect: true for reads, and for changes with a write id of the client. */
+    /** Whether sending it again has no further effect: reads, and changes with a write id of the client. */
     readonly isRepeatable: boolean;
 }
 
--- a/packages/daisyturn-cli/src/commands/changeEngineRole.ts
+++ b/packages/daisyturn-cli/src/commands/changeEngineRole.ts
@@ -74,7 +74,7 @@
 
 /**
  * Reads the state of the request.
- * @throws CommandError if a later request has replaced it, which means that it has ended; its outcome is no longer known
+ * @throws CommandError if a later request has replaced it: it has ended, but its outcome is no longer known
  */
 async function readRequest(client: OperatorClient, engine: string, recorded: OrderRequest): Promise<OrderRequest> {
     const call = { method: OperatorMethod.Get, path: formatPath("engines"), isRepeatable: true };
--- a/packages/daisyturn-cli/src/commands/logProblems.ts
+++ b/packages/daisyturn-cli/src/commands/logProblems.ts
@@ -5,9 +5,7 @@
 
 const maxReportedProblems = 20;
 
-/**
- * Reports the first problems one by one and only counts the others: in a log of another program, every line is a problem.
- */
+/** Reports the first problems one by one and counts the others: in a log of another program, no line can be parsed. */
 export function createProblemReporter(terminal: Terminal) {
     let count = 0;
     return {
--- a/packages/daisyturn-cli/src/ledger/__tests__/sumSizes.test.ts
+++ b/packages/daisyturn-cli/src/ledger/__tests__/sumSizes.test.ts
@@ -11,7 +11,7 @@
     yield* events;
 }
 
-test("sums the counts of all processes, and compares the served share of the largest tenth with that of all", async () => {
+test("sums the counts of all processes and compares the served share of each part with that of all", async () => {
     const rows = await sumSizes(listEvents([
         event("prompts_by_size", { route: "ask", sizes: "512:40/40,4096:20/25" }),
         event("prompts_by_size", { route: "ask", sizes: "512:20/20,8192:5/5,32768:1/10" }),
--- a/packages/daisyturn-cli/src/ledger/summarizeCalls.ts
+++ b/packages/daisyturn-cli/src/ledger/summarizeCalls.ts
@@ -1,6 +1,6 @@
 import type { LoggedCall } from "./collectCalls.js";
 
-/** Calls of one route with the same outcome. All fields after the first three are medians, in milliseconds or tokens. */
+/** Calls of one route with the same outcome. Fields after the first three are medians, in milliseconds or tokens. */
 export interface LedgerRow {
     readonly route: string;
     readonly outcome: string;
--- a/packages/daisyturn-cli/src/timeLine/drawTimeLine.ts
+++ b/packages/daisyturn-cli/src/timeLine/drawTimeLine.ts
@@ -8,7 +8,7 @@
 const dotRadius = 4;
 
 /** Colors by the first word of the event's kind; other events are gray. */
-const colourByFamily: Readonly<Record<string, string>> = {
+const colorByFamily: Readonly<Record<string, string>> = {
     request: "#1f77b4",
     claim: "#17becf",
     configuration: "#2ca02c",
@@ -57,9 +57,9 @@
 
 function drawDot(event: TimedEvent, x: number, y: number): string {
     const family = event.kind.split("_")[0] ?? "";
-    const colour = colourByFamily[family] ?? "#7f7f7f";
+    const color = colorByFamily[family] ?? "#7f7f7f";
     const title = escapeText(`${event.stamp} ${event.kind} ${formatFields(event)}`);
-    return `<circle cx="${x.toFixed(1)}" cy="${y}" r="${dotRadius}" fill="${colour}"><title>${title}</title></circle>`;
+    return `<circle cx="${x.toFixed(1)}" cy="${y}" r="${dotRadius}" fill="${color}"><title>${title}</title></circle>`;
 }
 
 /** Escapes markup: log fields contain text from callers, which must not be interpreted as HTML. */
--- a/packages/daisyturn-cli/src/timeLine/orderEvents.ts
+++ b/packages/daisyturn-cli/src/timeLine/orderEvents.ts
@@ -4,9 +4,9 @@
 const maxBufferedEvents = 200;
 
 /**
- * Sorts the events of one log by their stamps with a bounded buffer. A log of several processes, or of a process that was
- * restarted after its clock was set back, is out of order. An event that is too late for the buffer is reported as a
- * problem and returned at its place in the log.
+ * Sorts the events of one log by their stamps with a bounded buffer. A log of several processes, or of a process that
+ * was restarted after its clock was set back, is out of order. An event that is too late for the buffer is reported as
+ * a problem and returned at its place in the log.
  */
 export async function* orderEvents(
     events: AsyncIterable<TimedEvent>,
