--- a/packages/daisyturn-examples/src/__tests__/examples.test.ts
+++ b/packages/daisyturn-examples/src/__tests__/examples.test.ts
@@ -4,16 +4,16 @@
 import { holdLeaseInTurn, planPrefillEngines, writeRowOnce } from "../index.js";
 
 describe("examples", () => {
-    it("hands a lease on with a greater fencing number", async () => {
+    it("passes a lease to another process with a greater fencing number", async () => {
         const { first, second } = await holdLeaseInTurn();
         assert.ok(second > first);
     });
 
-    it("writes a row once", async () => {
+    it("commits the first write of a row and rejects the second", async () => {
         assert.deepEqual(await writeRowOnce(), [TransactionOutcome.Committed, TransactionOutcome.Rejected]);
     });
 
-    it("moves engines for a mix that lasts, and none for one that does not", () => {
+    it("changes the roles of engines for a demand mix that lasts, but not for a short one", () => {
         assert.equal(planPrefillEngines(120_000), 2);
         assert.equal(planPrefillEngines(1_000), 4);
     });
--- a/packages/daisyturn-examples/src/holdLease.ts
+++ b/packages/daisyturn-examples/src/holdLease.ts
@@ -1,21 +1,21 @@
 import { createLeaseKeeper, createMemoryTableService, createStoreClient, type ProcessIdentity } from "daisyturn";
 import { type Clock, createIdSource, createSeededRandom, MemoryEventLog, SystemClock } from "daisyturn-utils";
 
-/** Fencing numbers of two processes that held the same lease one after the other. */
+/** Fencing numbers of two processes that held the same lease, one after the other. */
 export interface LeaseExampleResult {
     readonly first: number;
     readonly second: number;
 }
 
-/** Two processes compete for a lease: the second gets it, with a greater fencing number, when the first gives it back. */
+/** Two processes compete for a lease. When one releases it, the other acquires it with a greater fencing number. */
 export async function holdLeaseInTurn(): Promise<LeaseExampleResult> {
     const clock = new SystemClock();
     const tableService = createMemoryTableService();
-    const join = (processId: string) => startCompetitor(processId, clock, tableService);
+    const startProcess = (processId: string) => startCompetitor(processId, clock, tableService);
 
-    const earlier = join("process-1");
+    const earlier = startProcess("process-1");
     const first = await earlier.acquired;
-    const later = join("process-2");
+    const later = startProcess("process-2");
     await earlier.stop();
     const second = await later.acquired;
     await later.stop();
@@ -51,10 +51,10 @@
         pollIntervalMilliseconds: 50,
     });
     const acquired = new Promise<number>(resolve => keeper.onAcquired(lease => resolve(lease.fencingNumber)));
-    const stopper = new AbortController();
-    const running = keeper.run(stopper.signal);
+    const stopController = new AbortController();
+    const running = keeper.run(stopController.signal);
     const stop = async () => {
-        stopper.abort();
+        stopController.abort();
         await running;
     };
     return { acquired, stop };
--- a/packages/daisyturn-examples/src/planRoles.ts
+++ b/packages/daisyturn-examples/src/planRoles.ts
@@ -1,6 +1,9 @@
 import { chooseSplit } from "daisyturn";
 
-/** Eight engines, half and half, and a mix that needs far more decoding: how many should prefill? */
+/**
+ * Computes how many of eight engines should prefill. Half of them prefill now, and the current demand is mostly for
+ * decoding.
+ */
 export function planPrefillEngines(holdMilliseconds: number): number {
     return chooseSplit({
         prefillEngines: 4,
--- a/packages/daisyturn-examples/src/writeConditionally.ts
+++ b/packages/daisyturn-examples/src/writeConditionally.ts
@@ -7,7 +7,7 @@
 } from "daisyturn";
 import { createSeededRandom, MemoryEventLog, SystemClock } from "daisyturn-utils";
 
-/** Writes a row that must not exist, twice: the second write is rejected. */
+/** Writes a row twice, each time on the condition that it does not exist; the second write is rejected. */
 export async function writeRowOnce(): Promise<readonly TransactionOutcome[]> {
     const clock = new SystemClock();
     const storeClient = createStoreClient({
