--- a/scripts/__tests__/sourceLayout.test.js
+++ b/scripts/__tests__/sourceLayout.test.js
@@ -3,10 +3,10 @@
 import { tmpdir } from "node:os";
 import * as path from "node:path";
 import { test } from "node:test";
-import { findImportCircles } from "../findImportCircles.js";
+import { findImportCycles } from "../findImportCycles.js";
 
-/** What a reader still takes in at a glance. */
-const mostFilesInFolder = 15;
+/** Folders with more files are hard to survey. */
+const maxFilesPerFolder = 15;
 const sourceFolders = [...fs.readdirSync("packages").map(name => path.join("packages", name, "src")), "platform/src"];
 
 function listSources() {
@@ -27,7 +27,7 @@
     return { folder, files };
 }
 
-test("finds files that import each other, also by a type, an export and over a third one", () => {
+test("finds import cycles, also through type imports, exports and a third file", () => {
     const { folder, files } = writeFiles({
         "a.ts": `import type { B } from "./b.js";\n`,
         "b.ts": `import { one } from "./alone.js";\nexport * from "./c.js";\n`,
@@ -35,21 +35,21 @@
         "alone.ts": `import { readFile } from "node:fs";\nexport const one = 1;\n`,
     });
     try {
-        assert.deepEqual(findImportCircles(files), [files.slice(0, 3)]);
+        assert.deepEqual(findImportCycles(files), [files.slice(0, 3)]);
     }
     finally {
         fs.rmSync(folder, { recursive: true });
     }
 });
 
-test("no files import each other in a circle", () => {
-    assert.deepEqual(findImportCircles(listSources()), []);
+test("the sources contain no import cycles", () => {
+    assert.deepEqual(findImportCycles(listSources()), []);
 });
 
-test("no folder has more files side by side than a reader takes in", () => {
+test("no source folder has more than the maximum number of files", () => {
     const counts = new Map();
     for (const file of listSources()) {
         counts.set(path.dirname(file), (counts.get(path.dirname(file)) ?? 0) + 1);
     }
-    assert.deepEqual([...counts].filter(([, count]) => count > mostFilesInFolder), []);
+    assert.deepEqual([...counts].filter(([, count]) => count > maxFilesPerFolder), []);
 });
