--- a/eslint.config.js
+++ b/eslint.config.js
@@ -5,7 +5,7 @@
     message: "Use undefined, not null; a library that demands null gets a named constant.",
 };
 
-/** The parts of `process/`. A part may use only those named before it, so there are no cycles between them. */
+/** The parts of `process/`. A part may import only parts that precede it in this list, so there are no cycles. */
 const processParts = [
     "peers",
     "store",
@@ -25,14 +25,14 @@
 
 const processFolder = "packages/daisyturn/src/process";
 
-/** Forbids imports whose path matches. */
+/** Forbids imports whose path matches the regular expression. */
 function forbidImports(regex, message) {
     return { "no-restricted-imports": ["error", { patterns: [{ regex, message }] }] };
 }
 
 const throughIndex = "Import a part of process/ through its index.js.";
 
-/** Rules of one part: no way past the index of another part, and nothing of a later part. */
+/** Rules of one part: it imports earlier parts only through their index.js, and no later parts. */
 function partRules(part, index) {
     const later = processParts.slice(index).filter(name => name !== part).join("|") || "none";
     const earlier = processParts.slice(0, index).join("|") || "none";
@@ -81,12 +81,12 @@
     },
     ...processParts.flatMap(partRules),
     {
-        // The bundle is CommonJS: node starts it without its loader of modules.
+        // The bundle is CommonJS, so node starts without its ES module loader.
         files: ["scripts/bundle/*.cjs"],
         rules: { "@typescript-eslint/no-require-imports": "off" },
     },
     {
-        // A test's describe block holds many short cases; the file limit still applies.
+        // The describe block of a test contains many short cases; the limit per file still applies.
         files: ["packages/*/src/**", "platform/src/**"].flatMap(
             sources => [`${sources}/__tests__/**`, `${sources}/__fixtures__/**`],
         ),
--- a/scripts/__tests__/bundle.test.js
+++ b/scripts/__tests__/bundle.test.js
@@ -5,7 +5,7 @@
 const settingsExitCode = 2;
 const heapLimits = ["--max-old-space-size=160", "--max-semi-space-size=4"];
 
-test("the bundled entry process starts from its code cache", () => {
+test("starts the bundled entry process from its code cache", () => {
     execFileSync(process.execPath, ["scripts/bundle/bundle.js"]);
     const started = spawnSync(process.execPath, [...heapLimits, "target/daisyturn.cjs"], { encoding: "utf8", env: {} });
     assert.equal(started.status, settingsExitCode);
--- a/scripts/__tests__/knownRed.test.js
+++ b/scripts/__tests__/knownRed.test.js
@@ -11,11 +11,11 @@
     return root;
 }
 
-test("without a list, no test is passed over", () => {
+test("returns no entries without a list", () => {
     assert.deepEqual(readKnownRed(createRoot({})), []);
 });
 
-test("each entry names one file of tests", () => {
+test("reads entries that each name one test file", () => {
     const root = createRoot({
         "a.test.ts": "",
         "b.test.ts": "",
@@ -27,7 +27,7 @@
     ]);
 });
 
-test("an entry without a file, or with one that does not exist, is an error", () => {
+test("rejects an entry without a file, or with a file that does not exist", () => {
     assert.throws(() => readKnownRed(createRoot({ "KNOWN-RED.txt": "seen: late\n" })), /KNOWN-RED/);
     assert.throws(() => readKnownRed(createRoot({ "KNOWN-RED.txt": "test: gone.test.ts\n" })), /gone/);
 });
--- a/scripts/__tests__/runInGroup.test.js
+++ b/scripts/__tests__/runInGroup.test.js
@@ -6,21 +6,24 @@
 import { setTimeout as delay } from "node:timers/promises";
 import { runInGroup } from "../runInGroup.js";
 
-const soonMilliseconds = 5_000;
+const endLimitMilliseconds = 5_000;
 
-/** Starts a program that does not stop at SIGTERM and notes its number; `after` is what comes then. */
-function createProgram(numberFile, after) {
+/**
+ * Returns the source of a program that starts a child process, which ignores SIGTERM, and writes its process id to a
+ * file. `after` is code that runs afterwards.
+ */
+function createProgram(processIdFile, after) {
     const child = `process.on("SIGTERM", () => undefined); setInterval(() => undefined, 1_000);`;
     return `
         const child = require("node:child_process").spawn(process.execPath, ["-e", ${JSON.stringify(child)}]);
-        require("node:fs").writeFileSync(${JSON.stringify(numberFile)}, String(child.pid));
+        require("node:fs").writeFileSync(${JSON.stringify(processIdFile)}, String(child.pid));
         ${after}
     `;
 }
 
-function isRunning(processNumber) {
+function isRunning(processId) {
     try {
-        return process.kill(processNumber, 0);
+        return process.kill(processId, 0);
     }
     catch {
         return false;
@@ -29,25 +32,25 @@
 
 async function runProgram(after, limitMilliseconds) {
     const folder = mkdtempSync(path.join(tmpdir(), "daisyturn-group-"));
-    const numberFile = path.join(folder, "number");
+    const processIdFile = path.join(folder, "number");
     try {
-        const status = await runInGroup(["-e", createProgram(numberFile, after)], limitMilliseconds);
-        const left = Number(readFileSync(numberFile, "utf8"));
-        const deadline = performance.now() + soonMilliseconds;
-        while (isRunning(left) && performance.now() < deadline) {
+        const status = await runInGroup(["-e", createProgram(processIdFile, after)], limitMilliseconds);
+        const childId = Number(readFileSync(processIdFile, "utf8"));
+        const deadline = performance.now() + endLimitMilliseconds;
+        while (isRunning(childId) && performance.now() < deadline) {
             await delay(20);
         }
-        return { status, isLeftRunning: isRunning(left) };
+        return { status, isLeftRunning: isRunning(childId) };
     }
     finally {
         rmSync(folder, { recursive: true });
     }
 }
 
-test("returns a program's status, and ends what the program has left running", async () => {
+test("returns the program's exit status, and ends processes that it has left running", async () => {
     assert.deepEqual(await runProgram("process.exit(3);", 60_000), { status: 3, isLeftRunning: false });
 });
 
-test("ends a program that does not end by itself, with all that it has started", async () => {
+test("ends a program that exceeds the time limit, with all processes that it has started", async () => {
     assert.deepEqual(await runProgram("", 1_000), { status: 1, isLeftRunning: false });
 });
--- a/scripts/bundle/bundle.js
+++ b/scripts/bundle/bundle.js
@@ -1,15 +1,15 @@
-// Bundles the entry process into one file with a code cache, so that it starts without loading hundreds of modules and
-// without compiling them.
+// Bundles the entry process into one file with a code cache, so that it starts without loading and compiling hundreds
+// of modules.
 import { build } from "esbuild";
 import { execFileSync } from "node:child_process";
 import { copyFileSync, rmSync } from "node:fs";
 import { fileURLToPath } from "node:url";
 
 const sibling = name => fileURLToPath(new URL(name, import.meta.url));
-/** V8 takes a code cache only under the heap limits under which it was made: those of deploy/system.toml. */
+/** Heap limits of deploy/system.toml. V8 accepts a code cache only under the heap limits with which it was created. */
 const heapLimits = ["--max-old-space-size=160", "--max-semi-space-size=4"];
 
-/** Bundles a file beside this one in place of each module whose name matches. */
+/** Creates a plugin that replaces each module whose name matches by a file of this folder. */
 function replaceModules(replacements) {
     const setup = ({ onResolve }) =>
         replacements.forEach(([filter, file]) => onResolve({ filter }, () => ({ path: sibling(file) })));
--- a/scripts/bundle/launch.cjs
+++ b/scripts/bundle/launch.cjs
@@ -1,2 +1,2 @@
-// The program that deploy/system.toml starts.
+// Main program of the bundled entry process; deploy/system.toml starts it.
 require("./loadBundle.cjs").loadBundle().entry.runEntry();
--- a/scripts/bundle/loadBundle.cjs
+++ b/scripts/bundle/loadBundle.cjs
@@ -1,11 +1,11 @@
-// Loads the bundled entry process, from its code cache if there is one that fits; else V8 compiles it anew.
+// Loads the bundled entry process. V8 uses the code cache if it exists and is valid, and compiles the bundle otherwise.
 const fs = require("node:fs");
 const path = require("node:path");
 const vm = require("node:vm");
 
 const bundleFile = path.join(__dirname, "entry.cjs");
 
-/** The bundle's exports, and the script that they came from. */
+/** Returns the bundle's exports, its script and the path of its code cache. */
 function loadBundle() {
     const cacheFile = `${bundleFile}.cache`;
     const cachedData = fs.existsSync(cacheFile) ? fs.readFileSync(cacheFile) : undefined;
--- a/scripts/bundle/undiciClients.cjs
+++ b/scripts/bundle/undiciClients.cjs
@@ -1,4 +1,5 @@
-// The part of undici that the entry process uses. Its index also loads fetch, web sockets, caches and mocks.
+// Replaces undici in the bundle by the part that the entry process uses. The index of undici also loads fetch,
+// WebSocket, caches and mocks.
 const api = require("undici/lib/api");
 const Client = require("undici/lib/dispatcher/client");
 const Dispatcher = require("undici/lib/dispatcher/dispatcher");
--- a/scripts/bundle/writeCodeCache.cjs
+++ b/scripts/bundle/writeCodeCache.cjs
@@ -1,4 +1,4 @@
-// Writes the code cache of the bundle beside which it stands: what its loading has compiled.
+// Writes the code cache of the bundle in the same folder. It contains the code that was compiled during loading.
 const fs = require("node:fs");
 const { loadBundle } = require("./loadBundle.cjs");
 
--- a/scripts/knownRed.js
+++ b/scripts/knownRed.js
@@ -1,14 +1,17 @@
-// Reads the list of tests that are known to fail for a fault that is still open.
+// Reads the list of tests that are known to fail because of a fault that is not fixed yet.
 import * as fs from "node:fs";
 import * as path from "node:path";
 
-/** Lies at the root; absent while nothing is red. Entries are parted by empty lines, and each names its file of tests first. */
+/**
+ * File in the root folder; it may be absent if no test is known to fail. Entries are separated by empty lines, and each
+ * contains a line with its test file.
+ */
 const listName = "KNOWN-RED.txt";
 const testField = /^test: (\S+)$/m;
 
 /**
- * The entries of the list, each with its source file.
- * @throws where an entry names no file, or one that does not exist: what is passed over must be told exactly
+ * Reads the entries of the list, each with the source file of its test.
+ * @throws Error if an entry names no file, or one that does not exist: the skipped tests must be listed exactly
  */
 export function readKnownRed(root) {
     const list = path.join(root, listName);
--- a/scripts/runInGroup.js
+++ b/scripts/runInGroup.js
@@ -2,47 +2,49 @@
 import { once } from "node:events";
 import { setTimeout as delay } from "node:timers/promises";
 
-const limitStatus = 1;
+const failureStatus = 1;
 
 /**
- * Runs a program and ends whatever it has left running: a test that fails may leave programs of its own behind, and one
- * that waits for their end would wait forever. Programs that it starts share its process group.
- * @param {readonly string[]} words arguments for node
- * @param {number} limitMilliseconds after which all of it is ended; what still ran by then is printed
- * @returns {Promise<number>} its exit status, not 0 if it did not end by itself
+ * Runs a program with node and ends all processes that it has left running. A failed test may leave processes behind,
+ * and waiting for their end could take forever. Processes that the program starts share its process group.
+ * @param {readonly string[]} args arguments for node
+ * @param {number} limitMilliseconds time limit, after which all processes of the group are listed and ended
+ * @returns {Promise<number>} exit status of the program; not 0 if a signal or the time limit ended it
  */
-export async function runInGroup(words, limitMilliseconds) {
-    const program = spawn(process.execPath, words, { stdio: "inherit", detached: true });
-    const stop = () => endGroup(program.pid);
+export async function runInGroup(args, limitMilliseconds) {
+    const child = spawn(process.execPath, args, { stdio: "inherit", detached: true });
+    const stop = () => killGroup(child.pid);
     process.once("SIGINT", stop).once("SIGTERM", stop);
-    const limit = new AbortController();
+    const timer = new AbortController();
     const status = await Promise.race([
-        once(program, "exit").then(([code]) => code ?? limitStatus),
-        delay(limitMilliseconds, undefined, { signal: limit.signal }).then(
-            () => reportLimit(program.pid, limitMilliseconds),
-            () => limitStatus,
+        once(child, "exit").then(([code]) => code ?? failureStatus),
+        delay(limitMilliseconds, undefined, { signal: timer.signal }).then(
+            () => reportTimeout(child.pid, limitMilliseconds),
+            () => failureStatus,
         ),
     ]);
-    limit.abort();
+    timer.abort();
     process.off("SIGINT", stop).off("SIGTERM", stop);
-    endGroup(program.pid);
+    killGroup(child.pid);
     return status;
 }
 
-function reportLimit(group, limitMilliseconds) {
+function reportTimeout(group, limitMilliseconds) {
     const listed = spawnSync("ps", ["-A", "-o", "pgid=,pid=,ppid=,etimes=,args="], { encoding: "utf8" });
     const lines = (listed.stdout ?? "").split("\n").filter(line => Number.parseInt(line, 10) === group);
-    const reason = listed.error ? `could not be listed: ${listed.error.message}` : `\n${lines.join("\n")}`;
-    process.stderr.write(`not ended after ${limitMilliseconds} ms, all of it is ended now; still running: ${reason}\n`);
-    return limitStatus;
+    const description = listed.error ? `could not be listed: ${listed.error.message}` : `\n${lines.join("\n")}`;
+    process.stderr.write(
+        `time limit of ${limitMilliseconds} ms exceeded, ending all processes; still running: ${description}\n`,
+    );
+    return failureStatus;
 }
 
-function endGroup(group) {
+function killGroup(group) {
     try {
         process.kill(-group, "SIGKILL");
     }
     catch (error) {
-        // Nothing of the group is left.
+        // The group has no processes any more.
         if (error.code !== "ESRCH") {
             throw error;
         }
--- a/scripts/runTests.js
+++ b/scripts/runTests.js
@@ -1,5 +1,6 @@
-// Runs every compiled test with node's test runner. Node 20's --test takes no glob, so the files are listed here.
-// Usage: node scripts/runTests.js [word ...]: only files whose path contains one of the words.
+// Runs all compiled tests with node's test runner. `node --test` of Node 20 does not support globs, so the files are
+// listed here.
+// Usage: node scripts/runTests.js [word ...]; with words, only files whose path contains one of them.
 import * as fs from "node:fs";
 import * as path from "node:path";
 import { readKnownRed } from "./knownRed.js";
@@ -7,7 +8,7 @@
 
 const concurrentFiles = 6;
 const testLimitMilliseconds = 300_000;
-/** All files of one kind take two to four minutes together; beyond this, one of them has not ended. */
+/** All files of one kind take two to four minutes together; after this time, a test file is presumed to hang. */
 const runLimitMilliseconds = 1_200_000;
 const words = process.argv.slice(2);
 
@@ -22,7 +23,7 @@
         : file;
 }
 
-/** A compiled test whose source is gone is left over from an earlier build and must not run. */
+/** A compiled test without a source file is left over from an earlier build and must not run. */
 function hasSource(file) {
     return fs.existsSync(findSource(file));
 }
@@ -42,15 +43,15 @@
     if (files.length === 0) {
         return 0;
     }
-    // A test that hangs fails, in place of holding up all others.
+    // A test that hangs fails instead of blocking all others.
     const flags = ["--test", `--test-concurrency=${concurrency}`, `--test-timeout=${testLimitMilliseconds}`];
     return await runInGroup([...flags, ...files], runLimitMilliseconds);
 }
 
-// Tests of whole fleets of processes measure no time but have deadlines of their own, so nothing else runs beside them.
+// End-to-end tests start whole fleets of processes and have deadlines, so no other test runs at the same time.
 const isEndToEnd = file => file.includes(`${path.sep}endToEnd${path.sep}`);
 const red = readKnownRed(".");
-red.forEach(({ text }) => console.log(`Passed over, known to fail:\n${text}\n`));
+red.forEach(({ text }) => console.log(`Skipped, known to fail:\n${text}\n`));
 const redFiles = new Set(red.map(({ file }) => file));
 const files = findTestFiles().filter(file => words.length > 0 || !redFiles.has(findSource(file)));
 const status = await runFiles(files.filter(file => !isEndToEnd(file)), concurrentFiles);
