--- a/packages/daisyturn-cli/src/commands/engineCommands.ts
+++ b/packages/daisyturn-cli/src/commands/engineCommands.ts
@@ -63,7 +63,7 @@
 export function addEngineCommands(parser: Argv<CommonFlags>, terminal: Terminal): Argv<CommonFlags> {
     const run = (flags: CommonFlags, action: (client: OperatorClient) => Promise<void>) =>
         withClient(terminal, flags, action);
-    return parser.command("engine", "Drain, replace, withdraw engines and change their roles", engine => {
+    return parser.command("engine", "Drain, replace and withdraw engines, and change their roles", engine => {
         for (const hold of holdCommands) {
             engine.command(
                 `${hold.subcommand} <name>`,
@@ -95,7 +95,11 @@
                             demandOption: true,
                             describe: "Incarnation of the ended process",
                         })
-                        .option("note", { type: "string", demandOption: true, describe: "How you know" }),
+                        .option("note", {
+                            type: "string",
+                            demandOption: true,
+                            describe: "Evidence that the process has ended",
+                        }),
                 flags => run(flags, client => vouch(terminal, flags, client)),
             )
             .demandCommand(1);
@@ -127,7 +131,7 @@
             describe: "Id of an earlier attempt; the change is applied at most once",
         })
         .option("wait", { type: "boolean", default: false, describe: "Wait until the change has ended" })
-        .option("wait-seconds", { type: "number", default: 300, describe: "How long to wait" });
+        .option("wait-seconds", { type: "number", default: 300, describe: "Maximum waiting time in seconds" });
 }
 
 interface HoldFlags extends PublishFlags {
--- a/packages/daisyturn-cli/src/commands/profileCommands.ts
+++ b/packages/daisyturn-cli/src/commands/profileCommands.ts
@@ -96,7 +96,7 @@
             default: false,
             describe: "Wait until no request uses the profile any more",
         })
-        .option("wait-seconds", { type: "number", default: 120, describe: "How long to wait" });
+        .option("wait-seconds", { type: "number", default: 120, describe: "Maximum waiting time in seconds" });
 }
 
 function addHistoryFlags(command: Argv<CommonFlags>) {
--- a/packages/daisyturn-cli/src/commands/retireProfile.ts
+++ b/packages/daisyturn-cli/src/commands/retireProfile.ts
@@ -51,10 +51,10 @@
         identity: { kind, partner, name },
     });
     const services = flags.withServices ? (await readItems(client, ItemKind.Service)).items : [];
-    const usingServices = services.filter(service => service["profile"] === flags.name);
+    const servicesOfProfile = services.filter(service => service["profile"] === flags.name);
     return [
         remove(ItemKind.Profile, flags.name),
-        ...usingServices.map(service => remove(ItemKind.Service, String(service["name"]))),
+        ...servicesOfProfile.map(service => remove(ItemKind.Service, String(service["name"]))),
     ];
 }
 
--- a/packages/daisyturn-cli/src/publishing/publishChange.ts
+++ b/packages/daisyturn-cli/src/publishing/publishChange.ts
@@ -61,7 +61,7 @@
  * generation of the comparison. If it is not, the change is compared again; confirmation is asked for again only if the
  * effects differ.
  * @param make sends the change; undefined: the changes are published as given
- * @returns undefined if nothing was changed
+ * @returns undefined after a dry run and for a change without effect
  */
 export async function publishChange(
     terminal: Terminal,
--- a/packages/daisyturn-cli/src/timeLine/orderEvents.ts
+++ b/packages/daisyturn-cli/src/timeLine/orderEvents.ts
@@ -6,7 +6,7 @@
 /**
  * Sorts the events of one log by their stamps with a bounded buffer. A log of several processes, or of a process that
  * was restarted after its clock was set back, is out of order. An event that is too late for the buffer is reported as
- * a problem and returned at its place in the log.
+ * a problem and yielded out of order.
  */
 export async function* orderEvents(
     events: AsyncIterable<TimedEvent>,
