--- a/packages/daisyturn-cli/src/commands/changeEngineRole.ts
+++ b/packages/daisyturn-cli/src/commands/changeEngineRole.ts
@@ -7,7 +7,7 @@
 import type { Terminal } from "../terminal.js";
 import { type CommonFlags, print, readAs } from "./commandContext.js";
 
-const secondMilliseconds = 1_000;
+const millisecondsPerSecond = 1_000;
 const pollIntervalMilliseconds = 1_000;
 
 const requestSchema = z.looseObject({
@@ -60,7 +60,7 @@
     recorded: OrderRequest,
 ): Promise<OrderRequest> {
     const { clock } = terminal;
-    const deadline = clock.monotonicNow() + flags.waitSeconds * secondMilliseconds;
+    const deadline = clock.monotonicNow() + flags.waitSeconds * millisecondsPerSecond;
     let request = recorded;
     while (isOpen(request)) {
         if (clock.monotonicNow() >= deadline) {
--- a/packages/daisyturn-cli/src/commands/retireProfile.ts
+++ b/packages/daisyturn-cli/src/commands/retireProfile.ts
@@ -10,7 +10,7 @@
 
 /** Longest time for which the server is requested to delay one answer. */
 const maxWaitPerRequestMilliseconds = 10_000;
-const secondMilliseconds = 1_000;
+const millisecondsPerSecond = 1_000;
 
 const reportSchema = z.looseObject({
     isComplete: z.boolean(),
@@ -64,7 +64,7 @@
     client: OperatorClient,
     generation: number,
 ): Promise<void> {
-    const deadline = terminal.clock.monotonicNow() + flags.waitSeconds * secondMilliseconds;
+    const deadline = terminal.clock.monotonicNow() + flags.waitSeconds * millisecondsPerSecond;
     for (;;) {
         const report = await fetchReport(client, flags.name, generation, deadline - terminal.clock.monotonicNow());
         if (report.isComplete) {
