--- a/packages/daisyturn-daemon/src/forwarding/createForwardingProcess.ts
+++ b/packages/daisyturn-daemon/src/forwarding/createForwardingProcess.ts
@@ -13,8 +13,6 @@
     createForwardServer,
     createOverloadGuard,
     decidePrompt,
-    followTable,
-    type FollowTiming,
     LocalDecisions,
     Mechanism,
     NoForwardingMetrics,
@@ -22,7 +20,9 @@
     type RegisteredPeer,
     reportSizeCounts,
     serveForwardedCall,
-    type TableFollower,
+    type TableObserver,
+    watchTable,
+    type WatchTiming,
 } from "daisyturn/forwarding";
 import { randomBytes, randomInt } from "node:crypto";
 import { setMaxListeners } from "node:events";
@@ -109,7 +109,7 @@
         views: parts,
         sizeFairness: parts.sizeFairness,
         decideHere: request => decidePrompt(parts, request),
-        findService: name => parts.keeper.current()?.configuration.services.get(name),
+        findService: name => parts.configurationManager.current()?.configuration.services.get(name),
         freshMilliseconds: () => heedMilliseconds() * freshFraction,
         clock,
         eventLog,
@@ -133,15 +133,15 @@
     setMaxListeners(mostBackgroundTasks, background.signal);
     let isStopping = false;
     const isReady = () =>
-        !isStopping && !overloadGuard.isOverwhelmed() && parts.keeper.current() !== undefined
+        !isStopping && !overloadGuard.isOverwhelmed() && parts.configurationManager.current() !== undefined
         && parts.targets.isKnown();
     const readiness = createReadinessServer(settings.readiness, adapters.readinessPath, isReady);
-    parts.keeper.onChanged(table => server.setLimits(table.configuration.limits));
+    parts.configurationManager.onChanged(table => server.setLimits(table.configuration.limits));
 
     const follow = () => {
         const ownWait = () => Math.max(shortestFeedWait, settings.contactMilliseconds - feedMarginMilliseconds);
         const readerWait = () => Math.max(shortestFeedWait, heedMilliseconds() * readerWaitFraction);
-        const timing: FollowTiming = {
+        const timing: WatchTiming = {
             waitMilliseconds: () => Math.min(ownWait(), coordination.isReader() ? readerWait() : Infinity),
             mergeMilliseconds: settings.drainMilliseconds * mergeFraction,
             rereadDelayMilliseconds: () => random.fraction() * rollbackJitterMilliseconds,
@@ -151,20 +151,20 @@
             await clock.sleepUntil(refreshAt, background.signal);
             coordination.refreshEntry();
         };
-        const follow = (name: string, feed: ChangeFeed, follower: TableFollower) =>
-            followTable({
+        const follow = (name: string, feed: ChangeFeed, observer: TableObserver) =>
+            watchTable({
                 name,
                 feed,
-                follower,
+                observer,
                 timing,
                 clock,
                 eventLog,
-                onCall: parts.targets.noteStoreCall,
+                onCall: parts.targets.recordStoreCall,
                 onRolledBack: () => void refreshEntry(),
                 relay: coordination.relayedTable(name),
                 reader: coordination.tableReader,
             }, background.signal);
-        void follow("configuration", adapters.configurationFeed, parts.keeper);
+        void follow("configuration", adapters.configurationFeed, parts.configurationManager);
         void follow("targets", adapters.targetFeed, parts.targets);
     };
 
--- a/packages/daisyturn/src/process/forwarding/coordination/coordinatedDecisions.ts
+++ b/packages/daisyturn/src/process/forwarding/coordination/coordinatedDecisions.ts
@@ -1,6 +1,6 @@
 import type { ListedTarget } from "../../../ports/listedTarget.js";
 import { type DecisionRequest, type PromptDecision, PromptDecisions } from "../placement/decidePrompt.js";
-import type { CacheBeliefs } from "../views/createCacheBeliefs.js";
+import type { CacheEstimates } from "../views/createCacheEstimates.js";
 import type { CoordinatorLink } from "./createCoordinatorLink.js";
 import type { PlacementClient, PlacementQuestion } from "./createPlacementClient.js";
 import { readDecision } from "./createPlacementDesk.js";
@@ -12,7 +12,7 @@
     readonly client: PlacementClient;
     /** Decides by what this process knows. */
     readonly decideHere: (request: DecisionRequest) => PromptDecision | undefined;
-    readonly caches: CacheBeliefs;
+    readonly caches: CacheEstimates;
     readonly findTarget: (targetId: string) => ListedTarget | undefined;
     /** Targets of a service that this process does not trust. */
     readonly listDistrusted: (service: string) => readonly string[];
@@ -62,13 +62,13 @@
 
 /** What an engine is about to read, it keeps for the prompts that come next. */
 export function noteKept(
-    caches: Pick<CacheBeliefs, "note">,
+    caches: Pick<CacheEstimates, "record">,
     { demand: { service, prompt } }: DecisionRequest,
     decision: PromptDecision | undefined,
 ): void {
     if (decision && decision.lateness <= 0) {
-        const { prefill, decode } = decision.way;
+        const { prefill, decode } = decision.placement;
         const kvTokens = service.engine?.kvTokens ?? 0;
-        [prefill, decode].forEach(step => step && caches.note(step.target.targetId, prompt.parts, kvTokens));
+        [prefill, decode].forEach(step => step && caches.record(step.target.targetId, prompt.parts, kvTokens));
     }
 }
--- a/packages/daisyturn/src/process/forwarding/limits/createLongReadings.ts
+++ b/packages/daisyturn/src/process/forwarding/limits/createLongPrefillTimes.ts
@@ -1,7 +1,7 @@
 /** How long the long prompts of each route take to read, from recent prompts, whether they were admitted or not. */
-export interface LongReadings {
+export interface LongPrefillTimes {
     /** @param milliseconds time to read a prompt at an engine that nothing slows */
-    note(route: string, milliseconds: number): void;
+    record(route: string, milliseconds: number): void;
     /** Milliseconds within which nearly all prompts of the route are read; 0 if none is known. */
     find(route: string): number;
 }
@@ -13,10 +13,10 @@
 const mostRoutes = 64;
 
 /** Creates the readings that one process knows of. */
-export function createLongReadings(): LongReadings {
+export function createLongPrefillTimes(): LongPrefillTimes {
     const routes = new Map<string, number[]>();
     return {
-        note: (route, milliseconds) => {
+        record: (route, milliseconds) => {
             const readings = routes.get(route) ?? [];
             routes.set(route, [...readings, milliseconds].slice(-rememberedPrompts));
             const oldest = routes.keys().next().value;
--- a/packages/daisyturn/src/process/routing/createRouter.ts
+++ b/packages/daisyturn/src/process/routing/createRouter.ts
@@ -1,6 +1,6 @@
 import { type Clock, type EventLog, type Failure, FailureReason, notRun, type Random } from "daisyturn-utils";
 import { err, ok, type Result } from "true-myth/result";
-import type { ConfigurationKeeper } from "../configuration/index.js";
+import type { ConfigurationManager } from "../configuration/index.js";
 import { createEngineHealth } from "../health/index.js";
 import {
     type CacheMatch,
@@ -15,14 +15,14 @@
 import { canServe, isComplete } from "./engineFilter.js";
 import { createOverdueWatch } from "./overdueWatch.js";
 import type { PlacementOption } from "./placementCost.js";
-import { listPlacementWays } from "./placementWays.js";
+import { listPlacementOptions } from "./placementOptions.js";
 import { type Placement, PlacementOutcome, type Router, type RoutingRequest } from "./router.js";
 
 /** What {@link createRouter} needs. */
 export interface RouterOptions {
     readonly loadView: LoadView;
     readonly gate: TargetGate;
-    readonly keeper: ConfigurationKeeper;
+    readonly configurationManager: ConfigurationManager;
     readonly clock: Clock;
     readonly random: Random;
     readonly eventLog: EventLog;
@@ -33,7 +33,7 @@
 /** A router that can place a request ahead, for the admission. */
 export interface PlanningRouter extends Router {
     /** The cheapest way to serve the request now; none if no engine is open to it. */
-    findCheapestWay(request: RoutingRequest): PlacementOption | undefined;
+    findCheapestOption(request: RoutingRequest): PlacementOption | undefined;
     /**
      * Chooses among the ways that `hasRoom` allows, and counts the work from now on. `place` takes the reserved way if
      * it is still open. Undefined if no way is allowed.
@@ -65,7 +65,7 @@
 
 /** Creates the router of one process. */
 export function createRouter(options: RouterOptions): PlanningRouter {
-    const { loadView, gate, keeper, clock, eventLog } = options;
+    const { loadView, gate, configurationManager, clock, eventLog } = options;
     const choice = options.choice ?? new SampledChoice(options.random);
     const lengths = createOutputLengths();
     const transfer = createTransferRate();
@@ -87,9 +87,9 @@
 
     /** Engines to ask, in sets of falling preference: those that failed or are ejected only if nothing else is left. */
     const listTiers = (request: RoutingRequest): EngineLoad[][] => {
-        const able = loadView.loads().filter(load => canServe(load, request.profile, keeper));
+        const able = loadView.loads().filter(load => canServe(load, request.profile, configurationManager));
         const untried = able.filter(load => !request.avoid.includes(load.engineId));
-        const steady = untried.filter(load => health.mayTake(load.engineId));
+        const steady = untried.filter(load => health.acceptsWork(load.engineId));
         return [steady, untried, able].filter(isComplete);
     };
 
@@ -113,7 +113,7 @@
     const pickWay = (request: RoutingRequest, pick: Pick): PickedWay | undefined => {
         const match = loadView.caches.match(request.promptBlocks);
         for (const engines of listTiers(request)) {
-            const ways = listPlacementWays(request, engines, match, transfer, options.random, clock.wallNow());
+            const ways = listPlacementOptions(request, engines, match, transfer, options.random, clock.wallNow());
             const option = pickOpen(ways, match, pick);
             if (option) {
                 return { option, match };
@@ -200,7 +200,7 @@
 
     return {
         place,
-        findCheapestWay: request => pickWay(expectOutput(request), findCheapest)?.option,
+        findCheapestOption: request => pickWay(expectOutput(request), findCheapest)?.option,
         reserve,
         cancelReservation,
         onPlaced: listener => listeners.push(listener),
--- a/packages/daisyturn/src/request/forwarding/runPromptCall.ts
+++ b/packages/daisyturn/src/request/forwarding/runPromptCall.ts
@@ -4,12 +4,12 @@
 import type { KvSource, PromptDescription } from "../../ports/forwardedCall.js";
 import { EngineStage, type ListedTarget } from "../../ports/listedTarget.js";
 import {
-    type AccountedPrompt,
     countTokens,
     measureSize,
     type PlacedStep,
-    type PromptWay,
+    type PromptPlacement,
     toUnsharedMilliseconds,
+    type TrackedPrompt,
 } from "../../process/forwarding/index.js";
 import { admitPrompt } from "./admitPrompt.js";
 import { type CallAnswer, concludeStream } from "./callAnswer.js";
@@ -50,7 +50,7 @@
     parts: ForwardingParts,
     run: CallRun,
     prompt: PromptDescription,
-    account: AccountedPrompt,
+    account: TrackedPrompt,
 ): Promise<Result<CallAnswer, Failure>> {
     const relay = createEventRelay(run.exchange);
     let prefills = 0;
@@ -62,7 +62,7 @@
         }
         const way = admitted.value;
         prefills += way.prefill ? 1 : 0;
-        parts.demand.note(run.service.name, way.reading);
+        parts.demand.record(run.service.name, way.reading);
         const answer = await takeWay(parts, run, prompt, way, relay);
         if (answer.isOk) {
             return ok(answer.value);
@@ -88,7 +88,7 @@
     parts: ForwardingParts,
     run: CallRun,
     prompt: PromptDescription,
-    way: PromptWay,
+    way: PromptPlacement,
     relay: EventRelay,
 ): Promise<Result<CallAnswer, FailedStep>> {
     let kvSource: KvSource | undefined;
@@ -121,7 +121,7 @@
     parts: ForwardingParts,
     run: CallRun,
     prompt: PromptDescription,
-    way: PromptWay,
+    way: PromptPlacement,
     step: PlacedStep,
 ): Promise<Result<KvSource, Failure>> {
     const startedAt = parts.clock.monotonicNow();
@@ -140,7 +140,7 @@
         return err(mayHaveRun(FailureReason.TargetFailed, message));
     }
     notePrefill(parts, run, prompt, step, parts.clock.monotonicNow() - startedAt);
-    parts.caches.note(step.target.targetId, prompt.parts, run.service.engine?.kvTokens ?? 0);
+    parts.caches.record(step.target.targetId, prompt.parts, run.service.engine?.kvTokens ?? 0);
     return parts.protocol.readKvHandle(body).map(handle => ({ address: step.target.address, handle }));
 }
 
@@ -148,7 +148,7 @@
     parts: ForwardingParts,
     run: CallRun,
     prompt: PromptDescription,
-    way: PromptWay,
+    way: PromptPlacement,
     kvSource: KvSource | undefined,
     relay: EventRelay,
 ): Promise<Result<CallAnswer, Failure>> {
@@ -178,23 +178,23 @@
         return err(reply.error);
     }
     run.sentTo.add(target.targetId);
-    parts.caches.note(target.targetId, prompt.parts, run.service.engine?.kvTokens ?? 0);
+    parts.caches.record(target.targetId, prompt.parts, run.service.engine?.kvTokens ?? 0);
     const meanPause = run.exchange.meanPause();
     if (meanPause !== undefined) {
-        parts.eventPace.observe(run.service.name, meanPause);
+        parts.eventIntervals.observe(run.service.name, meanPause);
     }
     return concludeStream(run, relay, reply.value);
 }
 
 /** Learns from the time that an engine took to prefill, its queue included. */
 function notePrefill(
-    { paces, prefillRates }: ForwardingParts,
+    { slowdowns, prefillRates }: ForwardingParts,
     run: CallRun,
     { promptTokens }: PromptDescription,
     { target, wait, work, keptTokens }: PlacedStep,
     milliseconds: number,
 ): void {
-    paces.observe(target.targetId, wait, work, milliseconds);
+    slowdowns.observe(target.targetId, wait, work, milliseconds);
     if (wait <= work * mostWaitFraction) {
         const own = toUnsharedMilliseconds(milliseconds, target.stage === EngineStage.Decode);
         prefillRates.observe([run.service.name, promptTokens - keptTokens, keptTokens, Math.round(own)]);
@@ -230,7 +230,7 @@
 }
 
 /** Calls that will be late anyway go behind all that can still be on time. */
-function urgencyOf(run: CallRun, way: PromptWay): number {
+function urgencyOf(run: CallRun, way: PromptPlacement): number {
     const urgency = firstUrgency + Math.min(run.route.priority, mostPriorities - 1);
     return way.isDeferred ? urgency + mostPriorities : urgency;
 }
--- a/packages/daisyturn/src/request/forwarding/serveForwardedCall.ts
+++ b/packages/daisyturn/src/request/forwarding/serveForwardedCall.ts
@@ -37,7 +37,7 @@
         return;
     }
     const { run, end } = started.value;
-    parts.budget.noteRequest(run.service.name);
+    parts.budget.recordRequest(run.service.name);
     const answer = await runCall(parts, run);
     end();
     const failure = answer.isErr ? adviseReturn(parts, answer.error) : undefined;
@@ -58,7 +58,7 @@
     exchange: ForwardExchange,
     trace: RequestTrace,
 ): Result<{ run: CallRun; end: () => void; }, Failure> {
-    const table = parts.keeper.current();
+    const table = parts.configurationManager.current();
     if (!table) {
         const retryAt = parts.clock.wallNow() + noConfigurationRetryMilliseconds;
         return err(notRun(FailureReason.OutOfService, "This process knows no configuration yet.", retryAt));
@@ -74,7 +74,7 @@
     const deadline = Math.min(call.deadline, call.arrivedAt + route.timeoutMilliseconds);
     const wallDeadline = parts.clock.wallNow() + deadline - parts.clock.monotonicNow();
     const life = startRequestLife(parts.clock, exchange.signal, wallDeadline);
-    trace.note(EventKind.RequestAccepted, {
+    trace.record(EventKind.RequestAccepted, {
         route: route.name,
         service: serviceName,
         generation: table.configuration.version,
@@ -118,12 +118,12 @@
     const arrivedAt = run?.call.arrivedAt ?? parts.clock.monotonicNow();
     const milliseconds = (run?.exchange.firstByteAt() ?? parts.clock.monotonicNow()) - arrivedAt;
     const longestPause = run?.exchange.longestPause() ?? 0;
-    const outcome = judgeOutcome(run, milliseconds, failure, reply);
-    parts.metrics.noteCall(kind, outcome, milliseconds, longestPause);
+    const outcome = determineOutcome(run, milliseconds, failure, reply);
+    parts.metrics.recordCall(kind, outcome, milliseconds, longestPause);
     if (run?.call.prompt) {
-        parts.sizeCounts.note(run.route.name, measureSize(run.call.prompt), isServed(outcome));
+        parts.sizeCounts.record(run.route.name, measureSize(run.call.prompt), isServed(outcome));
     }
-    trace.noteEnd(failure ? kindOfFailure(failure) : EventKind.RequestAnswered, {
+    trace.recordEnd(failure ? kindOfFailure(failure) : EventKind.RequestAnswered, {
         outcome,
         firstByte: Math.round(milliseconds),
         aim: run?.route.latencyAimMilliseconds,
@@ -145,7 +145,7 @@
     return failure.reason === FailureReason.Cancelled ? EventKind.RequestCancelled : EventKind.RequestRefused;
 }
 
-function judgeOutcome(
+function determineOutcome(
     run: CallRun | undefined,
     milliseconds: number,
     failure: Failure | undefined,
