--- a/packages/daisyturn/src/process/configuration/__fixtures__/configurationCell.ts
+++ b/packages/daisyturn/src/process/configuration/__fixtures__/configurationCell.ts
@@ -55,7 +55,7 @@
     /** The process falls silent: none of its calls has an effect or an answer from now on. */
     kill(processId: string): void;
     /** The store can't be reached from the process any more. */
-    cutFromStore(processId: string): void;
+    disconnectFromStore(processId: string): void;
     /** What all others think of the process. */
     setState(processId: string, state: MemberState): void;
     /** Moves the clock on until the promise is settled. */
@@ -69,7 +69,7 @@
 }
 
 const stepMilliseconds = 20;
-const mostSteps = 10_000;
+const maxSteps = 10_000;
 
 export function createConfigurationCell(options: ConfigurationCellOptions = {}): ConfigurationCell {
     const clock = new FakeClock();
@@ -78,7 +78,7 @@
     const states = new Map<string, MemberState>();
     const identities = new Map<string, ProcessIdentity>();
     const killed = new Set<string>();
-    const cutOff = new Set<string>();
+    const disconnected = new Set<string>();
     let starts = 0;
 
     const start = (processId: string): CellProcess => {
@@ -94,7 +94,7 @@
         const tableService = createSteppedTableService(
             store.tableService,
             step => onStep(processId, step),
-            () => cutOff.has(processId),
+            () => disconnected.has(processId),
         );
         const configurationManager = createConfigurationManager({
             self,
@@ -128,11 +128,11 @@
 
     const complete = async <T>(promise: Promise<T>): Promise<T> => {
         let isSettled = false;
-        const note = () => {
+        const markSettled = () => {
             isSettled = true;
         };
-        promise.then(note, note);
-        for (let step = 0; step < mostSteps && !isSettled; step++) {
+        promise.then(markSettled, markSettled);
+        for (let step = 0; step < maxSteps && !isSettled; step++) {
             await clock.advance(stepMilliseconds);
         }
         assert.ok(isSettled, "the promise is still pending");
@@ -148,7 +148,7 @@
             killed.add(processId);
             networks.remove(processId);
         },
-        cutFromStore: processId => void cutOff.add(processId),
+        disconnectFromStore: processId => void disconnected.add(processId),
         setState: (processId, state) => void states.set(processId, state),
         complete,
     };
@@ -178,11 +178,11 @@
 function createSteppedTableService(
     inner: TableService,
     onStep: (step: string) => Promise<void>,
-    isCutOff: () => boolean,
+    isDisconnected: () => boolean,
 ): TableService {
     const unreachable = notRun(FailureReason.StoreUnavailable, "cut off from the store");
     const read = <Value>(name: string, call: () => Promise<Result<Value, Failure>>) =>
-        isCutOff() ? Promise.resolve(err<Value, Failure>(unreachable)) : run(name, call);
+        isDisconnected() ? Promise.resolve(err<Value, Failure>(unreachable)) : run(name, call);
 
     const run = async <T>(name: string, call: () => Promise<T>): Promise<T> => {
         await onStep(name);
@@ -193,7 +193,7 @@
 
     class SteppedTableService extends TableService {
         override transact(transaction: Transaction, deadline: number): Promise<TransactionAnswer> {
-            return isCutOff()
+            return isDisconnected()
                 ? Promise.resolve({ outcome: TransactionOutcome.Rejected, cause: RejectionCause.NotSent })
                 : run("transact", () => inner.transact(transaction, deadline));
         }
@@ -215,7 +215,7 @@
 }
 
 /** Throws if a process ever went back, or put one generation in force twice. */
-export function assertNeverBack(...processes: readonly CellProcess[]): void {
+export function assertGenerationsIncrease(...processes: readonly CellProcess[]): void {
     for (const { generations, self } of processes) {
         const sorted = [...new Set(generations)].sort((left, right) => left - right);
         assert.deepEqual(generations, sorted, `generations in force at ${self.processId}`);
--- a/packages/daisyturn/src/process/configuration/__fixtures__/naiveConfiguration.ts
+++ b/packages/daisyturn/src/process/configuration/__fixtures__/naiveConfiguration.ts
@@ -31,9 +31,9 @@
         return { state, answer: FailureReason.Conflict };
     }
     const items = request.changes.reduce(applyNaively, state.items);
-    const refusal = refuseNaively(state.items, items, request);
-    if (refusal) {
-        return { state, answer: refusal };
+    const rejection = findNaiveRejection(state.items, items, request);
+    if (rejection) {
+        return { state, answer: rejection };
     }
     const generation = state.generation + 1;
     const writes = new Map(state.writes).set(writeKey, { generation, changes });
@@ -49,7 +49,7 @@
     return change.action === ChangeAction.Put ? [...others, change.item] : others;
 }
 
-function refuseNaively(
+function findNaiveRejection(
     before: readonly ConfigurationItem[],
     after: readonly ConfigurationItem[],
     { partner, changes }: ChangeRequest,
@@ -61,23 +61,23 @@
         if ((change.action === ChangeAction.Put ? change.item : change.identity).partner !== partner) {
             return FailureReason.Forbidden;
         }
-        const isThere = before.some(item => formatItemIdentity(item) === identityTextOf(change));
-        if (change.action === ChangeAction.Remove && !isThere) {
+        const exists = before.some(item => formatItemIdentity(item) === identityTextOf(change));
+        if (change.action === ChangeAction.Remove && !exists) {
             return FailureReason.NotFound;
         }
     }
     for (const change of changes) {
-        const refusal = change.action === ChangeAction.Put
-            ? refusePut(before, after, change.item)
-            : refuseRemoval(after, change.identity);
-        if (refusal) {
-            return refusal;
+        const rejection = change.action === ChangeAction.Put
+            ? findPutRejection(before, after, change.item)
+            : findRemovalRejection(after, change.identity);
+        if (rejection) {
+            return rejection;
         }
     }
     return undefined;
 }
 
-function refusePut(
+function findPutRejection(
     before: readonly ConfigurationItem[],
     after: readonly ConfigurationItem[],
     item: ConfigurationItem,
@@ -112,7 +112,7 @@
     }
 }
 
-function refuseRemoval(
+function findRemovalRejection(
     after: readonly ConfigurationItem[],
     { kind, partner, name }: { kind: ItemKind; partner: string; name: string; },
 ): FailureReason | undefined {
--- a/packages/daisyturn/src/process/configuration/__tests__/configurationDifferential.test.ts
+++ b/packages/daisyturn/src/process/configuration/__tests__/configurationDifferential.test.ts
@@ -16,7 +16,7 @@
 import type { ChangeRequest, ItemChange } from "../../../version/configurationChange.js";
 import { type ConfigurationItem, formatItemIdentity } from "../../../version/configurationItems.js";
 import {
-    assertNeverBack,
+    assertGenerationsIncrease,
     type CellProcess,
     type ConfigurationCell,
     createConfigurationCell,
@@ -32,7 +32,7 @@
 const partnerArbitrary = fc.constantFrom("north", "south");
 const nameArbitrary = fc.constantFrom("x", "y");
 
-const seldom = <Value>(arbitrary: fc.Arbitrary<Value>) =>
+const rarely = <Value>(arbitrary: fc.Arbitrary<Value>) =>
     fc.oneof({ weight: 5, arbitrary: fc.constant(undefined) }, { weight: 1, arbitrary });
 
 const itemArbitrary = (partner: string): fc.Arbitrary<ConfigurationItem> =>
@@ -60,7 +60,7 @@
             ),
             { minLength: 1, maxLength: 2 },
         ),
-        expectedGeneration: seldom(fc.nat(12)),
+        expectedGeneration: rarely(fc.nat(12)),
     }).map(({ writeId, changes, expectedGeneration }) =>
         createChangeRequest(partner, writeId, changes, expectedGeneration)
     )
@@ -79,35 +79,35 @@
     /** Published at once, each at another process. */
     requests: fc.array(requestArbitrary, { minLength: 1, maxLength: processIds.length }),
     faults: fc.array(faultArbitrary, { maxLength: 6 }),
-    restarted: seldom(fc.constantFrom(...processIds)),
+    restarted: rarely(fc.constantFrom(...processIds)),
 });
 
-const undecidedReasons = [FailureReason.OutcomeUnknown, FailureReason.StoreUnavailable, FailureReason.RateLimited];
+const unsettledReasons = [FailureReason.OutcomeUnknown, FailureReason.StoreUnavailable, FailureReason.RateLimited];
 /** Longest time until the store client has noticed that the store is back. */
-const askAgainMilliseconds = 6_000;
+const retryMilliseconds = 6_000;
 
 /** Publishes as an operator does: without an outcome, the same write id is asked for again, at the next process. */
-async function askUntilTold(
+async function publishUntilAnswered(
     cell: ConfigurationCell,
     processes: ReadonlyMap<string, CellProcess>,
     firstProcess: number,
     request: ChangeRequest,
 ): Promise<NaiveAnswer> {
-    for (let ask = firstProcess;; ask++) {
-        const processId = processIds[ask % processIds.length] ?? "";
+    for (let attempt = firstProcess;; attempt++) {
+        const processId = processIds[attempt % processIds.length] ?? "";
         const answer = await processes.get(processId)!.configurationManager.publish(request);
         if (answer.isOk) {
             return answer.value.generation;
         }
-        if (!undecidedReasons.includes(answer.error.reason)) {
+        if (!unsettledReasons.includes(answer.error.reason)) {
             return answer.error.reason;
         }
-        await cell.clock.sleepUntil(cell.clock.monotonicNow() + askAgainMilliseconds);
+        await cell.clock.sleepUntil(cell.clock.monotonicNow() + retryMilliseconds);
     }
 }
 
 /** Whether the answers could have come from the naive version, taking the requests in one order or another. */
-function findNaiveEnd(
+function findNaiveState(
     state: NaiveState,
     requests: readonly ChangeRequest[],
     answers: readonly NaiveAnswer[],
@@ -118,7 +118,7 @@
     for (const [index, request] of requests.entries()) {
         const naive = publishNaively(state, request);
         const rest = naive.answer === answers[index]
-            ? findNaiveEnd(naive.state, requests.toSpliced(index, 1), answers.toSpliced(index, 1))
+            ? findNaiveState(naive.state, requests.toSpliced(index, 1), answers.toSpliced(index, 1))
             : undefined;
         if (rest) {
             return rest;
@@ -151,17 +151,19 @@
                             assert.equal(fresh.configurationManager.current().generation, naive.generation);
                         }
                         cell.store.script(...faults);
-                        const asked = requests.map((request, index) => askUntilTold(cell, processes, index, request));
-                        const answers = await cell.complete(Promise.all(asked));
-                        const end = findNaiveEnd(naive, requests, answers);
-                        assert.ok(end, `no order gives ${answers.join(", ")}`);
-                        accepted += end.generation - naive.generation;
-                        naive = end;
+                        const pending = requests.map((request, index) =>
+                            publishUntilAnswered(cell, processes, index, request)
+                        );
+                        const answers = await cell.complete(Promise.all(pending));
+                        const next = findNaiveState(naive, requests, answers);
+                        assert.ok(next, `no order gives ${answers.join(", ")}`);
+                        accepted += next.generation - naive.generation;
+                        naive = next;
                         for (const { configurationManager } of processes.values()) {
                             assert.equal(configurationManager.current().generation, naive.generation);
                             assert.deepEqual(listItems(configurationManager.current().items), listItems(naive.items));
                         }
-                        assertNeverBack(...processes.values());
+                        assertGenerationsIncrease(...processes.values());
                     }
                 },
             ),
--- a/packages/daisyturn/src/process/configuration/__tests__/configurationFailures.test.ts
+++ b/packages/daisyturn/src/process/configuration/__tests__/configurationFailures.test.ts
@@ -6,13 +6,13 @@
 import { createConfigurationVersion } from "../../../version/createConfigurationVersion.js";
 import { MemberState, PeerMethod } from "../../peers/index.js";
 import {
-    assertNeverBack,
+    assertGenerationsIncrease,
     type CellProcess,
     type ConfigurationCell,
     createConfigurationCell,
 } from "../__fixtures__/configurationCell.js";
 import { changeKey, headKey } from "../configurationRows.js";
-import { createInForce } from "../createInForce.js";
+import { createActiveVersion } from "../createActiveVersion.js";
 import { answerPull } from "../exchange/answerPull.js";
 
 function createRequest(name: string, expectedGeneration?: number) {
@@ -47,8 +47,8 @@
         const answer = await publish(cell, processes[0]!, "one");
         assert.deepEqual(answer.unwrapOr(undefined)?.inForceAt, ["a", "b", "c"]);
         assert.deepEqual(generationsOf(...processes), [1, 1, 1]);
-        const refused = await publish(cell, processes[1]!, "two");
-        assert.ok(refused.isErr);
+        const rejected = await publish(cell, processes[1]!, "two");
+        assert.ok(rejected.isErr);
         assert.deepEqual(generationsOf(...processes), [1, 1, 1]);
     });
 
@@ -60,8 +60,8 @@
         const lost = await publish(cell, first, "one");
         assert.equal(lost.isErr && lost.error.verdict, ExecutionVerdict.MayHaveRun);
         cell.store.setStandingFault(TableFaultKind.None);
-        const told = await publish(cell, second, "one");
-        assert.equal(told.unwrapOr(undefined)?.generation, 1);
+        const repeated = await publish(cell, second, "one");
+        assert.equal(repeated.unwrapOr(undefined)?.generation, 1);
         assert.deepEqual(generationsOf(first, second), [1, 1]);
         const other = await cell.complete(
             second.configurationManager.publish({ ...createRequest("two"), writeId: "write-one" }),
@@ -73,7 +73,7 @@
         const cell = createConfigurationCell();
         const [first, second] = [cell.start("a"), cell.start("b")];
         for (
-            const goAhead of [
+            const supersede of [
                 () => publish(cell, second, "two"),
                 () => second.configurationManager.cancel("north", "write-one"),
             ]
@@ -84,7 +84,7 @@
             assert.equal(unknown.isErr && unknown.error.reason, FailureReason.OutcomeUnknown);
             cell.store.setStandingFault(TableFaultKind.None);
             await cell.clock.advance(probeMilliseconds);
-            await cell.complete<unknown>(goAhead());
+            await cell.complete<unknown>(supersede());
             const late = await cell.store.releaseLateCommits();
             assert.deepEqual(late.map(answer => answer.outcome), ["rejected"]);
         }
@@ -114,7 +114,7 @@
         cell.store.setStandingFault(TableFaultKind.Down);
         await runFor(cell, 3_000, ...processes);
         assert.deepEqual(generationsOf(...processes), [1, 1, 1]);
-        assertNeverBack(...processes);
+        assertGenerationsIncrease(...processes);
     });
 
     it("reaches processes that no peer tells, through the store", async () => {
@@ -174,8 +174,8 @@
             conditions: [],
             writes: [{ key: headKey, value: undefined }],
         }, Infinity);
-        const refused = await publish(cell, first, "two");
-        assert.equal(refused.isErr && refused.error.reason, FailureReason.Internal);
+        const rejected = await publish(cell, first, "two");
+        assert.equal(rejected.isErr && rejected.error.reason, FailureReason.Internal);
         assert.equal(first.eventLog.of(EventKind.Fault).length, 1);
         assert.deepEqual(generationsOf(first), [1]);
     });
@@ -210,7 +210,7 @@
         }
         cell.networks.healAll();
         cell.networks.delay("a", "b", 30);
-        cell.cutFromStore("b");
+        cell.disconnectFromStore("b");
         const adopting = second.configurationManager.adopt(new AbortController().signal);
         await cell.clock.advance(40);
         const removal = createChangeRequest("north", "remove", accounts.slice(0, 90).map(remove));
@@ -241,13 +241,13 @@
     });
 
     it("keeps every answer to a pull well below the longest line between peers", () => {
-        const inForce = createInForce(new MemoryEventLog());
+        const activeVersion = createActiveVersion(new MemoryEventLog());
         const accounts = Array.from({ length: 15_000 }, (...[, index]) => createAccount("north", `a${index}`, []));
-        inForce.advance(createConfigurationVersion(1, accounts));
+        activeVersion.advance(createConfigurationVersion(1, accounts));
         let offset: number | undefined = 0;
         let count = 0;
         while (offset !== undefined) {
-            const answer: ReturnType<typeof answerPull> = answerPull(inForce, 1, {
+            const answer: ReturnType<typeof answerPull> = answerPull(activeVersion, 1, {
                 generation: 0,
                 page: { generation: 1, offset },
             });
--- a/packages/daisyturn/src/process/configuration/__tests__/configurationInterleavings.test.ts
+++ b/packages/daisyturn/src/process/configuration/__tests__/configurationInterleavings.test.ts
@@ -5,7 +5,7 @@
 import { createChangeRequest, createProfile, put, remove } from "../../../version/__fixtures__/items.js";
 import { PeerMethod } from "../../peers/index.js";
 import {
-    assertNeverBack,
+    assertGenerationsIncrease,
     type CellProcess,
     createConfigurationCell,
     listAccepted,
@@ -35,7 +35,7 @@
             ]);
             assert.deepEqual(answers.map(answer => answer.isOk), [true, true]);
             assert.deepEqual(listAccepted(one, other), [1, 2]);
-            assertNeverBack(one, other);
+            assertGenerationsIncrease(one, other);
             assertSameVersion(one, other);
         });
         t.diagnostic(`${runs} interleavings`);
@@ -134,7 +134,7 @@
                 await cell.clock.advance(0);
             }
             assert.equal(receiver.configurationManager.current().generation, expected);
-            assertNeverBack(receiver);
+            assertGenerationsIncrease(receiver);
         });
         assert.equal(runs, 2 * 4 ** 4);
     });
--- a/packages/daisyturn/src/process/configuration/adoptVersion.ts
+++ b/packages/daisyturn/src/process/configuration/adoptVersion.ts
@@ -25,9 +25,9 @@
     const { clock, timing } = options;
     while (!signal.aborted) {
         // Peers first: what they have need not be read from the store, nor held in memory a second time.
-        const byPeers = await askPeers(options);
-        const byStore = await options.catchUpFromStore(clock.monotonicNow() + timing.storeCallMilliseconds);
-        if (byPeers || byStore.isOk) {
+        const isAdoptedFromPeers = await adoptFromPeers(options);
+        const storeRead = await options.catchUpFromStore(clock.monotonicNow() + timing.storeCallMilliseconds);
+        if (isAdoptedFromPeers || storeRead.isOk) {
             return;
         }
         await clock.sleepUntil(clock.monotonicNow() + timing.adoptRetryMilliseconds, signal);
@@ -35,7 +35,7 @@
 }
 
 /** Whether enough peers have answered to go without the store. */
-async function askPeers({ peers, membership }: AdoptionOptions): Promise<boolean> {
+async function adoptFromPeers({ peers, membership }: AdoptionOptions): Promise<boolean> {
     const reports = await Promise.all(membership.livePeers().map(peer => peers.pullFrom(peer.processId)));
     const informed = reports.filter(report => report !== undefined && report.generation > 0);
     const cellSize = Math.max(peers.cellSize(), ...informed.map(report => report?.cellSize ?? 0));
--- a/packages/daisyturn/src/process/configuration/configurationRows.ts
+++ b/packages/daisyturn/src/process/configuration/configurationRows.ts
@@ -49,11 +49,11 @@
 
 /** Hash of what a change request asks for, without who asks and when. Fields may come in any order. */
 export function hashChanges(changes: readonly ItemChange[]): string {
-    return hashText(formatSorted(changes));
+    return hashText(formatCanonicalJson(changes));
 }
 
 /** JSON with the fields of every object in the order of their names. */
-function formatSorted(value: unknown): string {
+function formatCanonicalJson(value: unknown): string {
     return JSON.stringify(value, (...[, inner]: [string, unknown]) => {
         const isRecord = inner instanceof Object && !Array.isArray(inner);
         return isRecord ? Object.fromEntries(Object.entries(inner).sort(compareNames)) : inner;
--- a/packages/daisyturn/src/process/configuration/createChangeAcceptor.ts
+++ b/packages/daisyturn/src/process/configuration/createChangeAcceptor.ts
@@ -15,8 +15,8 @@
 import { validateChange } from "../../version/validateChange.js";
 import { isSameChange, type WriteValue } from "./configurationRows.js";
 import type { ConfigurationTiming } from "./configurationTiming.js";
+import type { ActiveVersion } from "./createActiveVersion.js";
 import type { ConfigurationStore, StoreState } from "./createConfigurationStore.js";
-import type { InForce } from "./createInForce.js";
 import { type ChangeOutcome, ChangeState } from "./fleetConfigurationManager.js";
 
 /** Brings changes into the store, and tells what became of them. */
@@ -30,7 +30,7 @@
 /** What the acceptor needs. */
 export interface ChangeAcceptorOptions {
     readonly store: ConfigurationStore;
-    readonly inForce: InForce;
+    readonly activeVersion: ActiveVersion;
     readonly clock: Clock;
     readonly random: Random;
     readonly eventLog: EventLog;
@@ -44,18 +44,18 @@
 
 /** Creates the part of the keeper that validates changes and commits them. */
 export function createChangeAcceptor(options: ChangeAcceptorOptions): ChangeAcceptor {
-    const { store, inForce, clock, random, eventLog, ids, timing } = options;
+    const { store, activeVersion, clock, random, eventLog, ids, timing } = options;
 
     const accept = async (request: ChangeRequest, deadline: number): Promise<Acceptance> => {
         while (clock.monotonicNow() < deadline) {
-            const inForceBefore = inForce.current().generation;
-            const state = await store.readState(request.partner, request.writeId, inForceBefore, deadline);
+            const activeGeneration = activeVersion.current().generation;
+            const state = await store.readState(request.partner, request.writeId, activeGeneration, deadline);
             if (state.isErr) {
-                return err(unreadable(state.error));
+                return err(createReadFailure(state.error));
             }
             const acceptance = state.value.write
                 ? await answerRepeated(request, state.value.write, deadline)
-                : await tryOnce(request, state.value, inForceBefore, deadline);
+                : await tryOnce(request, state.value, activeGeneration, deadline);
             if (acceptance) {
                 return acceptance;
             }
@@ -67,19 +67,19 @@
     const tryOnce = async (
         request: ChangeRequest,
         state: StoreState,
-        inForceBefore: number,
+        activeGeneration: number,
         deadline: number,
     ): Promise<Acceptance | undefined> => {
         const { expectedGeneration } = request;
-        if (state.generation < inForceBefore) {
-            return err(refuseOldStore(state.generation, inForceBefore));
+        if (state.generation < activeGeneration) {
+            return err(rejectOutdatedStore(state.generation, activeGeneration));
         }
         if (expectedGeneration !== undefined && expectedGeneration !== state.generation) {
             return err(notRun(FailureReason.Conflict, `the fleet stands at generation ${state.generation}`));
         }
-        if (state.generation > inForceBefore) {
+        if (state.generation > activeGeneration) {
             const caughtUp = await options.catchUpFromStore(deadline);
-            return caughtUp.isErr ? err(unreadable(caughtUp.error)) : undefined;
+            return caughtUp.isErr ? err(createReadFailure(caughtUp.error)) : undefined;
         }
         // If a push came in during the read, the head's version is old and the transaction will be rejected.
         return await commit(request, state, deadline);
@@ -90,7 +90,7 @@
         state: StoreState,
         deadline: number,
     ): Promise<Acceptance | undefined> => {
-        const valid = validateChange(inForce.current(), request);
+        const valid = validateChange(activeVersion.current(), request);
         if (valid.isErr) {
             return err(valid.error);
         }
@@ -101,11 +101,11 @@
             eventLog.record(EventKind.ConfigurationAccepted, { generation, partner, write: writeId });
             return ok(change);
         }
-        if (isRaced(answer)) {
+        if (hasConflict(answer)) {
             await clock.sleepUntil(clock.monotonicNow() + random.fraction() * timing.raceBackoffMilliseconds);
             return undefined;
         }
-        return err(explainFailedCommit(answer, clock.wallNow()));
+        return err(describeFailedCommit(answer, clock.wallNow()));
     };
 
     const answerRepeated = async (request: ChangeRequest, write: WriteValue, deadline: number): Promise<Acceptance> => {
@@ -122,9 +122,9 @@
             : err(mayHaveRun(FailureReason.StoreUnavailable, `accepted as generation ${write.generation}`));
     };
 
-    const refuseOldStore = (storeGeneration: number, inForceBefore: number): Failure => {
-        const message = `the store stands at generation ${storeGeneration}, behind ${inForceBefore} in force`;
-        eventLog.record(EventKind.Fault, { generation: inForceBefore, reason: message });
+    const rejectOutdatedStore = (storeGeneration: number, activeGeneration: number): Failure => {
+        const message = `the store stands at generation ${storeGeneration}, behind ${activeGeneration} in force`;
+        eventLog.record(EventKind.Fault, { generation: activeGeneration, reason: message });
         return notRun(FailureReason.Internal, message);
     };
 
@@ -143,9 +143,9 @@
             return ok({ state: ChangeState.Cancelled });
         }
         // The row that stands in the way tells the outcome, be it of the change or of an earlier cancellation.
-        return isRaced(answer)
+        return hasConflict(answer)
             ? await outcomeOf(partner, writeId, deadline)
-            : err(explainFailedCommit(answer, clock.wallNow()));
+            : err(describeFailedCommit(answer, clock.wallNow()));
     };
 
     return { accept, outcomeOf, cancel };
@@ -155,13 +155,13 @@
  * Whether the transaction is known never to take effect, or its effect can be read. After an unknown outcome, a row
  * found changed tells as much: a version never comes back, so what is still under way will fail on it too.
  */
-function isRaced(answer: TransactionAnswer): boolean {
+function hasConflict(answer: TransactionAnswer): boolean {
     const isRejected = answer.outcome === TransactionOutcome.Rejected
         && answer.cause === RejectionCause.ConditionFailed;
     return isRejected || (answer.conflicts ?? []).length > 0;
 }
 
-function explainFailedCommit(answer: TransactionAnswer, wallNow: number): Failure {
+function describeFailedCommit(answer: TransactionAnswer, wallNow: number): Failure {
     return answer.outcome === TransactionOutcome.Unknown
         ? mayHaveRun(FailureReason.OutcomeUnknown, "ask again with the same write id")
         : notRun(FailureReason.StoreUnavailable, "the store took nothing", wallNow);
@@ -183,7 +183,7 @@
 }
 
 /** This call sent nothing, but an earlier one under the same write id may still take effect. */
-function unreadable(failure: Failure): Failure {
+function createReadFailure(failure: Failure): Failure {
     return mayHaveRun(
         failure.reason,
         `this call changed nothing; ask again with the same write id: ${failure.message}`,
--- a/packages/daisyturn/src/process/configuration/createConfigurationManager.ts
+++ b/packages/daisyturn/src/process/configuration/createConfigurationManager.ts
@@ -18,11 +18,11 @@
 import type { StoreClient } from "../store/index.js";
 import { adoptVersion } from "./adoptVersion.js";
 import { type ConfigurationTiming, defaultConfigurationTiming } from "./configurationTiming.js";
+import { createActiveVersion } from "./createActiveVersion.js";
 import { createChangeAcceptor } from "./createChangeAcceptor.js";
 import { createConfigurationStore, listGenerations } from "./createConfigurationStore.js";
-import { createInForce } from "./createInForce.js";
 import { createConfigurationPeers } from "./exchange/createConfigurationPeers.js";
-import { spreadVersions } from "./exchange/spreadVersions.js";
+import { runAntiEntropy } from "./exchange/runAntiEntropy.js";
 import type {
     ChangePreview,
     FleetConfigurationManager,
@@ -48,60 +48,60 @@
 export function createConfigurationManager(options: ConfigurationManagerOptions): FleetConfigurationManager {
     const { clock, eventLog, membership, network, storeClient } = options;
     const timing = { ...defaultConfigurationTiming, ...options.timing };
-    const inForce = createInForce(eventLog);
-    const versionUsage = createVersionUsage(inForce.current);
+    const activeVersion = createActiveVersion(eventLog);
+    const versionUsage = createVersionUsage(activeVersion.current);
     const store = createConfigurationStore({ storeClient, clock, ...timing });
     const peers = createConfigurationPeers({
         network,
         membership,
-        inForce,
+        activeVersion,
         usage: versionUsage,
         clock,
         peerCallMilliseconds: timing.peerCallMilliseconds,
     });
 
-    const after = (milliseconds: number) => clock.monotonicNow() + milliseconds;
+    const deadlineIn = (milliseconds: number) => clock.monotonicNow() + milliseconds;
 
     const catchUpFromStore = async (deadline: number): Promise<Result<void, Failure>> => {
-        const newest = await store.readNewest(inForce.current(), deadline);
-        return newest.map(({ version, chain }) => {
-            inForce.advance(version, chain);
+        const newest = await store.readNewest(activeVersion.current(), deadline);
+        return newest.map(({ version, changes }) => {
+            activeVersion.advance(version, changes);
         });
     };
 
-    const acceptor = createChangeAcceptor({ ...options, store, inForce, timing, catchUpFromStore });
+    const acceptor = createChangeAcceptor({ ...options, store, activeVersion, timing, catchUpFromStore });
     let lastAcceptance: Promise<unknown> = Promise.resolve();
 
     /** One after the other within a process, so that a process never races itself. */
-    const acceptInTurn = (request: ChangeRequest) => {
-        const acceptance = lastAcceptance.then(() => acceptor.accept(request, after(timing.publishMilliseconds)));
+    const acceptSerially = (request: ChangeRequest) => {
+        const acceptance = lastAcceptance.then(() => acceptor.accept(request, deadlineIn(timing.publishMilliseconds)));
         lastAcceptance = acceptance.catch(() => undefined);
         return acceptance;
     };
 
     const publish = async (request: ChangeRequest): Promise<Result<ChangeAnswer, Failure>> => {
-        const accepted = await acceptInTurn(request);
+        const accepted = await acceptSerially(request);
         if (accepted.isErr) {
             const { reason, verdict } = accepted.error;
             eventLog.record(EventKind.ConfigurationRejected, { partner: request.partner, reason, verdict });
             return err(accepted.error);
         }
         const change = accepted.value;
-        await bringIntoForce(change);
-        const report = await peers.push(change, after(timing.confirmMilliseconds));
+        await activate(change);
+        const report = await peers.push(change, deadlineIn(timing.confirmMilliseconds));
         return ok({ generation: change.generation, ...report });
     };
 
-    const bringIntoForce = async (change: AcceptedChange) => {
-        inForce.offer(change);
-        if (inForce.current().generation < change.generation) {
-            await catchUpFromStore(after(timing.storeCallMilliseconds));
+    const activate = async (change: AcceptedChange) => {
+        activeVersion.applyIfNext(change);
+        if (activeVersion.current().generation < change.generation) {
+            await catchUpFromStore(deadlineIn(timing.storeCallMilliseconds));
         }
     };
 
     const preview = async (request: ChangeRequest): Promise<Result<ChangePreview, Failure>> => {
-        const caughtUp = await catchUpFromStore(after(timing.storeCallMilliseconds));
-        const version = inForce.current();
+        const caughtUp = await catchUpFromStore(deadlineIn(timing.storeCallMilliseconds));
+        const version = activeVersion.current();
         const { expectedGeneration } = request;
         if (expectedGeneration !== undefined && expectedGeneration !== version.generation) {
             return err(notRun(FailureReason.Conflict, `the fleet stands at generation ${version.generation}`));
@@ -114,7 +114,7 @@
     };
 
     const history = async (limit: number): Promise<Result<readonly AcceptedChange[], Failure>> => {
-        const deadline = after(timing.storeCallMilliseconds);
+        const deadline = deadlineIn(timing.storeCallMilliseconds);
         const head = await store.readGeneration(deadline);
         if (head.isErr) {
             return err(head.error);
@@ -124,7 +124,7 @@
     };
 
     const usage = async (): Promise<readonly ProcessUsage[]> => {
-        const answers = await peers.askUsage(0, undefined, after(timing.peerCallMilliseconds));
+        const answers = await peers.requestUsage(0, undefined, deadlineIn(timing.peerCallMilliseconds));
         return answers.map(({ processId, answer }) =>
             answer
                 ? { processId, generation: answer.generation, byGeneration: answer.byGeneration }
@@ -136,27 +136,27 @@
         identity: ItemIdentity,
         generation?: number,
     ): Promise<Result<RetirementReport, Failure>> => {
-        const version = inForce.current();
+        const version = activeVersion.current();
         if (generation === undefined && version.findItem(identity)) {
             return err(
                 notRun(FailureReason.Conflict, "the item is in force; name the generation that removed it before"),
             );
         }
         const before = generation ?? version.generation;
-        const answers = await peers.askUsage(before, identity, after(timing.peerCallMilliseconds));
+        const answers = await peers.requestUsage(before, identity, deadlineIn(timing.peerCallMilliseconds));
         return ok(createRetirementReport(identity, before, answers));
     };
 
     return {
-        current: inForce.current,
-        onVersion: inForce.onVersion,
+        current: activeVersion.current,
+        onVersion: activeVersion.onVersion,
         pin: versionUsage.pin,
         adopt: signal => adoptVersion({ peers, membership, clock, timing, catchUpFromStore }, signal),
-        run: signal => spreadVersions({ ...options, peers, inForce, timing, catchUpFromStore }, signal),
+        run: signal => runAntiEntropy({ ...options, peers, activeVersion, timing, catchUpFromStore }, signal),
         publish,
         preview,
-        outcomeOf: (partner, writeId) => acceptor.outcomeOf(partner, writeId, after(timing.storeCallMilliseconds)),
-        cancel: (partner, writeId) => acceptor.cancel(partner, writeId, after(timing.storeCallMilliseconds)),
+        outcomeOf: (partner, writeId) => acceptor.outcomeOf(partner, writeId, deadlineIn(timing.storeCallMilliseconds)),
+        cancel: (partner, writeId) => acceptor.cancel(partner, writeId, deadlineIn(timing.storeCallMilliseconds)),
         history,
         usage,
         retirementOf,
--- a/packages/daisyturn/src/process/configuration/createConfigurationStore.ts
+++ b/packages/daisyturn/src/process/configuration/createConfigurationStore.ts
@@ -21,7 +21,7 @@
 /** Changes read in one call of the store. */
 const changesPerRead = 100;
 /** A process further behind than this reads all items instead of the changes between. */
-const longestChain = 400;
+const maxChangesToApply = 400;
 
 /** Where the store stands, and whether it knows a write id. */
 export interface StoreState extends CommitBasis {
@@ -31,7 +31,7 @@
 /** A version read from the store, with the changes that led to it where they were read. */
 export interface NewestVersion {
     readonly version: IndexedVersion;
-    readonly chain: readonly AcceptedChange[];
+    readonly changes: readonly AcceptedChange[];
 }
 
 /** The configuration as the table service keeps it. */
@@ -114,12 +114,12 @@
     const readNewest = async (from: IndexedVersion, deadline: number): Promise<Result<NewestVersion, Failure>> => {
         const head = await readGeneration(deadline);
         if (head.isErr || head.value <= from.generation) {
-            return head.map(() => ({ version: from, chain: [] }));
+            return head.map(() => ({ version: from, changes: [] }));
         }
-        if (from.generation > 0 && head.value - from.generation <= longestChain) {
-            const changes = await readChanges(listGenerations(from.generation + 1, head.value), deadline);
-            if (changes.isErr || changes.value.length === head.value - from.generation) {
-                return changes.map(chain => ({ version: applyChain(from, chain), chain }));
+        if (from.generation > 0 && head.value - from.generation <= maxChangesToApply) {
+            const newChanges = await readChanges(listGenerations(from.generation + 1, head.value), deadline);
+            if (newChanges.isErr || newChanges.value.length === head.value - from.generation) {
+                return newChanges.map(changes => ({ version: applyChanges(from, changes), changes }));
             }
         }
         return readAllItems();
@@ -162,8 +162,8 @@
 }
 
 /** The version after all changes of a chain without gaps. */
-export function applyChain(from: IndexedVersion, chain: readonly AcceptedChange[]): IndexedVersion {
-    return chain.reduce((version, change) => version.apply(change), from);
+export function applyChanges(from: IndexedVersion, changes: readonly AcceptedChange[]): IndexedVersion {
+    return changes.reduce((version, change) => version.apply(change), from);
 }
 
 function generationOf(head: Row | undefined): number {
--- a/packages/daisyturn/src/process/configuration/exchange/answerPull.ts
+++ b/packages/daisyturn/src/process/configuration/exchange/answerPull.ts
@@ -1,5 +1,5 @@
 import type { ConfigurationItem } from "../../../version/configurationItems.js";
-import type { InForce } from "../createInForce.js";
+import type { ActiveVersion } from "../createActiveVersion.js";
 import type { ItemPage, PullAnswer, PullMessage } from "./configurationMessages.js";
 
 /**
@@ -9,25 +9,25 @@
 const pageBytes = 131_072;
 
 /** Answers a peer that asks for what this process has beyond the peer's generation. */
-export function answerPull(inForce: InForce, cellSize: number, message: PullMessage): PullAnswer {
-    const { generation } = inForce.current();
+export function answerPull(activeVersion: ActiveVersion, cellSize: number, message: PullMessage): PullAnswer {
+    const { generation } = activeVersion.current();
     if (message.page) {
-        const page = createPage(inForce, message.page.generation, message.page.offset);
+        const page = createPage(activeVersion, message.page.generation, message.page.offset);
         return { generation, cellSize, ...(page && { page }) };
     }
     if (generation <= message.generation) {
         return { generation, cellSize };
     }
-    const changes = inForce.changesAfter(message.generation);
+    const changes = activeVersion.changesAfter(message.generation);
     if (changes) {
         return { generation, cellSize, changes };
     }
-    const page = createPage(inForce, generation, 0);
+    const page = createPage(activeVersion, generation, 0);
     return { generation, cellSize, ...(page && { page }) };
 }
 
-function createPage(inForce: InForce, generation: number, offset: number): ItemPage | undefined {
-    const items = inForce.recentVersion(generation)?.items;
+function createPage(activeVersion: ActiveVersion, generation: number, offset: number): ItemPage | undefined {
+    const items = activeVersion.recentVersion(generation)?.items;
     if (!items) {
         return undefined;
     }
--- a/packages/daisyturn/src/process/configuration/exchange/createConfigurationPeers.ts
+++ b/packages/daisyturn/src/process/configuration/exchange/createConfigurationPeers.ts
@@ -3,7 +3,7 @@
 import type { ItemIdentity } from "../../../version/configurationItems.js";
 import type { VersionUsage } from "../../../version/createVersionUsage.js";
 import { type Membership, MemberState, PeerMethod, type PeerNetwork, type ProcessIdentity } from "../../peers/index.js";
-import type { InForce } from "../createInForce.js";
+import type { ActiveVersion } from "../createActiveVersion.js";
 import { answerPull } from "./answerPull.js";
 import {
     decodeMessage,
@@ -37,7 +37,11 @@
     /** Takes over what the peer has beyond the version in force. Undefined if it did not answer to the end. */
     pullFrom(processId: string): Promise<PullReport | undefined>;
     /** Asks every process that may still run, this one included. */
-    askUsage(generation: number, identity: ItemIdentity | undefined, deadline: number): Promise<readonly PeerUsage[]>;
+    requestUsage(
+        generation: number,
+        identity: ItemIdentity | undefined,
+        deadline: number,
+    ): Promise<readonly PeerUsage[]>;
     /** Processes of the cell that are not known to have ended, this one included. */
     cellSize(): number;
 }
@@ -46,7 +50,7 @@
 export interface ConfigurationPeersOptions {
     readonly network: PeerNetwork;
     readonly membership: Membership;
-    readonly inForce: InForce;
+    readonly activeVersion: ActiveVersion;
     readonly usage: VersionUsage;
     readonly clock: Clock;
     readonly peerCallMilliseconds: number;
@@ -54,7 +58,7 @@
 
 /** Registers the handlers and creates the exchange. */
 export function createConfigurationPeers(options: ConfigurationPeersOptions): ConfigurationPeers {
-    const { network, membership, inForce, usage } = options;
+    const { network, membership, activeVersion, usage } = options;
     const pulls = new Map<string, Promise<PullReport | undefined>>();
 
     /** A dead member may be paused and come back, so it counts until it is known to have ended. */
@@ -68,25 +72,25 @@
     const isConfirmedBy = async (peer: ProcessIdentity, change: AcceptedChange, deadline: number) => {
         const message = encodeMessage({ change });
         const answer = await network.request(peer.processId, PeerMethod.PushConfiguration, message, deadline);
-        const reached = answer.isOk ? decodeMessage<PushAnswer>(answer.value) : undefined;
-        return reached !== undefined && reached.generation >= change.generation;
+        const pushAnswer = answer.isOk ? decodeMessage<PushAnswer>(answer.value) : undefined;
+        return pushAnswer !== undefined && pushAnswer.generation >= change.generation;
     };
 
     const push = async (change: AcceptedChange, deadline: number): Promise<PushReport> => {
         const confirmations = await Promise.all(
             presentMembers().map(async ({ identity, state }) => {
                 // The operator does not wait for the dead; if one is back before it is noticed, it still gets the change.
-                const isWorthWaiting = state !== MemberState.Dead;
-                if (!isWorthWaiting) {
+                const shouldWait = state !== MemberState.Dead;
+                if (!shouldWait) {
                     network.notify(identity.processId, PeerMethod.PushConfiguration, encodeMessage({ change }));
                 }
-                const confirmed = isWorthWaiting && await isConfirmedBy(identity, change, deadline);
+                const confirmed = shouldWait && await isConfirmedBy(identity, change, deadline);
                 return { processId: identity.processId, confirmed };
             }),
         );
         const confirmed = confirmations.filter(one => one.confirmed).map(one => one.processId);
-        const missing = confirmations.filter(one => !one.confirmed).map(one => one.processId);
-        return { inForceAt: [network.self.processId, ...confirmed], notConfirmedBy: missing };
+        const unconfirmed = confirmations.filter(one => !one.confirmed).map(one => one.processId);
+        return { inForceAt: [network.self.processId, ...confirmed], notConfirmedBy: unconfirmed };
     };
 
     const announce = (change: AcceptedChange) => {
@@ -106,21 +110,21 @@
         return started;
     };
 
-    const takePush = async (processId: string, change: AcceptedChange): Promise<PushAnswer> => {
-        inForce.offer(change);
-        if (inForce.current().generation < change.generation) {
+    const applyPush = async (processId: string, change: AcceptedChange): Promise<PushAnswer> => {
+        activeVersion.applyIfNext(change);
+        if (activeVersion.current().generation < change.generation) {
             await pullFrom(processId);
         }
-        return { generation: inForce.current().generation };
+        return { generation: activeVersion.current().generation };
     };
 
     const answerUsage = ({ generation, identity }: UsageMessage): UsageAnswer => ({
-        generation: inForce.current().generation,
+        generation: activeVersion.current().generation,
         requests: identity ? usage.countBefore(generation, identity) : 0,
         byGeneration: usage.list(),
     });
 
-    const askUsage = async (generation: number, identity: ItemIdentity | undefined, deadline: number) => {
+    const requestUsage = async (generation: number, identity: ItemIdentity | undefined, deadline: number) => {
         const message: UsageMessage = { generation, ...(identity && { identity }) };
         const others = await Promise.all(
             presentMembers().map(async (member): Promise<PeerUsage> => {
@@ -136,17 +140,17 @@
 
     network.handle(PeerMethod.PushConfiguration, async (from, parameters) => {
         const change = decodePush(parameters);
-        const generation = inForce.current().generation;
-        return encodeMessage(change ? await takePush(from.processId, change) : { generation });
+        const generation = activeVersion.current().generation;
+        return encodeMessage(change ? await applyPush(from.processId, change) : { generation });
     });
     network.handle(PeerMethod.PullConfiguration, (...[, parameters]) => {
-        const message = decodeMessage<PullMessage>(parameters) ?? { generation: inForce.current().generation };
-        return encodeMessage(answerPull(inForce, cellSize(), message));
+        const message = decodeMessage<PullMessage>(parameters) ?? { generation: activeVersion.current().generation };
+        return encodeMessage(answerPull(activeVersion, cellSize(), message));
     });
     network.handle(PeerMethod.AskUsage, (...[, parameters]) => {
         const message = decodeMessage<UsageMessage>(parameters) ?? { generation: 0 };
         return encodeMessage(answerUsage(message));
     });
 
-    return { push, announce, pullFrom, askUsage, cellSize };
+    return { push, announce, pullFrom, requestUsage, cellSize };
 }
