--- a/packages/daisyturn/src/process/configuration/__fixtures__/configurationCell.ts
+++ b/packages/daisyturn/src/process/configuration/__fixtures__/configurationCell.ts
@@ -31,7 +31,7 @@
 import { createConfigurationManager } from "../createConfigurationManager.js";
 import type { FleetConfigurationManager } from "../fleetConfigurationManager.js";
 
-/** Called before the store carries out a call of a process, and before its answer reaches the process. */
+/** Called before the store executes a call of a process, and again before the answer is returned to the process. */
 export type StoreStep = (processId: string, step: string) => Promise<void>;
 
 /** One process of the cell. */
@@ -41,24 +41,24 @@
     readonly membership: Membership;
     readonly self: ProcessIdentity;
     readonly eventLog: MemoryEventLog;
-    /** Generations that came into force, in order. */
+    /** Generations that became active, in order. */
     readonly generations: number[];
 }
 
-/** Keepers joined by a network and a store in memory, under one clock. */
+/** Configuration managers that share an in-memory network, an in-memory store and one clock. */
 export interface ConfigurationCell {
     readonly clock: FakeClock;
     readonly store: FaultyTableService;
     readonly networks: FakePeerNetworks;
-    /** Starts a process, or starts it anew; it has not adopted anything. */
+    /** Starts or restarts a process. It has not adopted a version yet. */
     start(processId: string): CellProcess;
-    /** The process falls silent: none of its calls has an effect or an answer from now on. */
+    /** Stops a process: from now on its calls have no effect and get no answer. */
     kill(processId: string): void;
-    /** The store can't be reached from the process any more. */
+    /** Makes the store unreachable from the process. */
     disconnectFromStore(processId: string): void;
-    /** What all others think of the process. */
+    /** Sets the state of the process in the membership of all others. */
     setState(processId: string, state: MemberState): void;
-    /** Moves the clock on until the promise is settled. */
+    /** Advances the clock until the promise is settled. */
     complete<T>(promise: Promise<T>): Promise<T>;
 }
 
@@ -154,7 +154,7 @@
     };
 }
 
-/** Everybody knows everybody; the test says in which state. */
+/** A membership in which every process knows all others, in the states that the test has set. */
 function createCellMembership(
     processId: string,
     identities: ReadonlyMap<string, ProcessIdentity>,
@@ -214,15 +214,15 @@
     return new SteppedTableService();
 }
 
-/** Throws if a process ever went back, or put one generation in force twice. */
+/** Throws if the active generation of a process ever decreased, or if a generation became active twice. */
 export function assertGenerationsIncrease(...processes: readonly CellProcess[]): void {
     for (const { generations, self } of processes) {
         const sorted = [...new Set(generations)].sort((left, right) => left - right);
-        assert.deepEqual(generations, sorted, `generations in force at ${self.processId}`);
+        assert.deepEqual(generations, sorted, `active generations of ${self.processId}`);
     }
 }
 
-/** Generations that were accepted, over all processes. */
+/** Lists the generations accepted by the given processes, in ascending order. */
 export function listAccepted(...processes: readonly CellProcess[]): number[] {
     return processes.flatMap(one => one.eventLog.of(EventKind.ConfigurationAccepted))
         .map(event => event.fields.generation ?? 0)
--- a/packages/daisyturn/src/process/configuration/__fixtures__/naiveConfiguration.ts
+++ b/packages/daisyturn/src/process/configuration/__fixtures__/naiveConfiguration.ts
@@ -2,7 +2,7 @@
 import { ChangeAction, type ChangeRequest, type ItemChange } from "../../../version/configurationChange.js";
 import { type ConfigurationItem, formatItemIdentity, ItemKind } from "../../../version/configurationItems.js";
 
-/** The whole state of a configuration kept by one process under one lock. */
+/** The state of a configuration that a single process stores under one lock. */
 export interface NaiveState {
     readonly generation: number;
     readonly items: readonly ConfigurationItem[];
@@ -10,12 +10,12 @@
     readonly writes: ReadonlyMap<string, { readonly generation: number; readonly changes: string; }>;
 }
 
-/** A generation, or why the change was refused. */
+/** A generation, or the reason why the change was rejected. */
 export type NaiveAnswer = number | FailureReason;
 
 export const emptyNaiveState: NaiveState = { generation: 0, items: [], writes: new Map() };
 
-/** Publishes a change as one process would that never fails and does one thing after the other. */
+/** Reference implementation of `publish`: a single process without failures that handles one request at a time. */
 export function publishNaively(
     state: NaiveState,
     request: ChangeRequest,
--- a/packages/daisyturn/src/process/configuration/__tests__/adoptVersion.test.ts
+++ b/packages/daisyturn/src/process/configuration/__tests__/adoptVersion.test.ts
@@ -11,13 +11,13 @@
 } from "../__fixtures__/configurationCell.js";
 
 enum PeerCondition {
-    /** In force there: the newest generation. */
+    /** The newest generation is active. */
     Newest,
-    /** In force there: the one before. */
+    /** The generation before the newest is active. */
     Stale,
-    /** Started, but has adopted nothing. */
+    /** Started, but has not adopted a version. */
     Fresh,
-    /** Known to the others, and dead. */
+    /** Known to the others as dead. */
     Silent,
 }
 
@@ -29,7 +29,7 @@
     assert.ok(answer.isOk);
 }
 
-/** A cell whose peers are as asked for, and in which the store went down after the second generation. */
+/** Creates a cell at generation 2 whose publisher has left and whose peers are in the given conditions. */
 async function createOutage(conditions: readonly PeerCondition[]): Promise<ConfigurationCell> {
     const cell = createConfigurationCell({ timing: { confirmMilliseconds: 20, storeCallMilliseconds: 20 } });
     const publisher = cell.start("publisher");
@@ -56,7 +56,7 @@
     return cell;
 }
 
-/** What the rule says; undefined: the process must not become ready. */
+/** The generation that must be adopted. Undefined if the process must not become ready. */
 function findExpected(conditions: readonly PeerCondition[], isStoreUp: boolean): number | undefined {
     if (isStoreUp) {
         return 2;
@@ -67,7 +67,7 @@
 }
 
 describe("adoptVersion", () => {
-    it("takes the newest generation that can be known, for every state of four peers and the store", async () => {
+    it("adopts the newest generation that can be determined, for all conditions of four peers and the store", async () => {
         const runs = await exploreInterleavings(async ({ choose }) => {
             const conditions = Array.from({ length: 4 }, () => choose(4) as PeerCondition);
             const isStoreUp = choose(2) === 1;
@@ -90,7 +90,7 @@
         assert.equal(runs, 4 ** 4 * 2);
     });
 
-    it("waits while neither store nor peers answer, and goes on once the store is back", async () => {
+    it("waits while neither the store nor peers answer, and adopts once the store answers again", async () => {
         const cell = await createOutage([]);
         cell.store.setStandingFault(TableFaultKind.Down);
         const late = cell.start("late");
@@ -103,11 +103,11 @@
         assert.equal(late.configurationManager.current().generation, 2);
     });
 
-    it("does not believe a stale peer alone, whatever itself knows of the cell", async () => {
+    it("does not adopt from a single stale peer, even if it knows no other members of the cell", async () => {
         const cell = await createOutage([PeerCondition.Stale, PeerCondition.Silent, PeerCondition.Silent]);
         cell.store.setStandingFault(TableFaultKind.Down);
         const late = cell.start("late");
-        // A process that has just started knows only whom it has met.
+        // A process that has just started knows only the members that it has already contacted.
         late.membership.others = () => [{ identity: cell.start("unused").self, state: MemberState.Left }];
         late.membership.livePeers = () => [{ ...late.self, processId: "peer-0" }];
         let isReady = false;
--- a/packages/daisyturn/src/process/configuration/__tests__/configurationDifferential.test.ts
+++ b/packages/daisyturn/src/process/configuration/__tests__/configurationDifferential.test.ts
@@ -66,7 +66,7 @@
     )
 );
 
-/** Some in a row make the store client give up for a while; then the operator asks again. */
+/** Several faults in a row open the breaker of the store client; the operator then repeats the request. */
 const faultArbitrary = fc.constantFrom(
     TableFaultKind.None,
     TableFaultKind.BreakAfterCommit,
@@ -76,17 +76,17 @@
 );
 
 const batchArbitrary = fc.record({
-    /** Published at once, each at another process. */
+    /** Published concurrently, each at a different process. */
     requests: fc.array(requestArbitrary, { minLength: 1, maxLength: processIds.length }),
     faults: fc.array(faultArbitrary, { maxLength: 6 }),
     restarted: rarely(fc.constantFrom(...processIds)),
 });
 
 const unsettledReasons = [FailureReason.OutcomeUnknown, FailureReason.StoreUnavailable, FailureReason.RateLimited];
-/** Longest time until the store client has noticed that the store is back. */
+/** Upper bound of the time until the store client detects that the store answers again. */
 const retryMilliseconds = 6_000;
 
-/** Publishes as an operator does: without an outcome, the same write id is asked for again, at the next process. */
+/** Publishes as an operator does: while the outcome is unknown, repeats the request at the next process. */
 async function publishUntilAnswered(
     cell: ConfigurationCell,
     processes: ReadonlyMap<string, CellProcess>,
@@ -106,7 +106,10 @@
     }
 }
 
-/** Whether the answers could have come from the naive version, taking the requests in one order or another. */
+/**
+ * Searches for an order of the requests in which the naive implementation gives the same answers. Returns its state
+ * after that order, or undefined if there is none.
+ */
 function findNaiveState(
     state: NaiveState,
     requests: readonly ChangeRequest[],
@@ -132,7 +135,7 @@
 }
 
 describe("the configuration of several processes", () => {
-    it("answers as one process under one lock would, whatever order, faults and restarts", async t => {
+    it("gives the answers of a single process with one lock, for all orders, faults and restarts", async t => {
         let accepted = 0;
         await fc.assert(
             fc.asyncProperty(
--- a/packages/daisyturn/src/process/configuration/__tests__/configurationFailures.test.ts
+++ b/packages/daisyturn/src/process/configuration/__tests__/configurationFailures.test.ts
@@ -23,7 +23,7 @@
     return await cell.complete(configurationManager.publish(createRequest(name)));
 }
 
-/** Runs the processes' anti-entropy for a while. */
+/** Runs the anti-entropy of the processes for the given time. */
 async function runFor(cell: ConfigurationCell, milliseconds: number, ...processes: readonly CellProcess[]) {
     const abort = new AbortController();
     const running = processes.map(({ configurationManager }) => configurationManager.run(abort.signal));
@@ -32,14 +32,14 @@
     await cell.complete(Promise.all(running));
 }
 
-/** Longest time until the store client has noticed that the store is back. */
+/** Upper bound of the time until the store client detects that the store answers again. */
 const probeMilliseconds = 6_000;
 
 const generationsOf = (...processes: readonly CellProcess[]) =>
     processes.map(({ configurationManager }) => configurationManager.current().generation);
 
 describe("the configuration under failures", () => {
-    it("is in force everywhere also if the store goes down right after the commit", async () => {
+    it("becomes active at all processes even if the store goes down right after the commit", async () => {
         const cell = createConfigurationCell();
         const processes = ["a", "b", "c"].map(cell.start);
         cell.store.script(TableFaultKind.None, TableFaultKind.None);
@@ -52,7 +52,7 @@
         assert.deepEqual(generationsOf(...processes), [1, 1, 1]);
     });
 
-    it("tells the outcome at another process after the answer was lost, without a second generation", async () => {
+    it("reports the outcome at another process after the answer was lost, without a second generation", async () => {
         const cell = createConfigurationCell();
         const [first, second] = [cell.start("a"), cell.start("b")];
         cell.store.script(TableFaultKind.None, TableFaultKind.BreakAfterCommit);
@@ -69,7 +69,7 @@
         assert.equal(other.isErr && other.error.reason, FailureReason.IdempotencyKeyReused);
     });
 
-    it("never takes a transaction that arrives after others went ahead, or after its write id was cancelled", async () => {
+    it("rejects a transaction that arrives after another change, or after its write id was cancelled", async () => {
         const cell = createConfigurationCell();
         const [first, second] = [cell.start("a"), cell.start("b")];
         for (
@@ -91,7 +91,7 @@
         assert.deepEqual(generationsOf(first, second), [1, 1]);
     });
 
-    it("finds a transaction that arrives late and first", async () => {
+    it("detects a transaction that is committed late, before any other change", async () => {
         const cell = createConfigurationCell();
         const [first, second] = [cell.start("a"), cell.start("b")];
         cell.store.script(TableFaultKind.None, TableFaultKind.CommitLate);
@@ -103,7 +103,7 @@
         assert.deepEqual(generationsOf(first, second), [1, 1]);
     });
 
-    it("reaches a minority that was cut off once it is back, and says meanwhile who has not confirmed", async () => {
+    it("names processes that are cut off as not having confirmed, and reaches them once they reconnect", async () => {
         const cell = createConfigurationCell();
         const processes = ["a", "b", "c"].map(cell.start);
         cell.networks.isolate("c");
@@ -117,7 +117,7 @@
         assertGenerationsIncrease(...processes);
     });
 
-    it("reaches processes that no peer tells, through the store", async () => {
+    it("reaches processes without contact to peers through the store", async () => {
         const cell = createConfigurationCell();
         const processes = ["a", "b", "c"].map(cell.start);
         ["a", "b", "c"].forEach(cell.networks.isolate);
@@ -126,7 +126,7 @@
         assert.deepEqual(generationsOf(...processes), [1, 1, 1]);
     });
 
-    it("spreads news found in the store to the cell at once", async () => {
+    it("announces a change found in the store to the cell immediately", async () => {
         const cell = createConfigurationCell({ timing: { pullIntervalMilliseconds: 1_000_000 } });
         const publisher = cell.start("far");
         await publish(cell, publisher, "one");
@@ -136,7 +136,7 @@
         await cell.complete(Promise.all(near.map(one => one.configurationManager.adopt(new AbortController().signal))));
         await publish(cell, publisher, "two");
         const abort = new AbortController();
-        // Only one process looks at the store.
+        // Only one process runs anti-entropy and reads the head of the store.
         const running = near[0]!.configurationManager.run(abort.signal);
         await cell.clock.advance(10_000);
         assert.deepEqual(generationsOf(...near), [2, 2, 2, 2, 2]);
@@ -144,7 +144,7 @@
         await cell.complete(running);
     });
 
-    it("keeps the operator from waiting for the dead, and names them", async () => {
+    it("does not make the operator wait for dead members, and names them", async () => {
         const cell = createConfigurationCell();
         const [first] = ["a", "b", "c"].map(cell.start);
         cell.setState("c", MemberState.Dead);
@@ -155,7 +155,7 @@
         assert.ok(cell.clock.monotonicNow() - start < 100);
     });
 
-    it("does not make one partner's change wait until the other's is confirmed", async () => {
+    it("commits a change without waiting until the change before it is confirmed", async () => {
         const cell = createConfigurationCell();
         const [first] = ["a", "b"].map(cell.start);
         cell.networks.cutBoth("a", "b");
@@ -165,7 +165,7 @@
         assert.equal(first!.configurationManager.current().generation, 2);
     });
 
-    it("refuses changes and stays where it is if the store has lost generations", async () => {
+    it("rejects changes and keeps its generation if the store has lost generations", async () => {
         const cell = createConfigurationCell();
         const first = cell.start("a");
         await publish(cell, first, "one");
@@ -180,7 +180,7 @@
         assert.deepEqual(generationsOf(first), [1]);
     });
 
-    it("prunes old changes and their write ids, and still brings a process up that lags further", async () => {
+    it("prunes old changes and their write ids, and still updates a process that is further behind", async () => {
         const cell = createConfigurationCell({ timing: { retainedChanges: 3 } });
         const [first, second] = [cell.start("a"), cell.start("b")];
         await publish(cell, first, "0");
@@ -198,7 +198,7 @@
         assert.deepEqual(history.map(change => change.generation), [10, 9, 8]);
     });
 
-    it("hands a large configuration over in pages, without a mix of generations, while changes go on", async () => {
+    it("transfers a large configuration in pages without mixing generations while changes continue", async () => {
         const cell = createConfigurationCell();
         const [first, second] = [cell.start("a"), cell.start("b")];
         cell.networks.cutBoth("a", "b");
@@ -222,7 +222,7 @@
         assert.ok(cell.networks.sent.filter(message => message.parameters["page"]).length > 5);
     });
 
-    it("takes nothing from a peer whose changes have a gap", async () => {
+    it("applies nothing from a peer whose changes have a gap", async () => {
         const cell = createConfigurationCell();
         const [first, second] = [cell.start("a"), cell.start("b")];
         for (const name of ["one", "two"]) {
@@ -240,7 +240,7 @@
         assert.deepEqual(generationsOf(second), [0]);
     });
 
-    it("keeps every answer to a pull well below the longest line between peers", () => {
+    it("keeps every answer to a pull well below the line limit between peers", () => {
         const activeVersion = createActiveVersion(new MemoryEventLog());
         const accounts = Array.from({ length: 15_000 }, (...[, index]) => createAccount("north", `a${index}`, []));
         activeVersion.advance(createConfigurationVersion(1, accounts));
@@ -277,10 +277,10 @@
         pin.release();
         assert.deepEqual([(await report())?.isComplete, (await report())?.notConfirmedBy], [false, ["c"]]);
         cell.networks.healAll();
-        assert.deepEqual((await report())?.notConfirmedBy, ["c"], "it still takes requests under the old generation");
+        assert.deepEqual((await report())?.notConfirmedBy, ["c"], "it still accepts requests under the old generation");
         await runFor(cell, 3_000, paused!);
         assert.equal((await report())?.isComplete, true);
-        // Made anew under the same name, it is in use again, but not as what was retired.
+        // An item created again under the same name is in use, but it is not the item that was retired.
         await publish(cell, first!, "one-again");
         second!.configurationManager.pin().use(createProfile("north", "one"));
         assert.equal((await report())?.isComplete, true);
--- a/packages/daisyturn/src/process/configuration/__tests__/configurationInterleavings.test.ts
+++ b/packages/daisyturn/src/process/configuration/__tests__/configurationInterleavings.test.ts
@@ -24,8 +24,8 @@
     shown.forEach(one => assert.deepEqual(one, shown[0]));
 }
 
-describe("every interleaving", () => {
-    it("of two partners' changes at two processes accepts both, one after the other", async t => {
+describe("the configuration in all interleavings", () => {
+    it("accepts concurrent changes of two partners at two processes, one after the other", async t => {
         const runs = await exploreInterleavings(async ({ step }) => {
             const cell = createConfigurationCell({ onStoreStep: (id, name) => step(`${id} ${name}`) });
             const [one, other] = [cell.start("a"), cell.start("b")];
@@ -41,7 +41,7 @@
         t.diagnostic(`${runs} interleavings`);
     });
 
-    it("of one write id at two processes makes one generation", async t => {
+    it("creates one generation for one write id published at two processes", async t => {
         const runs = await exploreInterleavings(async ({ step }) => {
             const cell = createConfigurationCell({ onStoreStep: (id, name) => step(`${id} ${name}`) });
             const [one, other] = [cell.start("a"), cell.start("b")];
@@ -56,7 +56,7 @@
         t.diagnostic(`${runs} interleavings`);
     });
 
-    it("of a change and its cancellation ends in one of the two, and both are told which", async t => {
+    it("either accepts or cancels a change that is cancelled concurrently, and reports the same to both callers", async t => {
         const runs = await exploreInterleavings(async ({ step }) => {
             const cell = createConfigurationCell({ onStoreStep: (id, name) => step(`${id} ${name}`) });
             const [one, other] = [cell.start("a"), cell.start("b")];
@@ -75,7 +75,7 @@
         t.diagnostic(`${runs} interleavings`);
     });
 
-    it("of a publisher killed between any two steps leaves nothing half done", async t => {
+    it("leaves no partial change if the publisher is killed between any two steps", async t => {
         const runs = await exploreInterleavings(async ({ choose }) => {
             const killAt = choose(5);
             let steps = 0;
@@ -103,10 +103,10 @@
             abort.abort();
             await cell.complete(Promise.all(running));
         });
-        t.diagnostic(`${runs} places`);
+        t.diagnostic(`${runs} steps at which the publisher was killed`);
     });
 
-    it("of lost, doubled and reordered pushes, with pulls or without, never goes back", async () => {
+    it("never decreases the generation after lost, duplicate and reordered pushes, with or without pulls", async () => {
         const cell = createConfigurationCell();
         const sender = cell.start("a");
         for (const name of ["one", "two", "three"]) {
@@ -128,7 +128,7 @@
                 if (change) {
                     sender.network.notify("b", PeerMethod.PushConfiguration, toJson({ change }));
                     const follows = generation === expected + 1;
-                    // Whoever pulls has all that the sender has.
+                    // A pull fetches all changes that the sender has.
                     expected = canPull && generation > expected && !follows ? 3 : expected + Number(follows);
                 }
                 await cell.clock.advance(0);
@@ -139,7 +139,7 @@
         assert.equal(runs, 2 * 4 ** 4);
     });
 
-    it("of a retirement and a request never reports completion while the request runs", async t => {
+    it("never reports a retirement as complete while a request under the item runs", async t => {
         let completions = 0;
         const runs = await exploreInterleavings(async ({ step }) => {
             const cell = createConfigurationCell();
--- a/packages/daisyturn/src/process/configuration/adoptVersion.ts
+++ b/packages/daisyturn/src/process/configuration/adoptVersion.ts
@@ -4,7 +4,6 @@
 import type { ConfigurationTiming } from "./configurationTiming.js";
 import type { ConfigurationPeers } from "./exchange/createConfigurationPeers.js";
 
-/** What adoption needs. */
 export interface AdoptionOptions {
     readonly peers: ConfigurationPeers;
     readonly membership: Membership;
@@ -14,17 +13,18 @@
 }
 
 /**
- * Brings a fresh process to the newest version that can be known, or waits until it can be.
+ * Brings a newly started process to the newest version that can be determined, or waits until one can be.
  *
- * An answer of the store settles it. Without the store, every reachable peer is asked and the highest generation is
- * taken, but only if the peers that have a configuration make up, with this process, a majority of the cell, whose size
- * the best informed of them tells: one stale peer, met first after a partition, must not be believed alone. With
- * neither, the process stays unready: it would serve what may have been retired.
+ * An answer of the store is sufficient. Without the store, the highest generation among all reachable peers is adopted,
+ * but only if the peers that have a configuration form, together with this process, a majority of the cell. The cell
+ * size is the largest one reported by these peers or known here. Otherwise a single stale peer, contacted first after a
+ * partition, could determine the version. With neither store nor majority, the process stays unready: it could serve
+ * items that have been retired.
  */
 export async function adoptVersion(options: AdoptionOptions, signal: AbortSignal): Promise<void> {
     const { clock, timing } = options;
     while (!signal.aborted) {
-        // Peers first: what they have need not be read from the store, nor held in memory a second time.
+        // Peers first: what they supply is not read from the store and not stored in memory a second time.
         const isAdoptedFromPeers = await adoptFromPeers(options);
         const storeRead = await options.catchUpFromStore(clock.monotonicNow() + timing.storeCallMilliseconds);
         if (isAdoptedFromPeers || storeRead.isOk) {
@@ -34,7 +34,7 @@
     }
 }
 
-/** Whether enough peers have answered to go without the store. */
+/** Pulls from all live peers. Returns whether enough of them have answered to do without the store. */
 async function adoptFromPeers({ peers, membership }: AdoptionOptions): Promise<boolean> {
     const reports = await Promise.all(membership.livePeers().map(peer => peers.pullFrom(peer.processId)));
     const informed = reports.filter(report => report !== undefined && report.generation > 0);
--- a/packages/daisyturn/src/process/configuration/configurationRows.ts
+++ b/packages/daisyturn/src/process/configuration/configurationRows.ts
@@ -9,9 +9,9 @@
 import { type ConfigurationItem, formatItemIdentity } from "../../version/configurationItems.js";
 import { identityOf } from "../../version/validateChange.js";
 
-/** Row whose version every change is conditional on: changes of the whole fleet follow one another. */
+/** Key of the head row. Every change is conditional on its version, which serializes the changes of the whole fleet. */
 export const headKey = "configuration/head";
-/** Start of the keys of all items. */
+/** Prefix of the keys of all items. */
 export const itemPrefix = "configuration/item/";
 const generationDigits = 12;
 
@@ -20,39 +20,39 @@
     readonly generation: number;
 }
 
-/** Value of the row that remembers a write id. */
+/** Value of the row that records a write id. */
 export interface WriteValue {
     /** Absent where the write id was cancelled before any change was accepted under it. */
     readonly generation?: number;
-    /** Tells a second change under a used write id from the same one asked again. */
+    /** Distinguishes a repeated request from a different change under the same write id. */
     readonly changesHash: string;
 }
 
-/** What a publisher must know of the store before it commits. */
+/** The state of the store that a commit is based on. */
 export interface CommitBasis {
     /** Version of the head row; {@link absentVersion} before the first change. */
     readonly headVersion: number;
     readonly generation: number;
-    /** The oldest change kept, if it is to go in the same transaction. */
+    /** The oldest retained change, if the same transaction is to delete it. */
     readonly pruned?: AcceptedChange;
 }
 
-/** Key of the row that holds the change which made a generation. */
+/** Key of the row with the change that created a generation. */
 export function changeKey(generation: number): string {
     return `configuration/change/${String(generation).padStart(generationDigits, "0")}`;
 }
 
-/** Key of the row that remembers a write id. Each partner has its own: ids of two partners never meet. */
+/** Key of the row that records a write id. It contains the partner: ids of different partners never collide. */
 export function writeKey(partner: string, writeId: string): string {
     return `configuration/write/${partner}/${writeId}`;
 }
 
-/** Hash of what a change request asks for, without who asks and when. Fields may come in any order. */
+/** Hash of the changes of a request, without the requester and the time. The order of fields does not matter. */
 export function hashChanges(changes: readonly ItemChange[]): string {
     return hashText(formatCanonicalJson(changes));
 }
 
-/** JSON with the fields of every object in the order of their names. */
+/** Formats a value as JSON with the fields of every object sorted by name. */
 function formatCanonicalJson(value: unknown): string {
     return JSON.stringify(value, (...[, inner]: [string, unknown]) => {
         const isRecord = inner instanceof Object && !Array.isArray(inner);
@@ -64,7 +64,7 @@
     return left < right ? -1 : 1;
 }
 
-/** The transaction that accepts a change: the change itself, its effect on the items, and the head. */
+/** The transaction that accepts a change. It writes the head, the change, its write id and the changed items. */
 export function createChangeTransaction(
     transactionId: string,
     change: AcceptedChange,
@@ -92,7 +92,7 @@
     };
 }
 
-/** The transaction that uses up a write id for nothing. */
+/** The transaction that cancels a write id, so that no change can be accepted under it. */
 export function createCancelTransaction(transactionId: string, partner: string, writeId: string): Transaction {
     const write: WriteValue = { changesHash: "" };
     const key = writeKey(partner, writeId);
@@ -117,12 +117,12 @@
         : [];
 }
 
-/** The value of a row of a known kind. Only this module's transactions write these rows. */
+/** The value of a row of a known kind, unchecked: only the transactions of this module write these rows. */
 export function readRowValue<T extends HeadValue | WriteValue | AcceptedChange | ConfigurationItem>(row: Row): T {
     return row.value satisfies JsonValue as unknown as T;
 }
 
-/** Whether a change request is a repeat of the one that a write id stands for. */
+/** Whether a change request repeats the change that was accepted under its write id. */
 export function isSameChange(write: WriteValue, request: ChangeRequest): boolean {
     return write.changesHash === hashChanges(request.changes);
 }
--- a/packages/daisyturn/src/process/configuration/configurationTiming.ts
+++ b/packages/daisyturn/src/process/configuration/configurationTiming.ts
@@ -1,25 +1,25 @@
-/** Lengths of time and counts, set by the operators of the daemon. */
+/** Time limits, intervals and counts. Operators configure them in the daemon. */
 export interface ConfigurationTiming {
-    /** For all tries of one change against the store. */
+    /** Limit for all attempts to commit one change. */
     readonly publishMilliseconds: number;
-    /** For the peers to confirm; whoever is later gets the change by anti-entropy. */
+    /** Limit for the peers to confirm a change. A peer that has not received it by then gets it by anti-entropy. */
     readonly confirmMilliseconds: number;
     readonly peerCallMilliseconds: number;
     readonly storeCallMilliseconds: number;
-    /** For reading all items from the store. */
+    /** Limit for reading all items from the store. */
     readonly itemsMilliseconds: number;
-    /** Between two pulls from a random peer. */
+    /** Mean interval between two pulls from a random peer. */
     readonly pullIntervalMilliseconds: number;
-    /** Between two looks at the store's head by one process, times the number of processes in the cell. */
+    /** A process reads the head of the store at this mean interval, multiplied by the number of processes of the cell. */
     readonly headIntervalMilliseconds: number;
     readonly adoptRetryMilliseconds: number;
-    /** Longest wait before a change that lost a race is tried again. */
+    /** Upper bound of the random wait before a change that conflicted with another one is tried again. */
     readonly raceBackoffMilliseconds: number;
-    /** Changes kept in the store, with their write ids. */
+    /** Number of changes retained in the store, with their write ids. */
     readonly retainedChanges: number;
 }
 
-/** Timing that suits a cell of nine processes. */
+/** Defaults for a cell of nine processes. */
 export const defaultConfigurationTiming: ConfigurationTiming = {
     publishMilliseconds: 5_000,
     confirmMilliseconds: 1_000,
--- a/packages/daisyturn/src/process/configuration/createActiveVersion.ts
+++ b/packages/daisyturn/src/process/configuration/createActiveVersion.ts
@@ -3,28 +3,28 @@
 import type { ConfigurationVersion } from "../../version/configurationVersion.js";
 import { createConfigurationVersion, type IndexedVersion } from "../../version/createConfigurationVersion.js";
 
-/** Changes kept in memory for peers that lag; whoever lags more is sent all items. */
+/** Changes retained in memory for peers that are behind. A peer that is further behind is sent all items. */
 const maxRetainedChanges = 256;
-/** The kept changes go to a peer in one message, which must stay well below the longest line between peers. */
+/** The retained changes are sent to a peer in one message, which must stay well below the line limit between peers. */
 const maxRetainedChangeBytes = 1_048_576;
-/** Versions kept for peers that read one page by page. They share their memory. */
+/** Versions retained for peers that read one page by page. The versions share the memory of their common items. */
 const maxRetainedVersions = 16;
 
 type VersionListener = (version: ConfigurationVersion) => void;
 
-/** The version in force in this process, and the changes that led to it. */
+/** The active version of this process, and the changes that led to it. */
 export interface ActiveVersion {
     current(): IndexedVersion;
     /**
-     * Puts a version in force unless that would go back.
-     * @param changes the changes that led to it, where known, for peers that lag
+     * Activates a version unless its generation is at or below the active one. Returns whether it was activated.
+     * @param changes the changes that led to it, where known, for peers that are behind
      */
     advance(version: IndexedVersion, changes?: readonly AcceptedChange[]): boolean;
-    /** Puts the change in force if it follows directly on the version in force. */
+    /** Applies the change if its generation directly follows the active one. Returns whether it was applied. */
     applyIfNext(change: AcceptedChange): boolean;
-    /** The changes from the one after `generation` up to the version in force; undefined if not all are kept. */
+    /** The changes after `generation` up to the active version. Undefined if not all of them are retained. */
     changesAfter(generation: number): readonly AcceptedChange[] | undefined;
-    /** A version that was in force lately. */
+    /** The active version, or an earlier one that is still retained. */
     recentVersion(generation: number): IndexedVersion | undefined;
     onVersion(listener: VersionListener): void;
 }
@@ -34,7 +34,7 @@
     readonly bytes: number;
 }
 
-/** Creates the holder at generation 0, without items. */
+/** Creates an active version at generation 0, without items. */
 export function createActiveVersion(eventLog: EventLog): ActiveVersion {
     const listeners: VersionListener[] = [];
     let versions = [createConfigurationVersion(0, [])];
@@ -54,7 +54,7 @@
         return true;
     };
 
-    /** A listener's fault must not keep the others from the version. */
+    /** An error thrown by one listener must not keep the others from being notified. */
     const notify = (listener: VersionListener, version: ConfigurationVersion) => {
         try {
             listener(version);
@@ -88,7 +88,7 @@
     };
 }
 
-/** Keeps the newest changes that stay within both limits. */
+/** Returns the newest changes that fit within the limits on count and bytes. */
 function retainChanges(
     retained: readonly RetainedChange[],
     added: readonly AcceptedChange[],
--- a/packages/daisyturn/src/process/configuration/createChangeAcceptor.ts
+++ b/packages/daisyturn/src/process/configuration/createChangeAcceptor.ts
@@ -19,15 +19,14 @@
 import type { ConfigurationStore, StoreState } from "./createConfigurationStore.js";
 import { type ChangeOutcome, ChangeState } from "./fleetConfigurationManager.js";
 
-/** Brings changes into the store, and tells what became of them. */
+/** Commits changes to the store, and reports their outcomes. */
 export interface ChangeAcceptor {
-    /** The accepted change, also where the write id was accepted before. */
+    /** Returns the accepted change, also if it was accepted earlier under the same write id. */
     accept(request: ChangeRequest, deadline: number): Promise<Result<AcceptedChange, Failure>>;
     outcomeOf(partner: string, writeId: string, deadline: number): Promise<Result<ChangeOutcome, Failure>>;
     cancel(partner: string, writeId: string, deadline: number): Promise<Result<ChangeOutcome, Failure>>;
 }
 
-/** What the acceptor needs. */
 export interface ChangeAcceptorOptions {
     readonly store: ConfigurationStore;
     readonly activeVersion: ActiveVersion;
@@ -36,13 +35,13 @@
     readonly eventLog: EventLog;
     readonly ids: IdSource;
     readonly timing: ConfigurationTiming;
-    /** Takes over what the store has beyond the version in force. */
+    /** Advances the active version to the generation of the store. */
     readonly catchUpFromStore: (deadline: number) => Promise<Result<void, Failure>>;
 }
 
 type Acceptance = Result<AcceptedChange, Failure>;
 
-/** Creates the part of the keeper that validates changes and commits them. */
+/** Creates the part of the configuration manager that validates and commits changes. */
 export function createChangeAcceptor(options: ChangeAcceptorOptions): ChangeAcceptor {
     const { store, activeVersion, clock, random, eventLog, ids, timing } = options;
 
@@ -63,7 +62,7 @@
         return err(notRun(FailureReason.Conflict, "other changes came first each time", clock.wallNow()));
     };
 
-    /** Undefined: the store and what is in force here were not at the same generation; try again. */
+    /** Returns undefined if the change must be tried again: the active version was behind, or a commit lost a race. */
     const tryOnce = async (
         request: ChangeRequest,
         state: StoreState,
@@ -81,7 +80,7 @@
             const caughtUp = await options.catchUpFromStore(deadline);
             return caughtUp.isErr ? err(createReadFailure(caughtUp.error)) : undefined;
         }
-        // If a push came in during the read, the head's version is old and the transaction will be rejected.
+        // If a push arrived during the read, the head version that was read is outdated: the transaction is rejected.
         return await commit(request, state, deadline);
     };
 
@@ -142,7 +141,7 @@
         if (answer.outcome === TransactionOutcome.Committed) {
             return ok({ state: ChangeState.Cancelled });
         }
-        // The row that stands in the way tells the outcome, be it of the change or of an earlier cancellation.
+        // The row that caused the conflict holds the outcome, of the change or of an earlier cancellation.
         return hasConflict(answer)
             ? await outcomeOf(partner, writeId, deadline)
             : err(describeFailedCommit(answer, clock.wallNow()));
@@ -152,8 +151,8 @@
 }
 
 /**
- * Whether the transaction is known never to take effect, or its effect can be read. After an unknown outcome, a row
- * found changed tells as much: a version never comes back, so what is still under way will fail on it too.
+ * Whether the transaction is known never to take effect, or its effect can be read. After an unknown outcome, a changed
+ * row proves the same: versions are never reused, so a send that is still in flight will fail on that row too.
  */
 function hasConflict(answer: TransactionAnswer): boolean {
     const isRejected = answer.outcome === TransactionOutcome.Rejected
@@ -182,7 +181,7 @@
     return { generation, writeId, partner, operator, changes, acceptedAt };
 }
 
-/** This call sent nothing, but an earlier one under the same write id may still take effect. */
+/** This call sent no transaction, but one sent earlier under the same write id may still take effect. */
 function createReadFailure(failure: Failure): Failure {
     return mayHaveRun(
         failure.reason,
--- a/packages/daisyturn/src/process/configuration/createConfigurationManager.ts
+++ b/packages/daisyturn/src/process/configuration/createConfigurationManager.ts
@@ -31,7 +31,6 @@
 } from "./fleetConfigurationManager.js";
 import { createRetirementReport } from "./retirementReport.js";
 
-/** What the keeper is made of. */
 export interface ConfigurationManagerOptions {
     readonly self: ProcessIdentity;
     readonly storeClient: StoreClient;
@@ -44,7 +43,7 @@
     readonly timing?: Partial<ConfigurationTiming>;
 }
 
-/** Creates the keeper of one process and registers its peer handlers. */
+/** Creates the configuration manager of one process, and registers its peer handlers. */
 export function createConfigurationManager(options: ConfigurationManagerOptions): FleetConfigurationManager {
     const { clock, eventLog, membership, network, storeClient } = options;
     const timing = { ...defaultConfigurationTiming, ...options.timing };
@@ -72,7 +71,7 @@
     const acceptor = createChangeAcceptor({ ...options, store, activeVersion, timing, catchUpFromStore });
     let lastAcceptance: Promise<unknown> = Promise.resolve();
 
-    /** One after the other within a process, so that a process never races itself. */
+    /** Accepts the changes of this process one after another, so that they do not conflict with each other. */
     const acceptSerially = (request: ChangeRequest) => {
         const acceptance = lastAcceptance.then(() => acceptor.accept(request, deadlineIn(timing.publishMilliseconds)));
         lastAcceptance = acceptance.catch(() => undefined);
--- a/packages/daisyturn/src/process/configuration/createConfigurationStore.ts
+++ b/packages/daisyturn/src/process/configuration/createConfigurationStore.ts
@@ -18,25 +18,25 @@
     type WriteValue,
 } from "./configurationRows.js";
 
-/** Changes read in one call of the store. */
+/** Changes read in one call to the store. */
 const changesPerRead = 100;
-/** A process further behind than this reads all items instead of the changes between. */
+/** A process that is more generations behind than this reads all items instead of the missing changes. */
 const maxChangesToApply = 400;
 
-/** Where the store stands, and whether it knows a write id. */
+/** The head of the store, and the row of a write id if it exists. */
 export interface StoreState extends CommitBasis {
     readonly write?: WriteValue;
 }
 
-/** A version read from the store, with the changes that led to it where they were read. */
+/** A version read from the store, with the changes that led to it if they were read. */
 export interface NewestVersion {
     readonly version: IndexedVersion;
     readonly changes: readonly AcceptedChange[];
 }
 
-/** The configuration as the table service keeps it. */
+/** Access to the configuration in the table service. */
 export interface ConfigurationStore {
-    /** @param expectedHead the generation in force; the change that falls out after it is read for pruning */
+    /** @param expectedHead the active generation; the change that the next commit would prune is read as well */
     readState(
         partner: string,
         writeId: string,
@@ -44,9 +44,9 @@
         deadline: number,
     ): Promise<Result<StoreState, Failure>>;
     readGeneration(deadline: number): Promise<Result<number, Failure>>;
-    /** The version at the store's head, made from `from` and the changes since, or from all items. */
+    /** The version at the head of the store, built from `from` and the changes since, or from all items. */
     readNewest(from: IndexedVersion, deadline: number): Promise<Result<NewestVersion, Failure>>;
-    /** Changes of the generations given, in their order; those that are pruned are left out. */
+    /** The changes of the given generations, in the same order. Changes that have been pruned are omitted. */
     readChanges(generations: readonly number[], deadline: number): Promise<Result<readonly AcceptedChange[], Failure>>;
     commit(
         transactionId: string,
@@ -54,21 +54,20 @@
         basis: CommitBasis,
         deadline: number,
     ): Promise<TransactionAnswer>;
-    /** Uses up a write id, so that a change sent under it and not yet committed never is. */
+    /** Cancels a write id, so that a change sent under it and not yet committed can no longer be committed. */
     cancel(transactionId: string, partner: string, writeId: string, deadline: number): Promise<TransactionAnswer>;
 }
 
-/** What the access needs. */
 export interface ConfigurationStoreOptions {
     readonly storeClient: StoreClient;
     readonly clock: Clock;
-    /** How many changes are kept, with their write ids. */
+    /** How many changes are retained, with their write ids. */
     readonly retainedChanges: number;
-    /** For reading all items, which takes longer than any other call. */
+    /** Time limit for reading all items, which takes longer than any other call. */
     readonly itemsMilliseconds: number;
 }
 
-/** Creates the access to the configuration's rows. */
+/** Creates the access to the rows of the configuration. */
 export function createConfigurationStore(options: ConfigurationStoreOptions): ConfigurationStore {
     const { storeClient, clock, retainedChanges } = options;
     const read = (keys: readonly string[], deadline: number) => storeClient.read(keys, StorePriority.Other, deadline);
@@ -126,8 +125,9 @@
     };
 
     /**
-     * Items are read page by page while changes go on, so the pages may be of different generations. Each change holds
-     * its items whole; applying all changes since the start once more gives exactly the generation at the end.
+     * Items are read page by page while changes continue, so the pages may be of different generations. Each change
+     * contains its items in full. Applying all changes since the start once more therefore yields exactly the
+     * generation at the end.
      */
     const readAllItems = async (): Promise<Result<NewestVersion, Failure>> => {
         const deadline = clock.monotonicNow() + options.itemsMilliseconds;
@@ -156,12 +156,12 @@
     return { readState, readGeneration, readNewest, readChanges, commit, cancel };
 }
 
-/** The generations from first to last, both included. */
+/** The generations from `first` to `last`, both included. */
 export function listGenerations(first: number, last: number): readonly number[] {
     return Array.from({ length: Math.max(0, last - first + 1) }, (...[, index]) => first + index);
 }
 
-/** The version after all changes of a chain without gaps. */
+/** Applies consecutive changes, the first of which directly follows `from`. */
 export function applyChanges(from: IndexedVersion, changes: readonly AcceptedChange[]): IndexedVersion {
     return changes.reduce((version, change) => version.apply(change), from);
 }
--- a/packages/daisyturn/src/process/configuration/exchange/answerPull.ts
+++ b/packages/daisyturn/src/process/configuration/exchange/answerPull.ts
@@ -3,12 +3,12 @@
 import type { ItemPage, PullAnswer, PullMessage } from "./configurationMessages.js";
 
 /**
- * A page of items is filled up to this size. All items of a large fleet in one message would exceed the longest line
- * between peers, and would hold up the streams of both processes while it is written and read.
+ * Items are added to a page until it reaches this size. All items of a large fleet in one message would exceed the line
+ * limit between peers, and would delay the streams of both processes while the message is encoded and decoded.
  */
 const pageBytes = 131_072;
 
-/** Answers a peer that asks for what this process has beyond the peer's generation. */
+/** Answers a pull request of a peer with the changes or items that are newer than the peer's generation. */
 export function answerPull(activeVersion: ActiveVersion, cellSize: number, message: PullMessage): PullAnswer {
     const { generation } = activeVersion.current();
     if (message.page) {
@@ -39,7 +39,7 @@
     };
 }
 
-/** At least one item, so that the reader gets on. */
+/** A page has at least one item, so that the reader always makes progress. */
 function findPageEnd(items: readonly ConfigurationItem[], offset: number): number {
     let end = offset;
     let bytes = 0;
--- a/packages/daisyturn/src/process/configuration/exchange/configurationMessages.ts
+++ b/packages/daisyturn/src/process/configuration/exchange/configurationMessages.ts
@@ -3,20 +3,20 @@
 import type { ConfigurationItem, ItemIdentity } from "../../../version/configurationItems.js";
 import type { GenerationUsage } from "../../../version/createVersionUsage.js";
 
-/** Tells a peer of an accepted change. */
+/** Sends an accepted change to a peer. */
 export interface PushMessage {
     readonly change: AcceptedChange;
 }
 
-/** Generation in force at the peer after it has taken the message in. */
+/** The generation that is active at the peer after it has processed the push. */
 export interface PushAnswer {
     readonly generation: number;
 }
 
-/** Asks a peer for what it has beyond a generation. */
+/** Requests the changes or items that a peer has after a generation. */
 export interface PullMessage {
     readonly generation: number;
-    /** Asks for a further page of all items instead. */
+    /** Requests a further page of all items instead. */
     readonly page?: { readonly generation: number; readonly offset: number; };
 }
 
@@ -28,48 +28,48 @@
     readonly nextOffset?: number;
 }
 
-/** Without `changes` and `page` the peer has nothing newer, or no longer the generation whose page was asked for. */
+/** Without `changes` and `page` the peer has nothing newer, or no longer retains the generation of the requested page. */
 export interface PullAnswer {
     readonly generation: number;
-    /** Processes of the cell that the peer knows of and that are not known to have ended, itself included. */
+    /** Number of processes of the cell that the peer knows and that are not known to have ended, itself included. */
     readonly cellSize: number;
-    /** The changes between, where the peer still has all of them. */
+    /** The changes after the requested generation, if the peer still retains all of them. */
     readonly changes?: readonly AcceptedChange[];
-    /** Else the first page of all items. */
+    /** The first page of all items if the changes are not retained, or the page that was requested. */
     readonly page?: ItemPage;
 }
 
-/** Asks what runs under an item since before a generation. */
+/** Requests the number of running requests under an item that arrived before a generation was active. */
 export interface UsageMessage {
     readonly generation: number;
-    /** Absent: only the counts by generation are wanted. */
+    /** If absent, only the counts by generation are requested. */
     readonly identity?: ItemIdentity;
 }
 
-/** What runs at a process. */
+/** The requests that are running at a process. */
 export interface UsageAnswer {
-    /** In force there. */
+    /** The active generation of the process. */
     readonly generation: number;
-    /** Requests under the item that arrived before the generation asked for. */
+    /** Requests under the item that arrived before the requested generation was active. */
     readonly requests: number;
     readonly byGeneration: readonly GenerationUsage[];
 }
 
 type ConfigurationMessage = PushMessage | PushAnswer | PullMessage | PullAnswer | UsageMessage | UsageAnswer;
 
-/** Hands a message over as JSON. */
+/** Encodes a message as JSON. */
 export function encodeMessage(message: ConfigurationMessage): JsonObject {
     return toJson(message);
 }
 
-/** Reads a peer's message. Peers run the same software, so only the one field that all share is checked. */
+/** Decodes a peer's message. Peers run the same software, so only the field that all messages share is checked. */
 export function decodeMessage<T extends Exclude<ConfigurationMessage, PushMessage>>(
     message: JsonObject,
 ): T | undefined {
     return Number.isSafeInteger(message["generation"]) ? message as unknown as T : undefined;
 }
 
-/** Reads a pushed change. */
+/** Decodes a pushed change. Undefined if it is malformed. */
 export function decodePush(message: JsonObject): AcceptedChange | undefined {
     const change = (message as unknown as Partial<PushMessage>).change;
     return change && Number.isSafeInteger(change.generation) && Array.isArray(change.changes) ? change : undefined;
--- a/packages/daisyturn/src/process/configuration/exchange/createConfigurationPeers.ts
+++ b/packages/daisyturn/src/process/configuration/exchange/createConfigurationPeers.ts
@@ -16,37 +16,39 @@
 } from "./configurationMessages.js";
 import { type PullReport, pullVersion } from "./pullVersion.js";
 
-/** What a push to the cell has reached. */
+/** The processes that a push has reached, and those that have not confirmed it. */
 export interface PushReport {
     readonly inForceAt: readonly string[];
     readonly notConfirmedBy: readonly string[];
 }
 
-/** What one process says of its usage; without an answer it was not heard from. */
+/** The usage of one process. `answer` is absent if the process did not respond. */
 export interface PeerUsage {
     readonly processId: string;
     readonly answer?: UsageAnswer;
 }
 
-/** Exchange of configuration with the other processes. */
+/** Exchanges configuration with the other processes. */
 export interface ConfigurationPeers {
-    /** Tells every other process; returns when all that are not thought dead have answered, or at the deadline. */
+    /**
+     * Sends a change to every other process. Resolves when all processes that are not presumed dead have answered, or at
+     * the deadline.
+     */
     push(change: AcceptedChange, deadline: number): Promise<PushReport>;
-    /** Tells every live process without waiting. */
+    /** Sends a change to every live process without waiting for answers. */
     announce(change: AcceptedChange): void;
-    /** Takes over what the peer has beyond the version in force. Undefined if it did not answer to the end. */
+    /** Adopts what the peer has beyond the active version. Undefined if the exchange could not be completed. */
     pullFrom(processId: string): Promise<PullReport | undefined>;
-    /** Asks every process that may still run, this one included. */
+    /** Requests the usage of every process that may still be running, this one included. */
     requestUsage(
         generation: number,
         identity: ItemIdentity | undefined,
         deadline: number,
     ): Promise<readonly PeerUsage[]>;
-    /** Processes of the cell that are not known to have ended, this one included. */
+    /** Number of processes of the cell that are not known to have ended, this one included. */
     cellSize(): number;
 }
 
-/** What the exchange needs. */
 export interface ConfigurationPeersOptions {
     readonly network: PeerNetwork;
     readonly membership: Membership;
@@ -56,12 +58,12 @@
     readonly peerCallMilliseconds: number;
 }
 
-/** Registers the handlers and creates the exchange. */
+/** Creates the exchange, and registers its handlers on the peer network. */
 export function createConfigurationPeers(options: ConfigurationPeersOptions): ConfigurationPeers {
     const { network, membership, activeVersion, usage } = options;
     const pulls = new Map<string, Promise<PullReport | undefined>>();
 
-    /** A dead member may be paused and come back, so it counts until it is known to have ended. */
+    /** A member in state Dead may only be paused and resume later, so it counts until it is known to have ended. */
     const presentMembers = () =>
         membership.others().filter(member =>
             member.state !== MemberState.Left && !membership.hasEnded(member.identity)
@@ -79,7 +81,8 @@
     const push = async (change: AcceptedChange, deadline: number): Promise<PushReport> => {
         const confirmations = await Promise.all(
             presentMembers().map(async ({ identity, state }) => {
-                // The operator does not wait for the dead; if one is back before it is noticed, it still gets the change.
+                // The operator does not wait for dead members. The change is still sent to them, because one may have
+                // resumed without this having been detected.
                 const shouldWait = state !== MemberState.Dead;
                 if (!shouldWait) {
                     network.notify(identity.processId, PeerMethod.PushConfiguration, encodeMessage({ change }));
@@ -99,7 +102,7 @@
         }
     };
 
-    /** Several pushes with a gap before them start only one pull. */
+    /** Joins a pull from the same peer that is already running: pushes that follow a gap start only one pull. */
     const pullFrom = (processId: string) => {
         const running = pulls.get(processId);
         if (running) {
--- a/packages/daisyturn/src/process/configuration/exchange/pullVersion.ts
+++ b/packages/daisyturn/src/process/configuration/exchange/pullVersion.ts
@@ -12,25 +12,24 @@
     type PullMessage,
 } from "./configurationMessages.js";
 
-/** Changes may come in faster than a large configuration is read; after so many rounds the next pull goes on. */
+/** Changes may arrive faster than a large configuration is read. After this many rounds the next pull continues. */
 const maxRounds = 3;
 
-/** What a peer said of itself. */
+/** The generation and cell size that a peer reported. */
 export interface PullReport {
     readonly generation: number;
     readonly cellSize: number;
 }
 
-/** What a pull needs. */
 export interface PullOptions {
     readonly network: PeerNetwork;
     readonly activeVersion: ActiveVersion;
     readonly clock: Clock;
-    /** For each message: a large configuration takes as long as it takes, as long as it gets on. */
+    /** Limit for each message. A whole pull has no time limit, so that a large configuration can be read completely. */
     readonly peerCallMilliseconds: number;
 }
 
-/** Takes over what a peer has beyond the version in force. Undefined if it did not answer to the end. */
+/** Adopts what a peer has beyond the active version. Undefined if the exchange could not be completed. */
 export async function pullVersion(
     { network, activeVersion, clock, peerCallMilliseconds }: PullOptions,
     processId: string,
@@ -42,7 +41,7 @@
         return answer.isOk ? decodeMessage<PullAnswer>(answer.value) : undefined;
     };
 
-    /** Reads the pages after the first; undefined if the peer fails or has dropped that generation meanwhile. */
+    /** Requests the pages after the first. Undefined if the peer fails or no longer retains that generation. */
     const requestItems = async (first: ItemPage): Promise<ConfigurationItem[] | undefined> => {
         const { generation } = first;
         const items = [...first.items];
@@ -61,7 +60,7 @@
     const applyAnswer = async (answer: PullAnswer): Promise<boolean> => {
         const base = activeVersion.current();
         if (answer.changes) {
-            // Pushes may have come in while the answer was under way: then part of the chain is in force already.
+            // Pushes may have arrived while the answer was in flight. Some of the changes are then already active.
             const missing = answer.changes.filter(change => change.generation > base.generation);
             const hasNoGap = missing.every((change, index) => change.generation === base.generation + 1 + index);
             return hasNoGap && (missing.length === 0 || activeVersion.advance(applyChanges(base, missing), missing));
--- a/packages/daisyturn/src/process/configuration/exchange/runAntiEntropy.ts
+++ b/packages/daisyturn/src/process/configuration/exchange/runAntiEntropy.ts
@@ -5,7 +5,6 @@
 import type { ActiveVersion } from "../createActiveVersion.js";
 import type { ConfigurationPeers } from "./createConfigurationPeers.js";
 
-/** What the anti-entropy needs. */
 export interface AntiEntropyOptions {
     readonly peers: ConfigurationPeers;
     readonly membership: Membership;
@@ -17,8 +16,9 @@
 }
 
 /**
- * Makes up for pushes that were lost or never sent, until `signal` is aborted. Each process asks a random peer now and
- * then, and looks at the store's head so seldom that a cell of any size together looks about once in an interval.
+ * Recovers pushes that were lost or never sent, until `signal` is aborted. Each process periodically pulls from a random
+ * peer. It also reads the head of the store, at an interval proportional to the cell size: the processes of a cell
+ * together read it about once per `headIntervalMilliseconds`.
  */
 export async function runAntiEntropy(options: AntiEntropyOptions, signal: AbortSignal): Promise<void> {
     await Promise.all([pullFromPeers(options, signal), watchHead(options, signal)]);
@@ -50,7 +50,7 @@
     }
 }
 
-/** Whoever found news in the store spares the others the wait for their own look. */
+/** Announces a change that was found in the store, so that the other processes need not wait for their own read. */
 function announceNewestChange(peers: ConfigurationPeers, activeVersion: ActiveVersion, generationBefore: number): void {
     const newest = activeVersion.changesAfter(generationBefore)?.at(-1);
     if (newest) {
@@ -58,7 +58,7 @@
     }
 }
 
-/** Half to one and a half of the interval, so that processes that started together drift apart. */
+/** Sleeps for 0.5 to 1.5 times the interval, so that processes started together do not stay synchronized. */
 async function sleepWithJitter(
     { clock, random }: AntiEntropyOptions,
     milliseconds: number,
--- a/packages/daisyturn/src/process/configuration/fleetConfigurationManager.ts
+++ b/packages/daisyturn/src/process/configuration/fleetConfigurationManager.ts
@@ -6,62 +6,62 @@
 import type { GenerationUsage, VersionPin } from "../../version/createVersionUsage.js";
 import type { ConfigurationManager } from "./configurationManager.js";
 
-/** What became of a change request. */
+/** The state of a change request. */
 export enum ChangeState {
     Accepted = "accepted",
-    /** Not accepted so far; a request that is still under way may yet be. */
+    /** Not accepted so far. A request that is still in flight may be accepted later. */
     NotAccepted = "not_accepted",
-    /** Not accepted and never will be. */
+    /** Not accepted, and can no longer be accepted. */
     Cancelled = "cancelled",
 }
 
-/** Answer to the question what became of a write id. */
+/** The outcome of the change request with a write id. */
 export interface ChangeOutcome {
     readonly state: ChangeState;
-    /** With Accepted. */
+    /** Present only with Accepted. */
     readonly generation?: number;
 }
 
-/** What a change would do if it were published now. */
+/** The effect that a change would have if it were published now. */
 export interface ChangePreview {
     /** The generation that the change would follow. */
     readonly generation: number;
-    /** Whether that was checked against the store just now; else it is what is in force at this process. */
+    /** Whether the generation was compared with the store. If not, it is the active one of this process. */
     readonly isCurrent: boolean;
     readonly differences: readonly ItemDifference[];
 }
 
-/** What a process says of the versions in use there. */
+/** The versions in use at a process. */
 export interface ProcessUsage {
     readonly processId: string;
-    /** Generation in force; absent if the process has not answered. */
+    /** The active generation. Absent if the process has not answered. */
     readonly generation?: number;
     readonly byGeneration?: readonly GenerationUsage[];
 }
 
-/** Whether anything still runs under an item that was removed. */
+/** Whether any requests still run under an item that was removed. */
 export interface RetirementReport {
     readonly identity: ItemIdentity;
-    /** Counted are requests that arrived before this generation was in force at their process. */
+    /** The report counts requests that arrived before this generation was active at their process. */
     readonly generation: number;
-    /** Every process that may still run has the generation in force and runs nothing under the item. */
+    /** Every process that may still be running has the generation active and runs no requests under the item. */
     readonly isComplete: boolean;
     readonly runningAt: readonly { readonly processId: string; readonly requests: number; }[];
-    /** Processes that have not answered or have not the generation in force. */
+    /** Processes that have not answered, or at which the generation is not yet active. */
     readonly notConfirmedBy: readonly string[];
 }
 
-/** The keeper with what only operators and the request path need of it. */
+/** A configuration manager with the functions for operators and the request path. */
 export interface FleetConfigurationManager extends ConfigurationManager {
-    /** Pins the version in force for a request; see `VersionUsage`. */
+    /** Pins the active version for a request; see `VersionUsage`. */
     pin(): VersionPin;
-    /** Checks a change as `publish` would, without making it. */
+    /** Validates a change as `publish` does, without committing it. */
     preview(request: ChangeRequest): Promise<Result<ChangePreview, Failure>>;
     outcomeOf(partner: string, writeId: string): Promise<Result<ChangeOutcome, Failure>>;
-    /** Uses up a write id that was not accepted, so that it never will be. Answers Accepted where it comes too late. */
+    /** Cancels a write id, so that no change can be accepted under it. Returns Accepted if one already was. */
     cancel(partner: string, writeId: string): Promise<Result<ChangeOutcome, Failure>>;
-    /** What is in force and in use at every process. */
+    /** The active generation and the generations in use, for every process. */
     usage(): Promise<readonly ProcessUsage[]>;
-    /** @param generation that removed the item; absent: the one in force, where the item must be gone */
+    /** @param generation that removed the item; if absent, the active one, in which the item must not exist */
     retirementOf(identity: ItemIdentity, generation?: number): Promise<Result<RetirementReport, Failure>>;
 }
--- a/packages/daisyturn/src/process/configuration/index.ts
+++ b/packages/daisyturn/src/process/configuration/index.ts
@@ -1,5 +1,5 @@
 /**
- * Which configuration is in force, how a change is accepted, spread and taken over.
+ * The active configuration of a process: how changes are accepted, distributed among the processes and adopted.
  *
  * @module
  */
--- a/packages/daisyturn/src/process/configuration/retirementReport.ts
+++ b/packages/daisyturn/src/process/configuration/retirementReport.ts
@@ -2,7 +2,7 @@
 import type { PeerUsage } from "./exchange/createConfigurationPeers.js";
 import type { RetirementReport } from "./fleetConfigurationManager.js";
 
-/** Draws up from the processes' answers whether an item is retired completely. */
+/** Determines from the answers of the processes whether an item is completely retired. */
 export function createRetirementReport(
     identity: ItemIdentity,
     generation: number,
@@ -11,7 +11,7 @@
     const notConfirmedBy: string[] = [];
     const runningAt: { processId: string; requests: number; }[] = [];
     for (const { processId, answer } of answers) {
-        // A process that is behind still takes new requests under the item.
+        // A process at an older generation still accepts new requests under the item.
         if (!answer || answer.generation < generation) {
             notConfirmedBy.push(processId);
         }
