--- a/packages/daisyturn/src/process/configuration/__tests__/adoptVersion.test.ts
+++ b/packages/daisyturn/src/process/configuration/__tests__/adoptVersion.test.ts
@@ -67,7 +67,7 @@
 }
 
 describe("adoptVersion", () => {
-    it("adopts the newest generation that can be determined, for all conditions of four peers and the store", async () => {
+    it("adopts the newest generation that can be determined, for all states of four peers and the store", async () => {
         const runs = await exploreInterleavings(async ({ choose }) => {
             const conditions = Array.from({ length: 4 }, () => choose(4) as PeerCondition);
             const isStoreUp = choose(2) === 1;
--- a/packages/daisyturn/src/process/configuration/__tests__/configurationInterleavings.test.ts
+++ b/packages/daisyturn/src/process/configuration/__tests__/configurationInterleavings.test.ts
@@ -56,7 +56,7 @@
         t.diagnostic(`${runs} interleavings`);
     });
 
-    it("either accepts or cancels a change that is cancelled concurrently, and reports the same to both callers", async t => {
+    it("accepts or cancels a change that is cancelled concurrently, and reports the same to both callers", async t => {
         const runs = await exploreInterleavings(async ({ step }) => {
             const cell = createConfigurationCell({ onStoreStep: (id, name) => step(`${id} ${name}`) });
             const [one, other] = [cell.start("a"), cell.start("b")];
--- a/packages/daisyturn/src/process/configuration/configurationTiming.ts
+++ b/packages/daisyturn/src/process/configuration/configurationTiming.ts
@@ -10,7 +10,7 @@
     readonly itemsMilliseconds: number;
     /** Mean interval between two pulls from a random peer. */
     readonly pullIntervalMilliseconds: number;
-    /** A process reads the head of the store at this mean interval, multiplied by the number of processes of the cell. */
+    /** Mean interval of a process's reads of the store's head, before multiplication by the size of the cell. */
     readonly headIntervalMilliseconds: number;
     readonly adoptRetryMilliseconds: number;
     /** Upper bound of the random wait before a change that conflicted with another one is tried again. */
--- a/packages/daisyturn/src/process/configuration/exchange/configurationMessages.ts
+++ b/packages/daisyturn/src/process/configuration/exchange/configurationMessages.ts
@@ -28,7 +28,7 @@
     readonly nextOffset?: number;
 }
 
-/** Without `changes` and `page` the peer has nothing newer, or no longer retains the generation of the requested page. */
+/** Without `changes` and `page` the peer has nothing newer, or no longer has the generation of the requested page. */
 export interface PullAnswer {
     readonly generation: number;
     /** Number of processes of the cell that the peer knows and that are not known to have ended, itself included. */
--- a/packages/daisyturn/src/process/configuration/exchange/createConfigurationPeers.ts
+++ b/packages/daisyturn/src/process/configuration/exchange/createConfigurationPeers.ts
@@ -31,8 +31,8 @@
 /** Exchanges configuration with the other processes. */
 export interface ConfigurationPeers {
     /**
-     * Sends a change to every other process. Resolves when all processes that are not presumed dead have answered, or at
-     * the deadline.
+     * Sends a change to every other process. Resolves when all processes that are not presumed dead have answered, or
+     * at the deadline.
      */
     push(change: AcceptedChange, deadline: number): Promise<PushReport>;
     /** Sends a change to every live process without waiting for answers. */
--- a/packages/daisyturn/src/process/configuration/exchange/runAntiEntropy.ts
+++ b/packages/daisyturn/src/process/configuration/exchange/runAntiEntropy.ts
@@ -16,9 +16,9 @@
 }
 
 /**
- * Recovers pushes that were lost or never sent, until `signal` is aborted. Each process periodically pulls from a random
- * peer. It also reads the head of the store, at an interval proportional to the cell size: the processes of a cell
- * together read it about once per `headIntervalMilliseconds`.
+ * Recovers pushes that were lost or never sent, until `signal` is aborted. Each process periodically pulls from a
+ * random peer. It also reads the head of the store, at an interval proportional to the cell size: the processes of a
+ * cell together read it about once per `headIntervalMilliseconds`.
  */
 export async function runAntiEntropy(options: AntiEntropyOptions, signal: AbortSignal): Promise<void> {
     await Promise.all([pullFromPeers(options, signal), watchHead(options, signal)]);
--- a/packages/daisyturn/src/process/store/__fixtures__/interleavings.ts
+++ b/packages/daisyturn/src/process/store/__fixtures__/interleavings.ts
@@ -21,48 +21,48 @@
     updateRows,
 } from "./storeSetup.js";
 
-/** What another writer does meanwhile. */
-export enum OtherAct {
+/** What another writer does concurrently. */
+export enum OtherWriterAction {
     None = "none",
-    /** Writes over row `a` as it stands: it has seen what stood there. */
+    /** Overwrites row `a` after having read its current value. */
     OverwriteA = "overwrite_a",
     DeleteA = "delete_a",
     OverwriteB = "overwrite_b",
-    /** Writes over row `a`, and deletes it once the client has its answer. */
+    /** Overwrites row `a`, and deletes it once the client has its answer. */
     OverwriteThenDeleteA = "overwrite_then_delete_a",
 }
 
-/** One order of events between a client's tries, the store and another writer. */
+/** One order of events between the attempts of a client, the store and another writer. */
 export interface Interleaving {
-    /** What goes wrong with the first tries, in order. */
+    /** Faults of the first attempts, in order. */
     readonly faults: readonly TableFaultKind[];
-    /** Whether the store answers after these. */
+    /** Whether the store answers after these faults. */
     readonly recovers: boolean;
-    readonly act: OtherAct;
+    readonly act: OtherWriterAction;
     /** The other writer acts right before this call of the client, counted from 1 over transactions and reads. */
     readonly actBeforeCall: number;
-    /** Tries that commit late do so right before this call; past the last call: after the client has its answer. */
+    /** Late commits happen right before this call; past the last call, they happen after the client has its answer. */
     readonly releaseBeforeCall: number;
 }
 
-/** What became of a transaction: what the client said, and how often it took effect in the end. */
+/** The outcome of a transaction: the client's answer, and the times that it actually took effect. */
 export interface SettledTransaction {
     readonly answer: TransactionAnswer;
     readonly commits: readonly { readonly version: number; }[];
 }
 
-/** The rows as they stand before the client's first try. */
+/** The rows before the client's first attempt. */
 export interface ShapeRows {
     readonly a: RowCondition;
     readonly b: RowCondition;
-    /** Nobody else names it. */
+    /** Not used by any other writer. */
     readonly c: RowCondition;
 }
 
-/** Builds a transaction. */
+/** Builds a transaction of a certain shape. */
 export type Shape = (rows: ShapeRows, writeId: string) => Transaction;
 
-/** What one try may meet, besides an answer. */
+/** Faults that an attempt may encounter. */
 const tryFaults = [
     TableFaultKind.BreakAfterCommit,
     TableFaultKind.BreakBeforeCommit,
@@ -79,24 +79,24 @@
     updateBoth: ({ a, b }, writeId) => updateRows(writeId, [a, b]),
     createC: ({ c }, writeId) => updateRows(writeId, [c]),
     remove: ({ a }, writeId) => deleteRows(writeId, [a]),
-    /** Row `b` is the fencing row: demanded, but not written. */
+    /** Row `b` is the fencing row: it is in a condition, but not written. */
     fenced: ({ a, b }, writeId) => ({ ...updateRows(writeId, [a]), conditions: [a, b] }),
-    /** Nothing that it writes is demanded, so it must not be sent twice. */
+    /** No row that it writes is in a condition, so it must not be sent twice. */
     renewal: ({ a, b }, writeId) => ({ ...updateRows(writeId, [a]), conditions: [b] }),
     unconditional: ({ a }, writeId) => ({ ...updateRows(writeId, [a]), conditions: [] }),
 } satisfies Record<string, Shape>;
 
-/** The same shape with a marker. */
+/** Adds a write marker to a shape. */
 export function marked(shape: Shape): Shape {
     return (rows, writeId) => addWriteMarker(shape(rows, writeId), 0);
 }
 
-/** All orders of some faulty tries with one act of another writer and one time at which late tries commit. */
-export function listInterleavings(acts: readonly OtherAct[], mostFaults: number): Interleaving[] {
-    return listFaults(mostFaults).flatMap(faults =>
-        [true, ...(faults.length === mostFaults ? [false] : [])].flatMap(recovers =>
-            acts.flatMap(act =>
-                positions(act !== OtherAct.None).flatMap(actBeforeCall =>
+/** Lists all orders of up to `maxFaults` faults with one action of another writer and one time of late commits. */
+export function listInterleavings(actions: readonly OtherWriterAction[], maxFaults: number): Interleaving[] {
+    return listFaults(maxFaults).flatMap(faults =>
+        [true, ...(faults.length === maxFaults ? [false] : [])].flatMap(recovers =>
+            actions.flatMap(act =>
+                positions(act !== OtherWriterAction.None).flatMap(actBeforeCall =>
                     positions(faults.includes(TableFaultKind.CommitLate)).map(releaseBeforeCall => (
                         { faults, recovers, act, actBeforeCall, releaseBeforeCall }
                     ))
@@ -119,8 +119,8 @@
     return matters ? [1, 2, 3, lastPosition, lastPosition + 1] : [1];
 }
 
-/** Plays one order; the transactions are committed at once, so that they form a group. */
-export async function playInterleaving(
+/** Runs one interleaving. The transactions are committed concurrently, so that they form a group. */
+export async function runInterleaving(
     builders: readonly Shape[],
     isPresent: boolean,
     order: Interleaving,
@@ -136,7 +136,7 @@
     const beforeCall = async () => {
         calls += 1;
         if (calls === order.actBeforeCall) {
-            await performAct(memory, order.act);
+            await performAction(memory, order.act);
         }
         if (calls === order.releaseBeforeCall) {
             await faulty.releaseLateCommits();
@@ -158,24 +158,24 @@
         transactions.map(transaction => client.commit(transaction, StorePriority.Other, deadline)),
     );
     stop.abort();
-    if (order.act === OtherAct.OverwriteThenDeleteA) {
-        await performAct(memory, OtherAct.DeleteA);
+    if (order.act === OtherWriterAction.OverwriteThenDeleteA) {
+        await performAction(memory, OtherWriterAction.DeleteA);
     }
     await faulty.releaseLateCommits();
     return answers.map((answer, index) => ({ answer, commits: counter.of(transactions[index]?.writeId ?? "") }));
 }
 
-async function performAct(memory: TableService, act: OtherAct): Promise<void> {
-    if (act === OtherAct.None) {
+async function performAction(memory: TableService, act: OtherWriterAction): Promise<void> {
+    if (act === OtherWriterAction.None) {
         return;
     }
-    const key = act === OtherAct.OverwriteB ? "b" : "a";
-    const value = act === OtherAct.DeleteA ? undefined : "other";
+    const key = act === OtherWriterAction.OverwriteB ? "b" : "a";
+    const value = act === OtherWriterAction.DeleteA ? undefined : "other";
     await memory.transact({ writeId: "other", conditions: [], writes: [{ key, value }] }, 0);
 }
 
-/** Fails unless the client's answer is true, now and for ever, and the transaction took effect at most once. */
-export function assertTrueAnswer({ answer, commits }: SettledTransaction, description: string): void {
+/** Fails unless the client's answer is correct and stays so, and the transaction took effect at most once. */
+export function assertCorrectAnswer({ answer, commits }: SettledTransaction, description: string): void {
     assert.ok(commits.length <= 1, `took effect ${commits.length} times: ${description}`);
     if (answer.outcome === TransactionOutcome.Committed) {
         assert.deepEqual(commits.map(commit => commit.version), [answer.version], `committed: ${description}`);
--- a/packages/daisyturn/src/process/store/__fixtures__/naiveTable.ts
+++ b/packages/daisyturn/src/process/store/__fixtures__/naiveTable.ts
@@ -1,15 +1,15 @@
 import { strict as assert } from "node:assert";
 import { absentVersion, type Row, type Transaction } from "../../../ports/tableService.js";
 
-/** One transaction of a caller that took effect, and the number of the commit that carried it. */
+/** A transaction of a caller that took effect, and the version of its commit. */
 export interface OrderedCommit {
     readonly transaction: Transaction;
     readonly version: number;
 }
 
 /**
- * The naive version of everything between a caller and the store: carries out whole transactions one after another on
- * a map. Fails if one of them could not have run at its place.
+ * Reference implementation of the store client and the store: executes whole transactions one after another on a map.
+ * Fails if the conditions of a transaction do not hold at its position.
  */
 export function replayInOrder(commits: readonly OrderedCommit[]): readonly Row[] {
     const rows = new Map<string, Row>();
--- a/packages/daisyturn/src/process/store/__fixtures__/storeSetup.ts
+++ b/packages/daisyturn/src/process/store/__fixtures__/storeSetup.ts
@@ -11,12 +11,12 @@
 } from "../../../ports/tableService.js";
 import { createStoreClient, type StoreClientOptions } from "../createStoreClient.js";
 
-/** Creates a store client over a table service that fails as the test says. */
+/** Creates a store client with a table service whose faults the test controls. */
 export function createStoreSetup(options: Partial<StoreClientOptions> = {}) {
     return createStoreSetupWith(new FakeClock(), options, createMemoryTableService());
 }
 
-/** The same with a given clock and table service. */
+/** Creates the same setup with a given clock and table service. */
 export function createStoreSetupWith<ClockKind extends Clock>(
     clock: ClockKind,
     options: Partial<StoreClientOptions>,
@@ -36,7 +36,7 @@
     return { clock, inner, faulty, eventLog, clientOptions, client: createStoreClient(clientOptions) };
 }
 
-/** A transaction that creates rows, which must be absent. */
+/** A transaction that creates rows on condition that they are absent. */
 export function createRows(writeId: string, keys: readonly string[], value: JsonValue = writeId): Transaction {
     return {
         writeId,
@@ -45,7 +45,7 @@
     };
 }
 
-/** A transaction that writes rows over the given versions. */
+/** A transaction that overwrites rows of the given versions. */
 export function updateRows(writeId: string, conditions: readonly RowCondition[]): Transaction {
     return { writeId, conditions, writes: conditions.map(({ key }) => ({ key, value: writeId })) };
 }
@@ -55,7 +55,7 @@
     return { writeId, conditions, writes: conditions.map(({ key }) => ({ key, value: undefined })) };
 }
 
-/** Passes all calls on and tells of them, so that a test can act between two of them. */
+/** Forwards all calls, and invokes callbacks before and after them so that a test can act between two calls. */
 export class ObservedTableService extends TableService {
     constructor(
         private readonly inner: TableService,
@@ -83,21 +83,21 @@
     }
 }
 
-/** One time that a transaction took effect. */
+/** A commit by which a transaction took effect. */
 export interface CountedCommit {
     readonly writeId: string;
     readonly version: number;
 }
 
-/** Wraps a table service to note how often each transaction took effect: grouped ones leave their own write ids. */
+/** Wraps a table service to count how often each transaction took effect. Members of a group are counted separately. */
 export function createCommitCounter(inner: TableService) {
     const commits: CountedCommit[] = [];
-    const note = (transaction: Transaction, answer: TransactionAnswer) => {
+    const recordCommit = (transaction: Transaction, answer: TransactionAnswer) => {
         if (answer.outcome === TransactionOutcome.Committed) {
             const writeIds = new Set(transaction.writes.map(write => write.writeId ?? transaction.writeId));
             writeIds.forEach(writeId => commits.push({ writeId, version: answer.version ?? 0 }));
         }
     };
-    const counted = new ObservedTableService(inner, () => Promise.resolve(), note);
+    const counted = new ObservedTableService(inner, () => Promise.resolve(), recordCommit);
     return { counted, of: (writeId: string) => commits.filter(commit => commit.writeId === writeId) };
 }
--- a/packages/daisyturn/src/process/store/__tests__/createStoreClient.test.ts
+++ b/packages/daisyturn/src/process/store/__tests__/createStoreClient.test.ts
@@ -28,7 +28,7 @@
 };
 
 describe("createStoreClient", () => {
-    it("settles an answer lost after the commit as committed, once", async () => {
+    it("reports Committed, with a single commit, if the answer is lost after the commit", async () => {
         const { clock, faulty, client } = createSetup();
         faulty.script(TableFaultKind.BreakAfterCommit);
         const answer = client.commit(createRow, StorePriority.Other, 10_000);
@@ -36,7 +36,7 @@
         assert.deepEqual(await answer, { outcome: TransactionOutcome.Committed, version: 1 });
     });
 
-    it("leaves a transaction unknown when the service stays silent", async () => {
+    it("reports Unknown if the service does not answer until the deadline", async () => {
         const { clock, faulty, client } = createSetup();
         faulty.setStandingFault(TableFaultKind.BreakBeforeCommit);
         const answer = client.commit(createRow, StorePriority.Other, 10_000);
--- a/packages/daisyturn/src/process/store/__tests__/differential.test.ts
+++ b/packages/daisyturn/src/process/store/__tests__/differential.test.ts
@@ -5,14 +5,14 @@
 import { TableFaultKind } from "../../../ports/faultyTableService.js";
 import { createMemoryTableService } from "../../../ports/memoryTableService.js";
 import { absentVersion, type Row, type TableService, type Transaction } from "../../../ports/tableService.js";
-import { assertTrueAnswer } from "../__fixtures__/interleavings.js";
+import { assertCorrectAnswer } from "../__fixtures__/interleavings.js";
 import { replayInOrder } from "../__fixtures__/naiveTable.js";
 import { createCommitCounter, createStoreSetupWith } from "../__fixtures__/storeSetup.js";
 import { StorePriority } from "../storeClient.js";
 import { addWriteMarker, writeMarkerPrefix } from "../writeMarker.js";
 
-/** Which version of a row a condition demands. */
-enum Demand {
+/** Which version of a row a condition expects. */
+enum Expectation {
     Current = "current",
     Stale = "stale",
     Absent = "absent",
@@ -20,7 +20,7 @@
 
 interface Step {
     readonly client: number;
-    readonly conditions: readonly { readonly key: string; readonly demand: Demand; }[];
+    readonly conditions: readonly { readonly key: string; readonly expectation: Expectation; }[];
     readonly writes: readonly { readonly key: string; readonly isDelete: boolean; }[];
     readonly isMarked: boolean;
 }
@@ -47,7 +47,7 @@
 const stepArbitrary: fc.Arbitrary<Step> = fc.record({
     client: fc.nat(clientCount - 1),
     conditions: fc.uniqueArray(
-        fc.record({ key: keyArbitrary, demand: fc.constantFrom(...Object.values(Demand)) }),
+        fc.record({ key: keyArbitrary, expectation: fc.constantFrom(...Object.values(Expectation)) }),
         { selector: item => item.key, maxLength: 3 },
     ),
     writes: fc.uniqueArray(
@@ -62,7 +62,7 @@
     releasesLateCommits: fc.boolean(),
 });
 
-/** Only some rows are ever deleted, and who creates one of them on condition that it is absent carries a marker. */
+/** Whether a transaction creates a deletable row on condition that it is absent. Such a transaction needs a marker. */
 function needsMarker({ conditions, writes }: Transaction): boolean {
     const created = writes.filter(write => write.value !== undefined).map(write => write.key);
     return conditions.some(({ key, expectedVersion }) =>
@@ -70,30 +70,33 @@
     );
 }
 
-function createTransaction(step: Step, writeId: string, standing: ReadonlyMap<string, Row>): Transaction {
-    const demandedVersion = (key: string, demand: Demand) => {
-        const current = standing.get(key)?.version ?? absentVersion;
-        return demand === Demand.Absent
+function createTransaction(step: Step, writeId: string, currentRows: ReadonlyMap<string, Row>): Transaction {
+    const expectedVersionOf = (key: string, expectation: Expectation) => {
+        const current = currentRows.get(key)?.version ?? absentVersion;
+        return expectation === Expectation.Absent
             ? absentVersion
-            : demand === Demand.Current
+            : expectation === Expectation.Current
             ? current
             : Math.max(0, current - 1);
     };
     return {
         writeId,
-        conditions: step.conditions.map(({ key, demand }) => ({ key, expectedVersion: demandedVersion(key, demand) })),
+        conditions: step.conditions.map(({ key, expectation }) => ({
+            key,
+            expectedVersion: expectedVersionOf(key, expectation),
+        })),
         writes: step.writes.map(({ key, isDelete }) => (
             { key, value: isDelete && deletableKeys.includes(key) ? undefined : writeId }
         )),
     };
 }
 
-async function readStanding(memory: TableService): Promise<Map<string, Row>> {
+async function readCurrentRows(memory: TableService): Promise<Map<string, Row>> {
     const rows = await memory.read(keys, 0);
     return new Map(rows.unwrapOr([]).map(row => [row.key, row]));
 }
 
-async function playBatches(batches: readonly Batch[]): Promise<void> {
+async function runBatches(batches: readonly Batch[]): Promise<void> {
     const memory = createMemoryTableService();
     const counter = createCommitCounter(memory);
     const clock = new EagerClock();
@@ -104,10 +107,10 @@
     const issued: Transaction[] = [];
     const settled = [];
     for (const { steps, faults, releasesLateCommits } of batches) {
-        const standing = await readStanding(memory);
+        const currentRows = await readCurrentRows(memory);
         setups.forEach(setup => setup.faulty.script(...faults));
         const answers = steps.map(async step => {
-            const transaction = createTransaction(step, `w${issued.length}`, standing);
+            const transaction = createTransaction(step, `w${issued.length}`, currentRows);
             issued.push(transaction);
             const sent = step.isMarked || needsMarker(transaction) ? addWriteMarker(transaction, 0) : transaction;
             const client = setups[step.client]?.client;
@@ -123,7 +126,7 @@
     await Promise.all(setups.map(setup => setup.faulty.releaseLateCommits()));
     stop.abort();
     for (const { transaction, answer } of settled) {
-        assertTrueAnswer({ answer, commits: counter.of(transaction.writeId) }, transaction.writeId);
+        assertCorrectAnswer({ answer, commits: counter.of(transaction.writeId) }, transaction.writeId);
     }
     const commits = issued.flatMap(transaction =>
         counter.of(transaction.writeId).map(({ version }) => ({ transaction, version }))
@@ -133,10 +136,10 @@
     assert.deepEqual(storedRows, replayInOrder(commits));
 }
 
-describe("store clients against transactions carried out one after another", () => {
-    it("leave the same rows and answer the truth, whatever goes wrong", async () => {
+describe("store clients compared with sequential execution of transactions", () => {
+    it("leave the same rows and report correct outcomes under all faults", async () => {
         await fc.assert(
-            fc.asyncProperty(fc.array(batchArbitrary, { minLength: 1, maxLength: 12 }), playBatches),
+            fc.asyncProperty(fc.array(batchArbitrary, { minLength: 1, maxLength: 12 }), runBatches),
             { seed: 20_261, numRuns: 600 },
         );
     });
--- a/packages/daisyturn/src/process/store/__tests__/grouping.test.ts
+++ b/packages/daisyturn/src/process/store/__tests__/grouping.test.ts
@@ -19,7 +19,7 @@
 }
 
 describe("grouping of transactions", () => {
-    it("sends independent transactions of one moment as one, each row under its own write id", async () => {
+    it("merges concurrent independent transactions, and keeps the write id of each on its rows", async () => {
         const setup = createStoreSetup();
         const answers = await commitAll(setup, createIndependent(32));
         assert.ok(answers.every(answer => answer.outcome === TransactionOutcome.Committed));
@@ -28,7 +28,7 @@
         assert.equal(rows.unwrapOr([])[0]?.writeId, "w5");
     });
 
-    it("groups what waits for its share of the rate", async () => {
+    it("groups transactions that wait for the rate limit", async () => {
         const setup = createStoreSetup({ writesPerSecond: 1 });
         await commitAll(setup, [createRows("first", ["first"])]);
         const answers = createIndependent(10).map(async (transaction, index) => {
@@ -40,7 +40,7 @@
         assert.equal(setup.faulty.transactions.length, 2);
     });
 
-    it("waits for company where it is told to", async () => {
+    it("waits for further transactions for the configured grouping time", async () => {
         const setup = createStoreSetup({ groupingMilliseconds: 3 });
         const answers = createIndependent(5).map(async (transaction, index) => {
             await setup.clock.sleepUntil(index);
@@ -51,7 +51,7 @@
         assert.deepEqual(setup.faulty.transactions.map(transaction => transaction.writes.length), [4, 1]);
     });
 
-    it("answers the one whose condition fails and sends the others alone", async () => {
+    it("rejects the member whose condition fails and sends the others alone", async () => {
         const setup = createStoreSetup();
         await setup.inner.transact(createRows("earlier", ["row1"]), deadline);
         const answers = await commitAll(setup, createIndependent(4));
@@ -66,7 +66,7 @@
         assert.equal(setup.faulty.transactions.length, 1 + 3);
     });
 
-    it("tells nobody apart where the rejecting row is absent, and lets each find out alone", async () => {
+    it("sends every member alone if the group was rejected because of an absent row", async () => {
         const setup = createStoreSetup();
         const onAbsentRow = updateRows("stale", [{ key: "gone", expectedVersion: 7 }]);
         const answers = await commitAll(setup, [onAbsentRow, ...createIndependent(2)]);
@@ -77,7 +77,7 @@
         ]);
     });
 
-    it("does not group what touches the same row, or demands two versions of it", async () => {
+    it("does not group transactions that write the same row, or expect different versions of a row", async () => {
         const setup = createStoreSetup();
         const fencedBy = (version: number, writeId: string): Transaction => ({
             ...createRows(writeId, [writeId]),
@@ -86,7 +86,7 @@
         const sameRow = [createRows("w1", ["a"]), createRows("w2", ["a"])];
         const answers = await commitAll(setup, [...sameRow, fencedBy(1, "w3"), fencedBy(0, "w4"), fencedBy(0, "w5")]);
         const committed = answers.map(answer => answer.outcome === TransactionOutcome.Committed);
-        // Of two that write one row, either may come first.
+        // Either of the two transactions that write the same row may commit first.
         assert.deepEqual(committed.slice(0, 2).sort(), [false, true]);
         assert.deepEqual(committed.slice(2), [false, true, true]);
         assert.ok(setup.faulty.transactions.every(transaction => {
@@ -95,28 +95,28 @@
         }));
     });
 
-    it("gives each member up at its own deadline and sends leases alone", async () => {
+    it("rejects each member at its own deadline and sends transactions of leases alone", async () => {
         const setup = createStoreSetup({ writesPerSecond: 1 });
         await commitAll(setup, [createRows("first", ["first"])]);
         const late = setup.client.commit(createRows("late", ["late"]), StorePriority.Other, deadline);
         await setup.clock.advance(1);
         const early = setup.client.commit(createRows("early", ["early"]), StorePriority.Other, 300);
-        let refusedAt: number | undefined;
+        let rejectedAt: number | undefined;
         void early.then(() => {
-            refusedAt = setup.clock.monotonicNow();
+            rejectedAt = setup.clock.monotonicNow();
         });
         const leases = ["one", "two"].map(name =>
             setup.client.commit(createRows(name, [name]), StorePriority.Lease, deadline)
         );
         await setup.clock.advance(10_000);
         assert.equal((await early).cause, RejectionCause.Throttled);
-        assert.equal(refusedAt, 300);
+        assert.equal(rejectedAt, 300);
         await Promise.all([late, ...leases]);
         const sent = setup.faulty.transactions.map(transaction => transaction.writeId);
         assert.deepEqual(sent, ["first", "one", "two", "late"]);
     });
 
-    it("goes on with a member whose deadline is later than its group's", async () => {
+    it("continues with a member whose deadline is later than that of its group", async () => {
         const setup = createStoreSetup();
         setup.faulty.setStandingFault(TableFaultKind.BreakBeforeCommit);
         const early = setup.client.commit(createRows("early", ["early"]), StorePriority.Other, 300);
@@ -128,7 +128,7 @@
         assert.equal((await late).outcome, TransactionOutcome.Committed);
     });
 
-    it("settles each member of a group whose answer was lost, after others wrote over some of its rows", async () => {
+    it("settles each member of a group whose answer was lost, after another writer overwrote some rows", async () => {
         const setup = createStoreSetup();
         setup.faulty.script(TableFaultKind.BreakAfterCommit);
         const answers = commitAll(setup, createIndependent(3));
@@ -140,7 +140,7 @@
         assert.deepEqual(outcomes, Array(3).fill(TransactionOutcome.Committed));
     });
 
-    it("sends a transaction that is larger than a group may be alone", async () => {
+    it("sends a transaction that exceeds the size limit of groups alone", async () => {
         const setup = createStoreSetup();
         const large = createRows("large", [...Array(500).keys()].map(index => `large${index}`));
         const answers = await commitAll(setup, [large, ...createIndependent(2)]);
@@ -148,7 +148,7 @@
         assert.deepEqual(setup.faulty.transactions.map(transaction => transaction.writes.length), [500, 2]);
     });
 
-    it("fails the calls whose transaction is a programming error, alone or in a group", async () => {
+    it("rejects the calls with an invalid transaction, alone or in a group", async () => {
         const setup = createStoreSetup();
         const writesTwice = { ...createRows("w1", ["a"]), writes: [{ key: "a", value: 1 }, { key: "a", value: 2 }] };
         await assert.rejects(commitAll(setup, [writesTwice]), /writes a row twice/);
--- a/packages/daisyturn/src/process/store/__tests__/outages.test.ts
+++ b/packages/daisyturn/src/process/store/__tests__/outages.test.ts
@@ -7,7 +7,7 @@
 import { StorePriority } from "../storeClient.js";
 import { addWriteMarker } from "../writeMarker.js";
 
-/** A setup whose store has been silent until the breaker opened; one transaction is stuck in it. */
+/** Creates a setup whose store has not answered until the breaker opened. One transaction is still pending. */
 async function createOutage(fault: TableFaultKind) {
     const setup = createStoreSetup();
     setup.faulty.setStandingFault(fault);
@@ -18,7 +18,7 @@
 }
 
 describe("a store client during outages", () => {
-    it("rides out a short silence without opening its breaker", async () => {
+    it("does not open its breaker if the store is unresponsive for a short time", async () => {
         const { clock, faulty, client, eventLog } = createStoreSetup();
         faulty.setStandingFault(TableFaultKind.BreakBeforeCommit);
         const answer = client.commit(createRows("w1", ["a"]), StorePriority.Claim, 60_000);
@@ -30,11 +30,11 @@
     });
 
     for (const fault of [TableFaultKind.Down, TableFaultKind.LoseAnswer, TableFaultKind.BreakBeforeCommit]) {
-        it(`refuses at once while the store is away (${fault}), notices its return and goes on`, async () => {
+        it(`rejects calls immediately while the store is down (${fault}), and resumes once it answers`, async () => {
             const { clock, faulty, client, eventLog, stuck } = await createOutage(fault);
             const callsBefore = faulty.callCount();
-            const refused = await client.commit(createRows("w2", ["b"]), StorePriority.Lease, 1_000_000);
-            assert.deepEqual(refused, { outcome: TransactionOutcome.Rejected, cause: RejectionCause.NotSent });
+            const rejected = await client.commit(createRows("w2", ["b"]), StorePriority.Lease, 1_000_000);
+            assert.deepEqual(rejected, { outcome: TransactionOutcome.Rejected, cause: RejectionCause.NotSent });
             assert.equal(faulty.callCount(), callsBefore);
             faulty.setStandingFault(TableFaultKind.None);
             await clock.advance(9_000);
@@ -47,22 +47,22 @@
         });
     }
 
-    it("refuses new reads at once, naming the time of the next probe, and lets one under way wait", async () => {
+    it("rejects new reads immediately with the time of the next probe, and lets a pending read wait", async () => {
         const { clock, faulty, client } = createStoreSetup();
         faulty.setStandingFault(TableFaultKind.LoseAnswer);
         const underWay = client.read(["a"], StorePriority.Other, 1_000_000);
         await clock.advance(20_000);
-        const refused = await client.read(["a"], StorePriority.Other, 1_000_000);
-        assert.ok(refused.isErr);
-        assert.equal(refused.error.reason, FailureReason.StoreUnavailable);
-        assert.ok((refused.error.retryAt ?? 0) > clock.wallNow());
-        assert.ok((refused.error.retryAt ?? 0) <= clock.wallNow() + 5_000);
+        const rejected = await client.read(["a"], StorePriority.Other, 1_000_000);
+        assert.ok(rejected.isErr);
+        assert.equal(rejected.error.reason, FailureReason.StoreUnavailable);
+        assert.ok((rejected.error.retryAt ?? 0) > clock.wallNow());
+        assert.ok((rejected.error.retryAt ?? 0) <= clock.wallNow() + 5_000);
         faulty.setStandingFault(TableFaultKind.None);
         await clock.advance(13_000);
         assert.ok((await underWay).isOk);
     });
 
-    it("settles a marked transaction for good, also if the store goes down before its abandonment", async () => {
+    it("settles a marked transaction even if the store goes down before the abort transaction", async () => {
         const { clock, inner, faulty, client } = createStoreSetup();
         faulty.script(TableFaultKind.BreakBeforeCommit, TableFaultKind.None);
         faulty.setStandingFault(TableFaultKind.Down);
@@ -81,7 +81,7 @@
         });
     });
 
-    it("probes a store that is down for an hour rarely, one call at a time", async () => {
+    it("probes a store that is down for an hour rarely and with one call at a time", async () => {
         const { clock, faulty } = await createOutage(TableFaultKind.Down);
         const callsBefore = faulty.callCount();
         await clock.advance(3_600_000);
@@ -89,12 +89,12 @@
         assert.ok(probes >= 720 && probes <= 1_440, `${probes} probes`);
     });
 
-    it("lets what has gathered go on at its steady rate, leases first", async () => {
+    it("resumes the pending calls at the steady rate after an outage, leases first", async () => {
         const { clock, faulty, client } = createStoreSetup();
         faulty.setStandingFault(TableFaultKind.LoseAnswer);
         const outcomes: string[] = [];
         for (let count = 0; count < 200; count++) {
-            // All write one row, so that none can be grouped.
+            // All transactions write the same row, so that none can be grouped.
             const transaction = createRows(`w${count}`, ["shared", `row${count}`]);
             const answer = client.commit(transaction, StorePriority.Other, 2_000_000);
             void answer.then(() => outcomes.push("other"));
@@ -116,7 +116,7 @@
         assert.ok(sent >= 39 && sent <= 41, `${sent} transactions in the first second`);
     });
 
-    it("waits for a slow store instead of asking it again and again", async () => {
+    it("waits for a slow store instead of repeating calls", async () => {
         const { clock, faulty, client, eventLog } = createStoreSetup();
         faulty.setStandingFault({ kind: TableFaultKind.Slow, delayMilliseconds: 3_000 });
         const first = client.commit(createRows("w0", ["r0"]), StorePriority.Claim, 60_000);
@@ -132,7 +132,7 @@
         assert.equal(eventLog.of(EventKind.StoreUnavailable).length, 0);
     });
 
-    it("keeps reads going while only writes are silent", async () => {
+    it("keeps reads available while only writes are unanswered", async () => {
         const { clock, faulty, client } = createStoreSetup();
         faulty.setStandingFault(TableFaultKind.BreakBeforeCommit);
         void client.commit(createRows("w1", ["a"]), StorePriority.Claim, 1_000_000);
--- a/packages/daisyturn/src/process/store/__tests__/writeMarker.test.ts
+++ b/packages/daisyturn/src/process/store/__tests__/writeMarker.test.ts
@@ -13,7 +13,7 @@
 
 const deadline = Number.MAX_SAFE_INTEGER;
 
-/** A create whose first try commits after its row was deleted again. Tells whether the row came back. */
+/** Creates a row, deletes it, and then lets the late first attempt commit. Returns whether the row exists again. */
 async function bringBackByLateTry(isMarked: boolean) {
     const { clock, faulty, client, inner } = createStoreSetup();
     const create = createRows("w1", ["a"]);
@@ -28,13 +28,13 @@
 }
 
 describe("write markers", () => {
-    it("keep a late try from bringing back a deleted row, which a bare create does not", async () => {
+    it("prevent a late attempt from recreating a deleted row, unlike a create without a marker", async () => {
         assert.equal(await bringBackByLateTry(true), false);
-        // The documented limit of a row that is demanded to be absent.
+        // The documented limitation of a condition that a row is absent.
         assert.equal(await bringBackByLateTry(false), true);
     });
 
-    it("are removed once they are old, and not before", async () => {
+    it("are removed after the retention period, and not before", async () => {
         const { clock, client, inner } = createStoreSetup();
         const remove = (nextWriteId: () => string) =>
             removeOldMarkers({ storeClient: client, clock, nextWriteId }, deadline);
--- a/packages/daisyturn/src/process/store/answerTimeout.ts
+++ b/packages/daisyturn/src/process/store/answerTimeout.ts
@@ -1,34 +1,35 @@
 /**
- * How long to wait for one answer of the store before the call is tried again. It follows the answers' own times, also
- * those of answers that come after their call was tried again, so that a slow store is waited for.
- * Source: RFC 6298, "Computing TCP's Retransmission Timer", without its doubling after a timeout: there, an answer
- * can't be told from that to an earlier try; here it can, and a lost answer says nothing about the next one's time.
+ * Adaptive timeout for an answer of the store, after which the call is tried again. It follows the response times of
+ * the store, including late answers to calls that were tried again, so that calls wait long enough for a slow store.
+ * Source: RFC 6298, "Computing TCP's Retransmission Timer", without doubling the timeout when it expires. RFC 6298
+ * doubles it because an answer can't be matched to its attempt. Here it can, and a lost answer says nothing about the
+ * response time of the next one.
  */
 export interface AnswerTimeout {
-    /** Milliseconds. */
+    /** The timeout in milliseconds. */
     current(): number;
-    /** @param milliseconds how long the answer took */
+    /** @param milliseconds response time of the answer */
     recordAnswer(milliseconds: number): void;
 }
 
-/** Bounds of the wait, in milliseconds. */
+/** Bounds of the timeout, in milliseconds. */
 export interface AnswerTimeoutOptions {
-    readonly shortestMilliseconds: number;
-    readonly longestMilliseconds: number;
+    readonly minMilliseconds: number;
+    readonly maxMilliseconds: number;
 }
 
 const smoothing = 1 / 8;
 const deviationSmoothing = 1 / 4;
 const deviationsWaited = 4;
 
-/** Creates the timeout; until the first answer it is the shortest. */
+/** Creates the timeout. Until the first answer it is `minMilliseconds`. */
 export function createAnswerTimeout(options: AnswerTimeoutOptions): AnswerTimeout {
-    const { shortestMilliseconds, longestMilliseconds } = options;
+    const { minMilliseconds, maxMilliseconds } = options;
     let mean: number | undefined;
     let deviation = 0;
-    let timeout = shortestMilliseconds;
+    let timeout = minMilliseconds;
 
-    const bound = (milliseconds: number) => Math.min(longestMilliseconds, Math.max(shortestMilliseconds, milliseconds));
+    const bound = (milliseconds: number) => Math.min(maxMilliseconds, Math.max(minMilliseconds, milliseconds));
 
     return {
         current: () => timeout,
--- a/packages/daisyturn/src/process/store/backOff.ts
+++ b/packages/daisyturn/src/process/store/backOff.ts
@@ -1,8 +1,8 @@
 import type { Clock, Random } from "daisyturn-utils";
 
-/** Growing, jittered waits between the tries of one call. */
+/** Exponential back-off with jitter between the attempts of one call. */
 export interface BackOff {
-    /** Sleeps before the next try; false, at once, if that would reach the deadline (monotonic). */
+    /** Sleeps before the next attempt. Returns false immediately if the sleep would reach the deadline (monotonic). */
     wait(deadline: number): Promise<boolean>;
 }
 
@@ -10,18 +10,18 @@
 export interface BackOffOptions {
     readonly clock: Clock;
     readonly random: Random;
-    readonly shortestMilliseconds: number;
-    readonly longestMilliseconds: number;
+    readonly minMilliseconds: number;
+    readonly maxMilliseconds: number;
 }
 
-/** Creates the waits of one call. Each is at least half of its bound, so that a retry never follows at once. */
+/** Creates the back-off of one call. Each wait is at least half of its bound, so that no retry follows immediately. */
 export function createBackOff(options: BackOffOptions): BackOff {
     const { clock, random } = options;
-    let bound = options.shortestMilliseconds;
+    let bound = options.minMilliseconds;
     return {
         wait: async deadline => {
             const wakeAt = clock.monotonicNow() + jitter(bound, random);
-            bound = Math.min(options.longestMilliseconds, bound * 2);
+            bound = Math.min(options.maxMilliseconds, bound * 2);
             if (wakeAt >= deadline) {
                 return false;
             }
@@ -31,7 +31,7 @@
     };
 }
 
-/** A random length between half of `milliseconds` and the whole. */
+/** A random duration between half of `milliseconds` and all of it. */
 export function jitter(milliseconds: number, random: Random): number {
     return milliseconds * (0.5 + random.fraction() / 2);
 }
--- a/packages/daisyturn/src/process/store/createStoreClient.ts
+++ b/packages/daisyturn/src/process/store/createStoreClient.ts
@@ -11,10 +11,10 @@
 import { createCommitGrouper } from "./groupCommits.js";
 import { createTransactionSettler } from "./settleTransaction.js";
 import { StoreSide } from "./storeBreaker.js";
-import { Admission, createStoreChannel, OutageConduct } from "./storeChannel.js";
+import { Admission, createStoreChannel, OutagePolicy } from "./storeChannel.js";
 import { type PagedStoreClient, StorePriority } from "./storeClient.js";
 
-/** What the client needs, and this process's share of the table service's rate. */
+/** Dependencies of the client, and this process's share of the table service's rate. */
 export interface StoreClientOptions {
     readonly tableService: TableService;
     readonly clock: Clock;
@@ -22,13 +22,13 @@
     readonly eventLog: EventLog;
     readonly writesPerSecond: number;
     readonly readsPerSecond: number;
-    /** Shortest wait for one answer before the call is tried again; it grows while the store is slow. */
+    /** Minimum wait for an answer before the call is tried again. The wait grows while the store is slow. */
     readonly tryMilliseconds?: number;
-    /** Most transactions sent as one; 1 sends each alone. */
+    /** Maximum number of transactions that are merged into one; 1 sends each alone. */
     readonly groupSize?: number;
-    /** How long a transaction that is no lease's waits for others to be sent with it. */
+    /** How long a transaction waits for others to be merged with it. Transactions of leases never wait. */
     readonly groupingMilliseconds?: number;
-    /** Ends the probing of a store that does not answer. */
+    /** Stops the probes of a store that does not answer. */
     readonly signal?: AbortSignal;
 }
 
@@ -37,14 +37,14 @@
 const rowsPerPage = 500;
 const probeKey = "store-probe";
 
-/** A transaction that never commits: the condition can't hold. Asked of the store to see whether it answers. */
+/** A probe of whether the store answers. It never commits, because its condition can't hold. */
 const probeTransaction: Transaction = {
     writeId: probeKey,
     conditions: [{ key: probeKey, expectedVersion: Number.MAX_SAFE_INTEGER }],
     writes: [],
 };
 
-const silentRead: Result<readonly Row[], Failure> = err(
+const unansweredRead: Result<readonly Row[], Failure> = err(
     notRun(FailureReason.StoreUnavailable, "the table service did not answer in time"),
 );
 
@@ -58,7 +58,7 @@
         tryMilliseconds,
         side: StoreSide.Writes,
         callsPerSecond: options.writesPerSecond,
-        probe: async deadline => hasSpoken(await tableService.transact(probeTransaction, deadline)),
+        probe: async deadline => isServiceAnswer(await tableService.transact(probeTransaction, deadline)),
     });
     const reads = createStoreChannel({
         ...options,
@@ -76,13 +76,13 @@
         const backOff = reads.createBackOff();
         let failed: Result<readonly Row[], Failure> | undefined;
         for (;;) {
-            // Only new reads are refused during an outage: one under way has had its caller wait already.
-            const conduct = failed ? OutageConduct.Stay : OutageConduct.Leave;
-            const admission = await reads.admit({ priority, deadline, conduct });
+            // Only new reads are rejected during an outage: the caller of a repeated read has waited already.
+            const outagePolicy = failed ? OutagePolicy.Wait : OutagePolicy.FailFast;
+            const admission = await reads.admit({ priority, deadline, outagePolicy });
             if (admission !== Admission.Admitted) {
-                return failed ?? err(describeRefusal(admission, reads.retryAt()));
+                return failed ?? err(describeRejection(admission, reads.retryAt()));
             }
-            const call = { send: readOnce, isAnswer: hasAnsweredRead, silence: silentRead };
+            const call = { send: readOnce, isAnswer: hasAnsweredRead, unanswered: unansweredRead };
             const answer = await reads.attempt(call, deadline);
             if (answer.isOk || !await backOff.wait(deadline)) {
                 return answer;
@@ -122,7 +122,7 @@
     const groupSize = options.groupSize ?? defaultGroupSize;
     const groupingMilliseconds = options.groupingMilliseconds ?? 0;
     const groupers = {
-        // A lease is never held up by others' conditions.
+        // Transactions of leases are never grouped, so that the conditions of others can't delay them.
         [StorePriority.Lease]: createGrouper(StorePriority.Lease, 1, 0),
         [StorePriority.Claim]: createGrouper(StorePriority.Claim, groupSize, groupingMilliseconds),
         [StorePriority.Other]: createGrouper(StorePriority.Other, groupSize, groupingMilliseconds),
@@ -138,7 +138,7 @@
     };
 }
 
-/** @throws where a rate or size makes no sense: a programming error, settings are checked before */
+/** @throws if a rate or size is not positive. This is a programming error: settings are validated before. */
 function checkOptions(options: StoreClientOptions): void {
     const amounts = [options.writesPerSecond, options.readsPerSecond, options.groupSize ?? defaultGroupSize];
     if (amounts.some(amount => !(amount > 0))) {
@@ -146,16 +146,16 @@
     }
 }
 
-function hasSpoken(answer: TransactionAnswer): boolean {
+function isServiceAnswer(answer: TransactionAnswer): boolean {
     return answer.outcome !== TransactionOutcome.Unknown && answer.cause !== RejectionCause.NotSent;
 }
 
-/** A read that was refused over the rate was answered, too. */
+/** Whether the service itself answered. A rejection because of the rate limit is an answer, too. */
 function hasAnsweredRead(answer: Result<readonly Row[], Failure>): boolean {
     return answer.isOk || answer.error.reason === FailureReason.RateLimited;
 }
 
-function describeRefusal(admission: Admission, retryAt: number): Failure {
+function describeRejection(admission: Admission, retryAt: number): Failure {
     return admission === Admission.Unavailable
         ? notRun(FailureReason.StoreUnavailable, "the table service does not answer", retryAt)
         : notRun(FailureReason.RateLimited, "the deadline came before this process's share of the rate");
--- a/packages/daisyturn/src/process/store/determineOutcome.ts
+++ b/packages/daisyturn/src/process/store/determineOutcome.ts
@@ -10,20 +10,20 @@
 } from "../../ports/tableService.js";
 
 /**
- * Whether sending the transaction twice can't make it take effect twice: its own commit makes one of its conditions
- * fail. (A row that is demanded to be absent must not be deleted while a try may be on its way; see
- * docs/design/store-access.md.)
+ * Whether the transaction can be sent again without taking effect twice, because its own commit makes one of its
+ * conditions fail. A row that must be absent must not be deleted while an attempt may be in flight; see
+ * docs/design/store-access.md.
  */
 export function canRepeat(transaction: Transaction): boolean {
     return transaction.conditions.some(({ key, expectedVersion }) => {
         const write = transaction.writes.find(candidate => candidate.key === key);
-        // Deleting a row that is demanded to be absent changes nothing.
+        // Deleting a row that must be absent changes nothing.
         const isDeleteOfAbsent = write?.value === undefined && expectedVersion === absentVersion;
         return write !== undefined && !isDeleteOfAbsent;
     });
 }
 
-/** The row among `rows` that only a commit of this transaction can have left. */
+/** The row among `rows` that only a commit of this transaction can have written. */
 export function findOwnRow(transaction: Transaction, rows: readonly Row[]): Row | undefined {
     return rows.find(row => {
         const write = transaction.writes.find(candidate => candidate.key === row.key);
@@ -31,20 +31,20 @@
     });
 }
 
-/** Keys that tell what became of a transaction: those of its conditions and of its writes. */
-export function evidenceKeys(transaction: Transaction): readonly string[] {
+/** Keys of the rows that show the outcome of a transaction: those of its conditions and of its writes. */
+export function listOutcomeKeys(transaction: Transaction): readonly string[] {
     const keys = [...transaction.conditions, ...transaction.writes].map(item => item.key);
     return [...new Set(keys)];
 }
 
 /**
- * Says what became of a transaction some of whose tries stayed without an answer.
- * - A row that stands with its write id proves the commit.
- * - A row it writes that still stands at the version it demands proves that no try has committed so far, because
- *   versions are never used again; a demanded version that is gone proves that no try will. Both at one moment prove
- *   that nothing was or will be written.
- * - All else stays unknown: the rows may have been overwritten since by somebody who saw the commit.
- * @param rows the rows under `evidenceKeys` as of one moment, after an answer to the last try; absent ones are left out
+ * Determines the outcome of a transaction that had unanswered attempts.
+ * - A row with its write id proves that it committed.
+ * - A row that it writes and that is still at the expected version proves that no attempt has committed so far, because
+ *   versions are never reused. An expected version that no longer exists proves that no attempt will commit. Both at
+ *   the same moment prove that nothing was or will be written.
+ * - Otherwise the outcome is unknown: another writer that saw the commit may have overwritten the rows.
+ * @param rows the existing rows among `listOutcomeKeys`, read at one moment after the last attempt was answered
  */
 export function determineOutcome(transaction: Transaction, rows: readonly Row[]): TransactionAnswer {
     const ownRow = findOwnRow(transaction, rows);
@@ -54,11 +54,11 @@
     const versions = new Map(rows.map(row => [row.key, row.version]));
     const holds = ({ key, expectedVersion }: RowCondition) => (versions.get(key) ?? absentVersion) === expectedVersion;
     const written = new Set(transaction.writes.map(write => write.key));
-    const lasting = transaction.conditions.filter(condition => condition.expectedVersion !== absentVersion);
+    const presenceConditions = transaction.conditions.filter(condition => condition.expectedVersion !== absentVersion);
     const failed = transaction.conditions.filter(condition => !holds(condition));
     const conflicts = rows.filter(row => failed.some(condition => condition.key === row.key));
-    const hasNotCommitted = lasting.some(condition => written.has(condition.key) && holds(condition));
-    const neverCommits = lasting.some(condition => !holds(condition));
+    const hasNotCommitted = presenceConditions.some(condition => written.has(condition.key) && holds(condition));
+    const neverCommits = presenceConditions.some(condition => !holds(condition));
     return hasNotCommitted && neverCommits
         ? { outcome: TransactionOutcome.Rejected, cause: RejectionCause.ConditionFailed, conflicts }
         : { outcome: TransactionOutcome.Unknown, conflicts };
--- a/packages/daisyturn/src/process/store/groupCommits.ts
+++ b/packages/daisyturn/src/process/store/groupCommits.ts
@@ -6,25 +6,24 @@
     type TransactionAnswer,
     TransactionOutcome,
 } from "../../ports/tableService.js";
-import { refuse, type TransactionSettler } from "./settleTransaction.js";
-import { Admission, OutageConduct, type StoreChannel } from "./storeChannel.js";
+import { createRejection, type TransactionSettler } from "./settleTransaction.js";
+import { Admission, OutagePolicy, type StoreChannel } from "./storeChannel.js";
 import type { StorePriority } from "./storeClient.js";
 import { canJoin, findMemberConflicts, mergeTransactions } from "./transactionGroup.js";
 
-/** Sends transactions of one priority, several as one where they are independent. */
+/** Sends transactions of one priority, and merges independent ones into one transaction. */
 export interface CommitGrouper {
     commit(transaction: Transaction, deadline: number): Promise<TransactionAnswer>;
 }
 
-/** What the grouper needs. */
 export interface CommitGrouperOptions {
     readonly clock: Clock;
     readonly writes: StoreChannel;
     readonly settler: TransactionSettler;
     readonly priority: StorePriority;
-    /** Most transactions in one group; 1 sends each alone. */
+    /** Maximum number of transactions in one group; 1 sends each alone. */
     readonly groupSize: number;
-    /** How long a transaction waits for company. Those that wait for their share of the rate are grouped in any case. */
+    /** How long a transaction waits for others. Transactions that wait for the rate limit are grouped in any case. */
     readonly groupingMilliseconds: number;
 }
 
@@ -35,18 +34,18 @@
     readonly resolve: (answer: TransactionAnswer | Promise<TransactionAnswer>) => void;
 }
 
-/** Creates the grouper. One task serves the waiting transactions in the order of their arrival. */
+/** Creates the grouper. One task processes the waiting transactions in the order of their arrival. */
 export function createCommitGrouper(options: CommitGrouperOptions): CommitGrouper {
     const { clock, writes, settler, priority } = options;
     let waiting: Member[] = [];
     let isServing = false;
     let earliestDeadline = Number.POSITIVE_INFINITY;
-    let newArrival = new AbortController();
+    let admissionAbort = new AbortController();
     let groupCount = 0;
 
-    const settleAlone = (member: Member, mayHaveCommitted = false, isAdmitted = false) => {
+    const settleAlone = (member: Member, isOutcomeUnknown = false, isAdmitted = false) => {
         const { transaction, deadline } = member;
-        member.resolve(settler.settle({ transaction, priority, deadline, mayHaveCommitted, isAdmitted }));
+        member.resolve(settler.settle({ transaction, priority, deadline, isOutcomeUnknown, isAdmitted }));
     };
 
     const settleMerged = (members: readonly Member[]) => {
@@ -56,14 +55,14 @@
             transaction: mergeTransactions(transactions, `${transactions[0]?.writeId}/group-${groupCount}`),
             priority,
             deadline: Math.min(...members.map(member => member.deadline)),
-            mayHaveCommitted: false,
+            isOutcomeUnknown: false,
             isAdmitted: true,
         });
     };
 
     const settleGroup = async (members: readonly Member[]) => {
         const settling = settleMerged(members);
-        // A programming error in the settler fails every member's call.
+        // An exception in the settler, which is a programming error, fails the calls of all members.
         const answer = await settling.catch(() => undefined);
         switch (answer?.outcome) {
             case undefined:
@@ -74,13 +73,13 @@
                 members.forEach(member => settleAlone(member, true));
                 break;
             case TransactionOutcome.Rejected:
-                members.forEach(member => fallApart(member, answer?.conflicts ?? []));
+                members.forEach(member => settleRejectedMember(member, answer?.conflicts ?? []));
                 break;
         }
     };
 
-    /** A member whose own condition failed has its answer; the others go on alone. */
-    const fallApart = (member: Member, conflicts: readonly Row[]) => {
+    /** Handles a member of a rejected group: rejects it if its own condition failed, and else sends it alone. */
+    const settleRejectedMember = (member: Member, conflicts: readonly Row[]) => {
         const own = findMemberConflicts(member.transaction, conflicts);
         if (own.length === 0) {
             settleAlone(member);
@@ -93,12 +92,12 @@
         });
     };
 
-    const takeGroup = () => {
+    const dequeueGroup = () => {
         const group: Member[] = [];
         const rest: Member[] = [];
         for (const member of waiting) {
             const transactions = group.map(other => other.transaction);
-            // The first goes in any case, however many rows it writes.
+            // The first transaction is always sent, however many rows it writes.
             const joins = group.length === 0
                 || (group.length < options.groupSize && canJoin(transactions, member.transaction));
             (joins ? group : rest).push(member);
@@ -108,7 +107,7 @@
     };
 
     const startNext = () => {
-        const group = takeGroup();
+        const group = dequeueGroup();
         const [first] = group;
         if (first && group.length === 1) {
             settleAlone(first, false, true);
@@ -118,15 +117,15 @@
         }
     };
 
-    const refuseWaiting = (admission: Admission.Unavailable | Admission.OutOfTime) => {
+    const rejectWaiting = (admission: Admission.Unavailable | Admission.OutOfTime) => {
         const now = clock.monotonicNow();
-        const isRefused = (member: Member) => admission === Admission.Unavailable || member.deadline <= now;
-        const refused = waiting.filter(isRefused);
-        waiting = waiting.filter(member => !isRefused(member));
-        refused.forEach(member => member.resolve(refuse(admission)));
+        const isRejected = (member: Member) => admission === Admission.Unavailable || member.deadline <= now;
+        const rejected = waiting.filter(isRejected);
+        waiting = waiting.filter(member => !isRejected(member));
+        rejected.forEach(member => member.resolve(createRejection(admission)));
     };
 
-    const waitForCompany = async () => {
+    const waitForMembers = async () => {
         const [first] = waiting;
         if (first && options.groupingMilliseconds > 0) {
             await clock.sleepUntil(first.arrivedAt + options.groupingMilliseconds);
@@ -136,20 +135,20 @@
     const serve = async () => {
         isServing = true;
         while (waiting.length > 0) {
-            await waitForCompany();
-            newArrival = new AbortController();
+            await waitForMembers();
+            admissionAbort = new AbortController();
             earliestDeadline = Math.min(...waiting.map(member => member.deadline));
             const admission = await writes.admit({
                 priority,
                 deadline: earliestDeadline,
-                conduct: OutageConduct.Leave,
-                signal: newArrival.signal,
+                outagePolicy: OutagePolicy.FailFast,
+                signal: admissionAbort.signal,
             });
             if (admission === Admission.Admitted) {
                 startNext();
             }
             else {
-                refuseWaiting(admission);
+                rejectWaiting(admission);
             }
         }
         isServing = false;
@@ -162,7 +161,7 @@
                 void serve();
             }
             else if (deadline < earliestDeadline) {
-                newArrival.abort();
+                admissionAbort.abort();
             }
         });
 
--- a/packages/daisyturn/src/process/store/index.ts
+++ b/packages/daisyturn/src/process/store/index.ts
@@ -1,5 +1,5 @@
 /**
- * Transactions on the platform's table service, each with a verdict on whether it may have been carried out.
+ * Client of the platform's table service. Its answer to a transaction says whether the transaction may have committed.
  *
  * @module
  */
--- a/packages/daisyturn/src/process/store/settleTransaction.ts
+++ b/packages/daisyturn/src/process/store/settleTransaction.ts
@@ -8,31 +8,30 @@
     type TransactionAnswer,
     TransactionOutcome,
 } from "../../ports/tableService.js";
-import { canRepeat, determineOutcome, evidenceKeys, findOwnRow } from "./determineOutcome.js";
-import { Admission, OutageConduct, type StoreCall, type StoreChannel } from "./storeChannel.js";
+import { canRepeat, determineOutcome, findOwnRow, listOutcomeKeys } from "./determineOutcome.js";
+import { Admission, OutagePolicy, type StoreCall, type StoreChannel } from "./storeChannel.js";
 import type { StorePriority } from "./storeClient.js";
-import { createAbandonment, hasWriteMarker, writeMarkerKey } from "./writeMarker.js";
+import { createAbortTransaction, hasWriteMarker, writeMarkerKey } from "./writeMarker.js";
 
-/** A transaction on its way, and what is known of it so far. */
+/** A transaction that is being committed, and what is known about it so far. */
 export interface PendingCommit {
     readonly transaction: Transaction;
     readonly priority: StorePriority;
     /** Monotonic. */
     readonly deadline: number;
-    /** An earlier send, alone or in a group, stayed without an answer. */
-    readonly mayHaveCommitted: boolean;
+    /** An earlier send, alone or in a group, was not answered, so the transaction may have committed. */
+    readonly isOutcomeUnknown: boolean;
     /** The next call has been admitted already. */
     readonly isAdmitted: boolean;
-    /** What to do in an outage while no send has stayed without an answer; Leave if absent. */
-    readonly conduct?: OutageConduct;
+    /** Policy in an outage as long as every send was answered; FailFast if absent. */
+    readonly outagePolicy?: OutagePolicy;
 }
 
-/** Sends transactions until it is known what became of them, or the deadline comes. */
+/** Sends transactions until their outcome is known or their deadline is reached. */
 export interface TransactionSettler {
     settle(pending: PendingCommit): Promise<TransactionAnswer>;
 }
 
-/** What the settler needs. */
 export interface TransactionSettlerOptions {
     readonly tableService: TableService;
     readonly writes: StoreChannel;
@@ -44,15 +43,14 @@
     readonly eventLog: EventLog;
 }
 
-/** Creates the settler. */
 export function createTransactionSettler(options: TransactionSettlerOptions): TransactionSettler {
     const { tableService, writes, eventLog } = options;
 
     const send = (transaction: Transaction, deadline: number) => {
         const call: StoreCall<TransactionAnswer> = {
             send: tryDeadline => tableService.transact(transaction, tryDeadline),
-            isAnswer: isStatement,
-            silence: unknownAnswer,
+            isAnswer: isServiceAnswer,
+            unanswered: unknownAnswer,
         };
         return writes.attempt(call, deadline);
     };
@@ -60,30 +58,32 @@
     const settle = async (pending: PendingCommit): Promise<TransactionAnswer> => {
         const { transaction, priority, deadline } = pending;
         const backOff = writes.createBackOff();
-        let mayHaveCommitted = pending.mayHaveCommitted;
+        let isOutcomeUnknown = pending.isOutcomeUnknown;
         let isAdmitted = pending.isAdmitted;
         for (;;) {
-            if (mayHaveCommitted && !canRepeat(transaction)) {
+            if (isOutcomeUnknown && !canRepeat(transaction)) {
                 return settleByReading(pending, []);
             }
-            const conduct = mayHaveCommitted ? OutageConduct.Stay : pending.conduct ?? OutageConduct.Leave;
-            const admission = isAdmitted ? Admission.Admitted : await writes.admit({ priority, deadline, conduct });
+            const outagePolicy = isOutcomeUnknown ? OutagePolicy.Wait : pending.outagePolicy ?? OutagePolicy.FailFast;
+            const admission = isAdmitted
+                ? Admission.Admitted
+                : await writes.admit({ priority, deadline, outagePolicy });
             if (admission !== Admission.Admitted) {
-                return mayHaveCommitted ? record(transaction, unknownAnswer) : refuse(admission);
+                return isOutcomeUnknown ? record(transaction, unknownAnswer) : createRejection(admission);
             }
             isAdmitted = false;
             const answer = await send(transaction, deadline);
             if (isFinal(answer)) {
-                return mayHaveCommitted ? settleAnswer(pending, answer) : answer;
+                return isOutcomeUnknown ? settleAnswer(pending, answer) : answer;
             }
-            mayHaveCommitted ||= answer.outcome === TransactionOutcome.Unknown;
+            isOutcomeUnknown ||= answer.outcome === TransactionOutcome.Unknown;
             if (!await backOff.wait(deadline)) {
-                return mayHaveCommitted ? record(transaction, unknownAnswer) : answer;
+                return isOutcomeUnknown ? record(transaction, unknownAnswer) : answer;
             }
         }
     };
 
-    /** The last try was answered, an earlier one was not. */
+    /** Determines the outcome if the last attempt was answered, but an earlier one was not. */
     const settleAnswer = async (pending: PendingCommit, answer: TransactionAnswer): Promise<TransactionAnswer> => {
         const { transaction } = pending;
         if (answer.outcome === TransactionOutcome.Committed) {
@@ -94,39 +94,39 @@
         if (ownRow) {
             return record(transaction, { outcome: TransactionOutcome.Committed, version: ownRow.version });
         }
-        return hasWriteMarker(transaction) ? abandon(pending, conflicts) : settleByReading(pending, conflicts);
+        return hasWriteMarker(transaction) ? abort(pending, conflicts) : settleByReading(pending, conflicts);
     };
 
     const settleByReading = async (pending: PendingCommit, conflicts: readonly Row[]): Promise<TransactionAnswer> => {
         const { transaction, priority, deadline } = pending;
-        const rows = await options.readRows(evidenceKeys(transaction), priority, deadline);
+        const rows = await options.readRows(listOutcomeKeys(transaction), priority, deadline);
         const answer = rows.isOk
             ? determineOutcome(transaction, rows.value)
             : { outcome: TransactionOutcome.Unknown, conflicts };
         return record(transaction, answer);
     };
 
-    /** Takes the marker's place, so that no try that is still on its way can commit later. */
-    const abandon = async (pending: PendingCommit, conflicts: readonly Row[]): Promise<TransactionAnswer> => {
+    /** Writes the marker row in place of the transaction, so that no attempt still in flight can commit later. */
+    const abort = async (pending: PendingCommit, conflicts: readonly Row[]): Promise<TransactionAnswer> => {
         const { transaction } = pending;
-        const abandonment = createAbandonment(transaction);
+        const abortTransaction = createAbortTransaction(transaction);
         const key = writeMarkerKey(transaction.writeId);
         const answer = await settle({
             ...pending,
-            transaction: abandonment,
-            mayHaveCommitted: false,
+            transaction: abortTransaction,
+            isOutcomeUnknown: false,
             isAdmitted: false,
-            conduct: OutageConduct.Stay,
+            outagePolicy: OutagePolicy.Wait,
         });
         const marker = answer.conflicts?.find(row => row.key === key);
         if (marker?.writeId === transaction.writeId) {
             return record(transaction, { outcome: TransactionOutcome.Committed, version: marker.version });
         }
-        const isAbandoned = answer.outcome === TransactionOutcome.Committed
-            || marker?.writeId === abandonment.writeId;
+        const isAborted = answer.outcome === TransactionOutcome.Committed
+            || marker?.writeId === abortTransaction.writeId;
         return record(
             transaction,
-            isAbandoned
+            isAborted
                 ? { outcome: TransactionOutcome.Rejected, cause: RejectionCause.ConditionFailed, conflicts }
                 : { outcome: TransactionOutcome.Unknown, conflicts },
         );
@@ -142,18 +142,18 @@
 
 const unknownAnswer: TransactionAnswer = { outcome: TransactionOutcome.Unknown };
 
-/** The answer to a transaction of which nothing was sent. */
-export function refuse(admission: Admission.Unavailable | Admission.OutOfTime): TransactionAnswer {
+/** The answer to a transaction that was never sent. */
+export function createRejection(admission: Admission.Unavailable | Admission.OutOfTime): TransactionAnswer {
     const cause = admission === Admission.Unavailable ? RejectionCause.NotSent : RejectionCause.Throttled;
     return { outcome: TransactionOutcome.Rejected, cause };
 }
 
-/** Whether the service itself spoke. */
-function isStatement(answer: TransactionAnswer): boolean {
+/** Whether the answer comes from the service itself. */
+function isServiceAnswer(answer: TransactionAnswer): boolean {
     return answer.outcome !== TransactionOutcome.Unknown && answer.cause !== RejectionCause.NotSent;
 }
 
-/** Whether the service said what became of this try. */
+/** Whether the answer states the outcome of this attempt. */
 function isFinal(answer: TransactionAnswer): boolean {
     return answer.outcome === TransactionOutcome.Committed || answer.cause === RejectionCause.ConditionFailed;
 }
--- a/packages/daisyturn/src/process/store/storeBreaker.ts
+++ b/packages/daisyturn/src/process/store/storeBreaker.ts
@@ -1,69 +1,68 @@
 import { type Clock, EventKind, type EventLog, type Random } from "daisyturn-utils";
 import { jitter } from "./backOff.js";
 
-/** Stops calls while the store does not answer, and finds out when it does again. */
+/** Circuit breaker: stops calls while the store does not answer, and probes until it answers again. */
 export interface StoreBreaker {
     isOpen(): boolean;
-    /** The store said something, whatever it was. */
+    /** Records an answer of the store, whatever its content, and closes the breaker. */
     recordAnswer(): void;
-    /** @param startedAt monotonic time at which the call without an answer began */
-    recordSilence(startedAt: number): void;
+    /** @param startedAt monotonic time at which the unanswered call began */
+    recordUnanswered(startedAt: number): void;
     /** Resolves with true once the breaker is closed, with false at the deadline (monotonic). */
     waitUntilClosed(deadline: number): Promise<boolean>;
-    /** Monotonic time of the next probe; while closed, a time that has passed. */
+    /** Monotonic time of the next probe. While the breaker is closed, a time that may have passed. */
     nextProbeAt(): number;
 }
 
-/** Which of the store's two ways a breaker guards. */
+/** The kind of calls that a breaker protects. */
 export enum StoreSide {
     Reads = "reads",
     Writes = "writes",
 }
 
-/** What the breaker needs. */
 export interface StoreBreakerOptions {
     readonly clock: Clock;
     readonly random: Random;
     readonly eventLog: EventLog;
     readonly side: StoreSide;
-    /** Asks the store something cheap; true if it answered. */
+    /** Makes a cheap call to the store; true if it was answered. */
     readonly probe: (deadline: number) => Promise<boolean>;
-    /** Called before the calls that wait go on. */
+    /** Called when the breaker closes, before the waiting calls continue. */
     readonly onClosed: () => void;
-    /** Ends the probing. */
+    /** Stops the probes. */
     readonly signal?: AbortSignal;
 }
 
-/** Unanswered calls, without an answer between them, before the breaker opens. */
-export const silentCallsToOpen = 3;
-/** How long the store must have been silent; rides out a restart or a change of its primary. */
-export const silenceToOpenMilliseconds = 3_000;
-const shortestProbeWaitMilliseconds = 250;
-const longestProbeWaitMilliseconds = 5_000;
-/** A probe is answered also late: a store that is slow is not down. */
-const probeMilliseconds = 8_000;
-/** After this the next probe is planned, because the answer to this one may be lost. */
-const probePatienceMilliseconds = 1_000;
+/** Number of consecutive unanswered calls before the breaker opens. */
+export const unansweredCallsToOpen = 3;
+/** Minimum time without an answer before the breaker opens. Covers a restart or a change of primary of the store. */
+export const unansweredMillisecondsToOpen = 3_000;
+const minProbeWaitMilliseconds = 250;
+const maxProbeWaitMilliseconds = 5_000;
+/** A late answer to a probe also counts, because a slow store is not down. */
+const probeTimeoutMilliseconds = 8_000;
+/** The next probe is scheduled after this wait, because the answer to the current one may be lost. */
+const probeAnswerWaitMilliseconds = 1_000;
 
 /**
- * Creates a breaker. While it is open, probes are made at growing and jittered intervals; so the processes that wait for
- * the store come back one after another, each with one call.
+ * Creates a breaker. While it is open, it sends probes at growing intervals with jitter. So processes that wait for the
+ * store return one after another, each with a single call.
  */
 export function createStoreBreaker(options: StoreBreakerOptions): StoreBreaker {
     const { clock, random, eventLog, side, signal } = options;
-    let silentCalls = 0;
-    let silentSince = 0;
+    let unansweredCalls = 0;
+    let unansweredSince = 0;
     let openedAt: number | undefined;
     let nextProbeAt = Number.NEGATIVE_INFINITY;
     let probing = new AbortController();
-    /** One for each call that waits: a signal shared by all of them would gather their listeners. */
+    /** One controller for each waiting call: on a shared signal, the listeners of all calls would accumulate. */
     const waiters = new Set<AbortController>();
 
     const close = () => {
         if (openedAt === undefined) {
             return;
         }
-        const silentMilliseconds = Math.round(clock.monotonicNow() - silentSince);
+        const silentMilliseconds = Math.round(clock.monotonicNow() - unansweredSince);
         openedAt = undefined;
         eventLog.record(EventKind.StoreAvailable, { side, silentMilliseconds });
         options.onClosed();
@@ -72,24 +71,24 @@
     };
 
     const recordAnswer = () => {
-        silentCalls = 0;
+        unansweredCalls = 0;
         close();
     };
 
     const probeOnce = async (ended: AbortSignal) => {
-        const answered = options.probe(clock.monotonicNow() + probeMilliseconds).then(isThere => {
-            if (isThere) {
+        const answered = options.probe(clock.monotonicNow() + probeTimeoutMilliseconds).then(hasAnswered => {
+            if (hasAnswered) {
                 recordAnswer();
             }
         });
-        await Promise.race([answered, clock.sleepUntil(clock.monotonicNow() + probePatienceMilliseconds, ended)]);
+        await Promise.race([answered, clock.sleepUntil(clock.monotonicNow() + probeAnswerWaitMilliseconds, ended)]);
     };
 
     const probeUntil = async (ended: AbortSignal) => {
-        let wait = shortestProbeWaitMilliseconds;
+        let wait = minProbeWaitMilliseconds;
         while (!ended.aborted) {
             nextProbeAt = clock.monotonicNow() + jitter(wait, random);
-            wait = Math.min(longestProbeWaitMilliseconds, wait * 2);
+            wait = Math.min(maxProbeWaitMilliseconds, wait * 2);
             await clock.sleepUntil(nextProbeAt, ended);
             if (!ended.aborted) {
                 await probeOnce(ended);
@@ -100,17 +99,17 @@
     const open = () => {
         openedAt = clock.monotonicNow();
         probing = new AbortController();
-        eventLog.record(EventKind.StoreUnavailable, { side, silentCalls });
+        eventLog.record(EventKind.StoreUnavailable, { side, silentCalls: unansweredCalls });
         void probeUntil(signal ? AbortSignal.any([probing.signal, signal]) : probing.signal);
     };
 
-    const recordSilence = (startedAt: number) => {
-        silentSince = silentCalls === 0 ? startedAt : Math.min(silentSince, startedAt);
-        silentCalls += 1;
-        const silentMilliseconds = clock.monotonicNow() - silentSince;
+    const recordUnanswered = (startedAt: number) => {
+        unansweredSince = unansweredCalls === 0 ? startedAt : Math.min(unansweredSince, startedAt);
+        unansweredCalls += 1;
+        const silentMilliseconds = clock.monotonicNow() - unansweredSince;
         if (
-            openedAt === undefined && silentCalls >= silentCallsToOpen
-            && silentMilliseconds >= silenceToOpenMilliseconds
+            openedAt === undefined && unansweredCalls >= unansweredCallsToOpen
+            && silentMilliseconds >= unansweredMillisecondsToOpen
         ) {
             open();
         }
@@ -129,7 +128,7 @@
     return {
         isOpen: () => openedAt !== undefined,
         recordAnswer,
-        recordSilence,
+        recordUnanswered,
         waitUntilClosed,
         nextProbeAt: () => nextProbeAt,
     };
--- a/packages/daisyturn/src/process/store/storeBudget.ts
+++ b/packages/daisyturn/src/process/store/storeBudget.ts
@@ -4,15 +4,15 @@
 /** This process's share of one of the table service's rates. */
 export interface StoreBudget {
     /**
-     * Waits for the right to make one call; false once `deadline` (monotonic) has come or `signal` is aborted.
-     * Leases go before claims and claims before the rest, but nobody is passed over more than a fixed number of times.
+     * Waits for permission to make one call. Resolves with false at `deadline` (monotonic) or when `signal` is aborted.
+     * Leases go before claims and claims before the rest, but no call is skipped more than a fixed number of times,
+     * which prevents starvation.
      */
     acquire(priority: StorePriority, deadline: number, signal?: AbortSignal): Promise<boolean>;
-    /** Gives up what was saved, so that calls held back by an outage start at the steady rate. */
+    /** Discards the accumulated tokens, so that calls delayed by an outage resume at the steady rate. */
     drain(): void;
 }
 
-/** The rate, and how much of it may be saved up. */
 export interface StoreBudgetOptions {
     readonly clock: Clock;
     readonly callsPerSecond: number;
@@ -23,18 +23,18 @@
     readonly resolve: (granted: boolean) => void;
 }
 
-interface Lane {
+interface WaitQueue {
     readonly waiters: Waiter[];
-    /** Grants to more urgent lanes since this one's last, while it was waiting. */
-    passedOver: number;
+    /** Number of grants to other queues, while this one was waiting, since its own last grant. */
+    skips: number;
 }
 
 const millisecondsPerSecond = 1_000;
-/** Part of a second's calls that may be made at once after a pause. */
+/** Capacity of the bucket: the calls of this many seconds may be made in one burst after an idle period. */
 const burstSeconds = 0.25;
-/** After so many grants to others a waiting lane gets its turn, however urgent the others are. */
-export const mostPassedOver = 8;
-/** Takes up rounding: a sum of small refills may miss a whole call by less than this. */
+/** After this many grants to other queues, a waiting queue is served next, whatever the priority of the others. */
+export const maxSkips = 8;
+/** Tolerance for floating-point errors: a sum of small refills may fall short of a whole token by less than this. */
 const roundingError = 1e-6;
 
 const urgencyOrder = [StorePriority.Lease, StorePriority.Claim, StorePriority.Other] as const;
@@ -42,64 +42,64 @@
 /** Creates a token bucket with three priorities. */
 export function createStoreBudget(options: StoreBudgetOptions): StoreBudget {
     const { clock, callsPerSecond } = options;
-    const mostTokens = Math.max(1, callsPerSecond * burstSeconds);
-    const lanes = new Map<StorePriority, Lane>(
-        urgencyOrder.map(priority => [priority, { waiters: [], passedOver: 0 }]),
+    const maxTokens = Math.max(1, callsPerSecond * burstSeconds);
+    const queues = new Map<StorePriority, WaitQueue>(
+        urgencyOrder.map(priority => [priority, { waiters: [], skips: 0 }]),
     );
-    let tokens = mostTokens;
+    let tokens = maxTokens;
     let refilledAt = clock.monotonicNow();
     let isGranting = false;
     let wake = new AbortController();
 
     const refill = () => {
         const now = clock.monotonicNow();
-        tokens = Math.min(mostTokens, tokens + (now - refilledAt) * callsPerSecond / millisecondsPerSecond);
+        tokens = Math.min(maxTokens, tokens + (now - refilledAt) * callsPerSecond / millisecondsPerSecond);
         refilledAt = now;
     };
 
-    const waitingLanes = () => [...lanes.values()].filter(lane => lane.waiters.length > 0);
+    const nonEmptyQueues = () => [...queues.values()].filter(queue => queue.waiters.length > 0);
 
-    const chooseLane = () => {
-        const waiting = waitingLanes();
-        return waiting.findLast(lane => lane.passedOver >= mostPassedOver) ?? waiting[0];
+    const chooseQueue = () => {
+        const waiting = nonEmptyQueues();
+        return waiting.findLast(queue => queue.skips >= maxSkips) ?? waiting[0];
     };
 
     const grantNext = () => {
-        const chosen = chooseLane();
+        const chosen = chooseQueue();
         if (!chosen) {
             return;
         }
-        for (const lane of waitingLanes()) {
-            lane.passedOver += 1;
+        for (const queue of nonEmptyQueues()) {
+            queue.skips += 1;
         }
-        chosen.passedOver = 0;
+        chosen.skips = 0;
         tokens -= 1;
         chosen.waiters.shift()?.resolve(true);
     };
 
-    const dropExpired = () => {
+    const removeExpired = () => {
         const now = clock.monotonicNow();
-        for (const { waiters } of lanes.values()) {
+        for (const { waiters } of queues.values()) {
             const expired = waiters.filter(waiter => waiter.deadline <= now);
-            expired.forEach(waiter => drop(waiters, waiter));
+            expired.forEach(waiter => remove(waiters, waiter));
         }
     };
 
-    /** Time at which a token is there or a waiter's deadline comes. */
+    /** Time at which the next token is available or the next deadline of a waiter is reached. */
     const nextEventAt = () => {
         const missing = Math.max(0, 1 - tokens);
         const tokenAt = clock.monotonicNow() + missing * millisecondsPerSecond / callsPerSecond;
-        const deadlines = waitingLanes().flatMap(lane => lane.waiters.map(waiter => waiter.deadline));
+        const deadlines = nonEmptyQueues().flatMap(queue => queue.waiters.map(waiter => waiter.deadline));
         return Math.min(tokenAt, ...deadlines);
     };
 
-    /** Runs while somebody waits; it is the only place where tokens are handed out. */
+    /** Runs while calls are waiting. Tokens are granted only here. */
     const grantWhileWaiting = async () => {
         isGranting = true;
-        // Lets all calls of this turn line up before the first is served.
+        // Lets all calls made in the same turn join their queues before the first one is granted.
         await Promise.resolve();
-        while (waitingLanes().length > 0) {
-            dropExpired();
+        while (nonEmptyQueues().length > 0) {
+            removeExpired();
             refill();
             if (tokens >= 1 - roundingError) {
                 grantNext();
@@ -113,14 +113,14 @@
 
     const acquire = (priority: StorePriority, deadline: number, signal?: AbortSignal) =>
         new Promise<boolean>(resolve => {
-            const waiters = lanes.get(priority)?.waiters;
+            const waiters = queues.get(priority)?.waiters;
             if (!waiters || signal?.aborted || deadline <= clock.monotonicNow()) {
                 resolve(false);
                 return;
             }
             const waiter: Waiter = { deadline, resolve };
             waiters.push(waiter);
-            signal?.addEventListener("abort", () => drop(waiters, waiter), { once: true });
+            signal?.addEventListener("abort", () => remove(waiters, waiter), { once: true });
             if (isGranting) {
                 wake.abort();
             }
@@ -138,7 +138,7 @@
     };
 }
 
-function drop(waiters: Waiter[], waiter: Waiter): void {
+function remove(waiters: Waiter[], waiter: Waiter): void {
     const index = waiters.indexOf(waiter);
     if (index >= 0) {
         waiters.splice(index, 1);
--- a/packages/daisyturn/src/process/store/storeChannel.ts
+++ b/packages/daisyturn/src/process/store/storeChannel.ts
@@ -8,94 +8,92 @@
 /** Whether a call may be made now. */
 export enum Admission {
     Admitted = "admitted",
-    /** The store does not answer. */
+    /** The breaker is open: the store does not answer. */
     Unavailable = "unavailable",
-    /** The deadline came, or the wait was aborted, while the process was at its share of the rate. */
+    /** The deadline was reached, or the wait was aborted, while the call waited for its share of the rate. */
     OutOfTime = "out_of_time",
 }
 
-/** What a caller does while the store is unavailable. */
-export enum OutageConduct {
-    /** Give up at once. */
-    Leave = "leave",
-    /** Wait for its return until the deadline: an earlier try may have run. */
-    Stay = "stay",
+/** What a call does while the store is unavailable. */
+export enum OutagePolicy {
+    /** Fail immediately. */
+    FailFast = "leave",
+    /** Wait until the store answers again or the deadline is reached, because an earlier attempt may have committed. */
+    Wait = "stay",
 }
 
-/** One call to be admitted. */
+/** Request for the admission of one call. */
 export interface AdmissionRequest {
     readonly priority: StorePriority;
     /** Monotonic. */
     readonly deadline: number;
-    readonly conduct: OutageConduct;
+    readonly outagePolicy: OutagePolicy;
     readonly signal?: AbortSignal;
 }
 
 /** One kind of call to the store. */
 export interface StoreCall<Answer> {
     send(deadline: number): Promise<Answer>;
-    /** Whether the store itself spoke. */
+    /** Whether the answer comes from the store itself. */
     isAnswer(answer: Answer): boolean;
-    /** What a try without an answer is taken for. */
-    readonly silence: Answer;
+    /** The result of an attempt that was not answered. */
+    readonly unanswered: Answer;
 }
 
-/** The reads or the writes of this process: their share of the rate, their time limits and their breaker. */
+/** The reads or the writes of this process, with their own rate, timeouts and breaker. */
 export interface StoreChannel {
     admit(request: AdmissionRequest): Promise<Admission>;
-    /** Makes an admitted call once; without an answer in the usual time it gives up, though the call may go on. */
+    /** Makes an admitted call once. Stops waiting at the adaptive timeout, although the call may still be running. */
     attempt<Answer>(call: StoreCall<Answer>, deadline: number): Promise<Answer>;
-    /** The waits between the tries of one call. */
+    /** Creates the back-off between the attempts of one call. */
     createBackOff(): BackOff;
     isAvailable(): boolean;
-    /** Wall-clock time from which a call that was refused makes sense again. */
+    /** Wall-clock time from which a rejected call may be retried. */
     retryAt(): number;
     /** Monotonic time of the last answer; undefined before the first. */
     lastAnswerAt(): number | undefined;
 }
 
-/** What a channel needs. */
 export interface StoreChannelOptions {
     readonly clock: Clock;
     readonly random: Random;
     readonly eventLog: EventLog;
     readonly side: StoreSide;
     readonly callsPerSecond: number;
-    /** Shortest wait for one answer. */
+    /** Minimum wait for an answer. */
     readonly tryMilliseconds: number;
     readonly probe: (deadline: number) => Promise<boolean>;
     readonly signal?: AbortSignal;
 }
 
-const longestTryMilliseconds = 8_000;
-const shortestBackOffMilliseconds = 20;
-const longestBackOffMilliseconds = 1_000;
-/** A caller that was refused is told to wait this long at least. */
-const shortestRetryMilliseconds = 250;
-/** A call cut short by its caller's deadline tells of the store only if it waited this long. */
-const tellingWaitMilliseconds = 500;
+const maxTryMilliseconds = 8_000;
+const minBackOffMilliseconds = 20;
+const maxBackOffMilliseconds = 1_000;
+/** A rejected caller is asked to wait at least this long before it retries. */
+const minRetryMilliseconds = 250;
+/** A call that ended at its caller's deadline counts as unanswered by the store only if it waited this long. */
+const minConclusiveWaitMilliseconds = 500;
 
-/** Creates a channel. */
 export function createStoreChannel(options: StoreChannelOptions): StoreChannel {
     const { clock, random } = options;
     const budget = createStoreBudget(options);
     const breaker = createStoreBreaker({ ...options, onClosed: budget.drain });
     const timeout = createAnswerTimeout({
-        shortestMilliseconds: options.tryMilliseconds,
-        longestMilliseconds: longestTryMilliseconds,
+        minMilliseconds: options.tryMilliseconds,
+        maxMilliseconds: maxTryMilliseconds,
     });
     let lastAnswerAt: number | undefined;
 
     const admit = async (request: AdmissionRequest): Promise<Admission> => {
-        const { priority, deadline, conduct, signal } = request;
+        const { priority, deadline, outagePolicy, signal } = request;
         for (;;) {
-            if (breaker.isOpen() && conduct === OutageConduct.Leave) {
+            if (breaker.isOpen() && outagePolicy === OutagePolicy.FailFast) {
                 return Admission.Unavailable;
             }
             if (!await breaker.waitUntilClosed(deadline) || !await budget.acquire(priority, deadline, signal)) {
                 return Admission.OutOfTime;
             }
-            // It may have opened while this call waited for its turn.
+            // The breaker may have opened while this call waited for its token.
             if (!breaker.isOpen()) {
                 return Admission.Admitted;
             }
@@ -108,35 +106,35 @@
         breaker.recordAnswer();
     };
 
-    const recordSilence = (startedAt: number, callDeadline: number) => {
-        const isBroken = clock.monotonicNow() < callDeadline;
-        if (isBroken || clock.monotonicNow() - startedAt >= tellingWaitMilliseconds) {
-            breaker.recordSilence(startedAt);
+    const recordUnanswered = (startedAt: number, callDeadline: number) => {
+        const hasFailedEarly = clock.monotonicNow() < callDeadline;
+        if (hasFailedEarly || clock.monotonicNow() - startedAt >= minConclusiveWaitMilliseconds) {
+            breaker.recordUnanswered(startedAt);
         }
     };
 
     const attempt = async <Answer>(call: StoreCall<Answer>, deadline: number) => {
         const startedAt = clock.monotonicNow();
-        const callDeadline = Math.min(deadline, startedAt + longestTryMilliseconds);
+        const callDeadline = Math.min(deadline, startedAt + maxTryMilliseconds);
         const settled = new AbortController();
         const answered = call.send(callDeadline).then(answer => {
-            // Also an answer that comes after its call was tried again tells that the store is there, and how slow.
+            // A late answer, received after its call was tried again, still shows that the store is up, and how slow.
             if (call.isAnswer(answer)) {
                 recordAnswer(startedAt);
             }
             else if (!settled.signal.aborted) {
-                recordSilence(startedAt, callDeadline);
+                recordUnanswered(startedAt, callDeadline);
             }
             return answer;
         });
-        const silent = clock.sleepUntil(startedAt + timeout.current(), settled.signal).then(() => undefined);
-        const answer = await Promise.race([answered, silent]);
-        const isSilent = answer === undefined;
+        const timedOut = clock.sleepUntil(startedAt + timeout.current(), settled.signal).then(() => undefined);
+        const answer = await Promise.race([answered, timedOut]);
+        const isUnanswered = answer === undefined;
         settled.abort();
-        if (isSilent) {
-            recordSilence(startedAt, callDeadline);
+        if (isUnanswered) {
+            recordUnanswered(startedAt, callDeadline);
         }
-        return answer ?? call.silence;
+        return answer ?? call.unanswered;
     };
 
     return {
@@ -146,12 +144,11 @@
             createBackOff({
                 clock,
                 random,
-                shortestMilliseconds: shortestBackOffMilliseconds,
-                longestMilliseconds: longestBackOffMilliseconds,
+                minMilliseconds: minBackOffMilliseconds,
+                maxMilliseconds: maxBackOffMilliseconds,
             }),
         isAvailable: () => !breaker.isOpen(),
-        retryAt: () =>
-            clock.wallNow() + Math.max(shortestRetryMilliseconds, breaker.nextProbeAt() - clock.monotonicNow()),
+        retryAt: () => clock.wallNow() + Math.max(minRetryMilliseconds, breaker.nextProbeAt() - clock.monotonicNow()),
         lastAnswerAt: () => lastAnswerAt,
     };
 }
--- a/packages/daisyturn/src/process/store/storeClient.ts
+++ b/packages/daisyturn/src/process/store/storeClient.ts
@@ -2,7 +2,7 @@
 import type { Result } from "true-myth/result";
 import type { Row, Transaction, TransactionAnswer } from "../../ports/tableService.js";
 
-/** Who goes first when the process is at its share of the table service's rate. */
+/** Priority of a call when the process has reached its share of the table service's rate; leases come first. */
 export enum StorePriority {
     Lease = "lease",
     Claim = "claim",
@@ -12,20 +12,20 @@
 /** Access to the table service within this process's share of its rate. */
 export interface StoreClient {
     /**
-     * Sends a transaction, and settles an unknown outcome by sending it again under the same write id and by reading
-     * back, until the deadline (monotonic). Unknown means that it may still take effect.
+     * Sends a transaction. Resolves an unknown outcome by sending it again under the same write id and by reading the
+     * rows, until the deadline (monotonic). Unknown means that the transaction may still take effect.
      */
     commit(transaction: Transaction, priority: StorePriority, deadline: number): Promise<TransactionAnswer>;
     read(keys: readonly string[], priority: StorePriority, deadline: number): Promise<Result<readonly Row[], Failure>>;
     /** Reads all rows whose key starts with `prefix`, page by page. */
     list(prefix: string, priority: StorePriority, deadline: number): Promise<Result<readonly Row[], Failure>>;
-    /** False while the breaker is open: calls fail at once with StoreUnavailable. */
+    /** False while the breaker is open. New calls then fail immediately with StoreUnavailable. */
     isAvailable(): boolean;
     /** Monotonic time of the last answer; undefined before the first. */
     lastAnswerAt(): number | undefined;
 }
 
-/** A store client that also reads long lists in parts, for those that walk over many rows. */
+/** A store client that can also list rows page by page, for callers that process many rows. */
 export interface PagedStoreClient extends StoreClient {
     /** Reads at most `limit` rows whose key starts with `prefix`, ordered by key, after `afterKey`. */
     listPage(
--- a/packages/daisyturn/src/process/store/transactionGroup.ts
+++ b/packages/daisyturn/src/process/store/transactionGroup.ts
@@ -1,15 +1,15 @@
 import { absentVersion, type Row, type Transaction } from "../../ports/tableService.js";
 
-/** Groups stay under this many written rows. */
-export const mostRowsPerGroup = 100;
+/** Maximum number of rows that a group of several transactions writes. */
+export const maxRowsPerGroup = 100;
 
 /**
- * Whether a transaction may be sent as one with the others: none writes a row that another names, and where two name
- * the same row in a condition they demand the same version.
+ * Whether a transaction can be merged with the others: none writes a row that another one writes or names in a
+ * condition, and conditions on the same row expect the same version.
  */
 export function canJoin(members: readonly Transaction[], candidate: Transaction): boolean {
     const rowCount = [...members, candidate].reduce((sum, member) => sum + member.writes.length, 0);
-    return rowCount <= mostRowsPerGroup && members.every(member => areIndependent(member, candidate));
+    return rowCount <= maxRowsPerGroup && members.every(member => areIndependent(member, candidate));
 }
 
 function areIndependent(left: Transaction, right: Transaction): boolean {
@@ -27,7 +27,7 @@
     return writer.writes.some(write => keys.has(write.key));
 }
 
-/** Makes one transaction of several; each row keeps the write id of its own transaction. */
+/** Merges several transactions into one. Each written row gets the write id of its own transaction. */
 export function mergeTransactions(members: readonly Transaction[], groupId: string): Transaction {
     const conditions = new Map(members.flatMap(member => member.conditions).map(item => [item.key, item]));
     return {
@@ -37,7 +37,7 @@
     };
 }
 
-/** The rows that make a member's own conditions fail, among those that made its group's fail. */
+/** The rows among the group's conflicts that make a member's own conditions fail. */
 export function findMemberConflicts(member: Transaction, conflicts: readonly Row[]): readonly Row[] {
     return conflicts.filter(row =>
         member.conditions.some(condition =>
--- a/packages/daisyturn/src/process/store/writeMarker.ts
+++ b/packages/daisyturn/src/process/store/writeMarker.ts
@@ -4,27 +4,27 @@
 import { absentVersion, type Row, type Transaction, TransactionOutcome } from "../../ports/tableService.js";
 import { type StoreClient, StorePriority } from "./storeClient.js";
 
-/** Keys of all markers begin with this. */
+/** Prefix of the keys of all markers. */
 export const writeMarkerPrefix = "writes/";
 
-/** Markers this old may be removed: no try of their transaction can still be on its way to the store. */
+/** Markers of this age may be removed: no attempt of their transaction can still be in flight. */
 export const defaultMarkerRetentionMilliseconds = 24 * 60 * 60 * 1_000;
 
 const markersPerTransaction = 50;
-const abandonedSuffix = "/abandoned";
+const abortSuffix = "/abandoned";
 
-/** Wall-clock time at which the marker was made, for its removal. */
+/** `madeAt` is the wall-clock time at which the marker was created. It determines when the marker is removed. */
 const markerValueSchema = z.object({ madeAt: z.number() });
 
-/** Key of the marker of a transaction. */
+/** Key of the marker row of a transaction. */
 export function writeMarkerKey(writeId: string): string {
     return writeMarkerPrefix + writeId;
 }
 
 /**
- * Adds a marker row that proves that the transaction took effect, whatever happens to its other rows later. With it the
- * store client gives a definite answer as soon as the store answers, and the transaction runs at most once even if it
- * has no other condition. It costs one row.
+ * Adds a marker row that proves that the transaction took effect, whatever happens to its other rows later. With it,
+ * the store client returns a definite outcome as soon as the store answers, and the transaction commits at most once
+ * even if it has no other condition. It costs one additional row.
  * @param madeAt wall-clock time
  */
 export function addWriteMarker(transaction: Transaction, madeAt: number): Transaction {
@@ -43,33 +43,32 @@
 }
 
 /**
- * A transaction that takes the marker's place. Once it is committed the marked transaction never takes effect, also not
- * a try that is still on its way.
+ * A transaction that writes the marker row in place of the marked transaction. Once it has committed, the marked
+ * transaction can no longer take effect, not even by an attempt that is still in flight.
  */
-export function createAbandonment(transaction: Transaction): Transaction {
+export function createAbortTransaction(transaction: Transaction): Transaction {
     const key = writeMarkerKey(transaction.writeId);
     const marker = transaction.writes.find(write => write.key === key);
     return {
-        writeId: transaction.writeId + abandonedSuffix,
+        writeId: transaction.writeId + abortSuffix,
         conditions: [{ key, expectedVersion: absentVersion }],
         writes: [{ key, value: marker?.value }],
     };
 }
 
-/** What the removal of old markers needs. */
 export interface MarkerRemovalOptions {
     readonly storeClient: StoreClient;
     readonly clock: Clock;
-    /** Makes write ids. */
+    /** Creates write ids. */
     readonly nextWriteId: () => string;
-    /** Must be longer than any transaction can be on its way, plus the difference between the VMs' wall clocks. */
+    /** Must exceed the time that a transaction can be in flight plus the difference between the VMs' wall clocks. */
     readonly retentionMilliseconds?: number;
 }
 
 /**
- * Removes old markers. To be run now and then by one process, at the lowest priority; several at once do no harm.
+ * Removes old markers, at the lowest priority. Should be run periodically by one process; concurrent runs are harmless.
  * @param deadline monotonic
- * @returns how many were removed
+ * @returns the number of removed markers
  */
 export async function removeOldMarkers(
     options: MarkerRemovalOptions,
@@ -100,7 +99,7 @@
     };
 }
 
-/** A marker that can't be read is kept. */
+/** A marker with an unreadable value is never removed. */
 function readMadeAt(value: JsonValue): number {
     const parsed = markerValueSchema.safeParse(value);
     return parsed.success ? parsed.data.madeAt : Number.POSITIVE_INFINITY;
