--- a/packages/daisyturn/src/process/admission/engineRoom.ts
+++ b/packages/daisyturn/src/process/admission/engineRoom.ts
@@ -82,7 +82,7 @@
         const waitLimit = clamp(waitPart * firstTokenLimitMilliseconds, leastWait, mostWait);
         const memoryPart = isAbove ? ordinaryMemory : 1;
         const kvNeed = request.promptTokens + request.expectedOutputTokens;
-        const unseen = loadView.anticipatedWait();
+        const unseen = loadView.estimateUnpublishedPeerWait();
         return (way: PlacementOption) => {
             const load = way.decode;
             const isIdle = load.streams() === 0;
@@ -98,7 +98,7 @@
         const ownPrefill = way.firstToken * way.certainty;
         return {
             engineTime: ownPrefill + decodeTime(request, way),
-            firstToken: way.firstToken + loadView.anticipatedWait(),
+            firstToken: way.firstToken + loadView.estimateUnpublishedPeerWait(),
             ownPrefill,
         };
     };
--- a/packages/daisyturn/src/process/forwarding/views/createPrefillRates.ts
+++ b/packages/daisyturn/src/process/forwarding/views/createPrefillRates.ts
@@ -85,7 +85,7 @@
         const position = keptTokens + tokens / 2;
         const known = fit.at(position);
         const observed = Math.min(known * maxRatio, Math.max(known / maxRatio, milliseconds / tokens));
-        fit.fade(evidenceDecay);
+        fit.decay(evidenceDecay);
         fit.add(position, observed, observed < known ? 1 : weightAbove);
     };
 
--- a/packages/daisyturn/src/process/health/engineHealth.ts
+++ b/packages/daisyturn/src/process/health/engineHealth.ts
@@ -2,7 +2,7 @@
 import { ExchangeSection, type LoadExchange } from "../peers/index.js";
 
 /** What the router may do with an engine. */
-export enum EngineStanding {
+export enum EngineHealthState {
     Healthy = "healthy",
     /** Left alone until its time is over. */
     Ejected = "ejected",
@@ -12,7 +12,7 @@
 
 /** Notices engines that fail or crawl and leaves them alone for a while. */
 export interface EngineHealth {
-    standing(engineId: string): EngineStanding;
+    standing(engineId: string): EngineHealthState;
     /** Whether one more request may go there now, as far as health goes. */
     acceptsWork(engineId: string): boolean;
     recordDispatch(engineId: string): void;
@@ -62,7 +62,7 @@
 }
 
 interface HealthEntry {
-    standing: EngineStanding;
+    standing: EngineHealthState;
     failuresInRow: number;
     slowEvidence: number;
     /** Average logarithm of first-token times against predictions. */
@@ -109,7 +109,7 @@
         return entry;
     };
 
-    const isLeftAlone = (engineId: string) => entries.get(engineId)?.standing === EngineStanding.Ejected;
+    const isLeftAlone = (engineId: string) => entries.get(engineId)?.standing === EngineHealthState.Ejected;
 
     /** The floor: with too many ejected already, a bad engine is still better than none. */
     const mayEject = (engineId: string) => {
@@ -121,11 +121,11 @@
 
     const eject = (engineId: string, reason: EjectionReason) => {
         const entry = ensureEntry(engineId);
-        if (entry.standing === EngineStanding.Ejected || !mayEject(engineId)) {
+        if (entry.standing === EngineHealthState.Ejected || !mayEject(engineId)) {
             return;
         }
         const length = Math.min(longestEjectionMilliseconds, firstEjectionMilliseconds * 2 ** entry.ejections);
-        entry.standing = EngineStanding.Ejected;
+        entry.standing = EngineHealthState.Ejected;
         entry.ejectedUntil = clock.monotonicNow() + length;
         entry.ejections += 1;
         entry.byPeers = reason === EjectionReason.Peers;
@@ -135,8 +135,8 @@
 
     const refresh = (engineId: string) => {
         const entry = ensureEntry(engineId);
-        if (entry.standing === EngineStanding.Ejected && clock.monotonicNow() >= entry.ejectedUntil) {
-            entry.standing = EngineStanding.Probing;
+        if (entry.standing === EngineHealthState.Ejected && clock.monotonicNow() >= entry.ejectedUntil) {
+            entry.standing = EngineHealthState.Probing;
             entry.probesDone = 0;
         }
         return entry;
@@ -145,7 +145,7 @@
     const recoverAfterProbe = (engineId: string, entry: HealthEntry) => {
         entry.probesDone += 1;
         if (entry.probesDone >= probesToRecover) {
-            entry.standing = EngineStanding.Healthy;
+            entry.standing = EngineHealthState.Healthy;
             entry.ejections = Math.max(0, entry.ejections - 1);
             eventLog.record(EventKind.EngineRecovered, { engine: engineId });
         }
@@ -154,7 +154,7 @@
     const recordSuccess = (engineId: string) => {
         const entry = refresh(engineId);
         entry.failuresInRow = 0;
-        if (entry.standing === EngineStanding.Probing) {
+        if (entry.standing === EngineHealthState.Probing) {
             recoverAfterProbe(engineId, entry);
         }
     };
@@ -162,7 +162,7 @@
     const recordFailure = (engineId: string) => {
         const entry = refresh(engineId);
         entry.failuresInRow += 1;
-        const limit = entry.standing === EngineStanding.Probing ? 1 : failuresToEject;
+        const limit = entry.standing === EngineHealthState.Probing ? 1 : failuresToEject;
         if (entry.failuresInRow >= limit) {
             eject(engineId, EjectionReason.Failures);
         }
@@ -195,8 +195,8 @@
 
     const acceptsWork = (engineId: string) => {
         const entry = refresh(engineId);
-        return entry.standing === EngineStanding.Healthy
-            || entry.standing === EngineStanding.Probing && entry.inFlight === 0;
+        return entry.standing === EngineHealthState.Healthy
+            || entry.standing === EngineHealthState.Probing && entry.inFlight === 0;
     };
 
     const collect = (): JsonObject | undefined => {
@@ -215,7 +215,7 @@
         words.set(processId, { ejected: new Set(section.ejected), heardAt: now });
         for (const engineId of section.ejected) {
             const believers = [...words.values()].filter(word => isBeliever(word, engineId, now));
-            if (believers.length >= peersToConvince && refresh(engineId).standing === EngineStanding.Healthy) {
+            if (believers.length >= peersToConvince && refresh(engineId).standing === EngineHealthState.Healthy) {
                 eject(engineId, EjectionReason.Peers);
             }
         }
@@ -249,7 +249,7 @@
 
 function createEntry(): HealthEntry {
     return {
-        standing: EngineStanding.Healthy,
+        standing: EngineHealthState.Healthy,
         failuresInRow: 0,
         slowEvidence: 0,
         averageLog: 0,
--- a/packages/daisyturn/src/process/load/__tests__/cacheIndex.test.ts
+++ b/packages/daisyturn/src/process/load/__tests__/cacheIndex.test.ts
@@ -24,11 +24,11 @@
             const name = names[random.integerBelow(names.length)]!;
             const blocks = draw();
             if (random.integerBelow(3) === 0) {
-                index.view(name).forgetAfter(hashBlocks(blocks), 1);
+                index.view(name).removeAfter(hashBlocks(blocks), 1);
                 blocks.slice(1).forEach(block => plain.get(name)!.delete(block));
             }
             else {
-                index.view(name).expect(hashBlocks(blocks));
+                index.view(name).addExpected(hashBlocks(blocks));
                 blocks.forEach(block => plain.get(name)!.add(block));
             }
             const asked = draw();
@@ -43,7 +43,7 @@
     test("stays within its bound and keeps what was used last", () => {
         const index = createCacheIndex(1_024);
         for (let prompt = 0; prompt < 2_000; prompt++) {
-            index.view("e1").expect(hashBlocks(["shared", `own-${prompt}`, `tail-${prompt}`]));
+            index.view("e1").addExpected(hashBlocks(["shared", `own-${prompt}`, `tail-${prompt}`]));
         }
         assert.ok(index.size() <= 1_024, `${index.size()}`);
         assert.equal(index.match(["shared", "own-1999", "tail-1999"]).matchedBy(index.view("e1")), 3);
@@ -74,8 +74,8 @@
 
     test("an engine that takes the place of one that left starts empty", () => {
         const index = createCacheIndex();
-        index.view("e1").expect(hashBlocks(["a"]));
-        index.dropEngine("e1");
+        index.view("e1").addExpected(hashBlocks(["a"]));
+        index.removeEngine("e1");
         assert.equal(index.match(["a"]).matchedBy(index.view("e2")), 0);
         assert.equal(index.size(), 0);
     });
--- a/packages/daisyturn/src/process/load/__tests__/engineRates.test.ts
+++ b/packages/daisyturn/src/process/load/__tests__/engineRates.test.ts
@@ -37,7 +37,7 @@
     }
     assertNear(rates.prefillPerMillisecond(30), 1 / 0.24, 0.12);
     for (let report = 0; report < 300; report++) {
-        rates.fade();
+        rates.decay();
     }
     assertNear(rates.prefillPerMillisecond(1), 10, 0.1);
 });
--- a/packages/daisyturn/src/process/load/cacheIndex.ts
+++ b/packages/daisyturn/src/process/load/cacheIndex.ts
@@ -18,7 +18,7 @@
     /** The view of one engine, made on first use. */
     view(engineId: string): CacheView;
     /** Frees the place of an engine that has left. */
-    dropEngine(engineId: string): void;
+    removeEngine(engineId: string): void;
     match(blocks: readonly string[]): CacheMatch;
     /** Blocks that some engine is thought to hold. */
     size(): number;
@@ -57,7 +57,7 @@
         return created;
     };
 
-    const dropEngine = (engineId: string) => {
+    const removeEngine = (engineId: string) => {
         const dropped = views.get(engineId);
         if (dropped) {
             dropped.clear();
@@ -74,7 +74,7 @@
         return { knownBlocks, keys, matchedBy: view => depths[view.slot]! };
     };
 
-    return { view, dropEngine, match, size: table.size };
+    return { view, removeEngine, match, size: table.size };
 }
 
 /** Follows the chain of blocks, notes for each engine where it falls out, and counts the blocks anybody has. */
--- a/packages/daisyturn/src/process/load/cacheView.ts
+++ b/packages/daisyturn/src/process/load/cacheView.ts
@@ -8,13 +8,13 @@
  */
 export interface CacheView {
     /** Enters a placement's blocks ahead of the engine's events. */
-    expect(keys: BlockKeys): void;
+    addExpected(keys: BlockKeys): void;
     /** Takes in a page of events. A gap or a new incarnation empties the view first. */
     apply(page: CacheEventPage): void;
     /** Empties the view if the engine has been restarted. */
     applyIncarnation(incarnation: string): void;
     /** Takes back what was expected beyond the first `matched` blocks. */
-    forgetAfter(keys: BlockKeys, matched: number): void;
+    removeAfter(keys: BlockKeys, matched: number): void;
     clear(): void;
     /** Number of the engine in matches. */
     readonly slot: EngineSlot;
@@ -95,10 +95,10 @@
 
     return {
         slot,
-        expect: store,
+        addExpected: store,
         apply,
         applyIncarnation,
-        forgetAfter: (keys, matched) => remove(keys.subarray(2 * matched)),
+        removeAfter: (keys, matched) => remove(keys.subarray(2 * matched)),
         clear,
         cursor: () => cursor,
     };
@@ -108,10 +108,10 @@
 export function createEmptyCacheView(): CacheView {
     return {
         slot: noSlot,
-        expect: () => undefined,
+        addExpected: () => undefined,
         apply: () => undefined,
         applyIncarnation: () => undefined,
-        forgetAfter: () => undefined,
+        removeAfter: () => undefined,
         clear: () => undefined,
         cursor: () => 0,
     };
--- a/packages/daisyturn/src/process/load/createLoadView.ts
+++ b/packages/daisyturn/src/process/load/createLoadView.ts
@@ -11,13 +11,13 @@
 } from "../peers/index.js";
 import type { TargetDirectory } from "../targets/index.js";
 import { type CacheIndex, createCacheIndex } from "./cacheIndex.js";
-import { createEngineLoad, type EndedWork, type EngineLoad, type SentWork } from "./engineLoad.js";
-import { createPeerInflow } from "./peerInflow.js";
+import { createEngineLoad, type EngineLoad, type FinishedWork, type SentWork } from "./engineLoad.js";
+import { createUnpublishedPeerWork } from "./unpublishedPeerWork.js";
 
 /** Work that this process has sent; one of the endings must be called once. */
-export interface SentHandle {
+export interface SentWorkHandle {
     /** Tells the stream's id, by which an engine's report can name it. */
-    nameStream(streamId: string): void;
+    setStreamId(streamId: string): void;
     /** The work ran and has ended. */
     end(): void;
     /** The engine never took the work. */
@@ -34,11 +34,11 @@
     /** What the engines' prefix caches are thought to hold. */
     readonly caches: CacheIndex;
     /** Counts work that is about to be sent. */
-    recordSent(work: Omit<SentWork, "sentAt">): SentHandle;
+    recordSent(work: Omit<SentWork, "sentAt">): SentWorkHandle;
     /** What the processes tell each other; other modules add their parts. */
     readonly exchange: LoadExchange;
     /** Milliseconds of prefill for each engine that peers have probably sent since they last told. */
-    anticipatedWait(): number;
+    estimateUnpublishedPeerWait(): number;
     /** Processes that send to the engines, this one included. */
     countProcesses(): number;
     /** Called after each report that was taken in. */
@@ -74,7 +74,7 @@
 
 interface SentWorkSection {
     readonly sent: readonly SentWork[];
-    readonly ended: readonly EndedWork[];
+    readonly ended: readonly FinishedWork[];
 }
 
 /** Creates the view; `run` must be running for it to learn anything. */
@@ -82,13 +82,13 @@
     const { targets, clock, reportIntervalMilliseconds } = options;
     const exchangeIntervalMilliseconds = options.exchangeIntervalMilliseconds ?? defaultExchangeIntervalMilliseconds;
     const exchange = createLoadExchange({ ...options, exchangeIntervalMilliseconds });
-    const inflow = createPeerInflow({ ...options, exchange });
+    const unpublished = createUnpublishedPeerWork({ ...options, exchange });
     const known = new Map<string, EngineLoad>();
     const caches = createCacheIndex();
     const polled = new Set<string>();
     const listeners: ((load: EngineLoad) => void)[] = [];
     let sent: SentWork[] = [];
-    let ended: EndedWork[] = [];
+    let ended: FinishedWork[] = [];
 
     const ensureLoad = (engineId: string) => {
         const found = known.get(engineId);
@@ -144,7 +144,7 @@
         polled.delete(engine.engineId);
         if (!targets.engine(engine.engineId)) {
             known.delete(engine.engineId);
-            caches.dropEngine(engine.engineId);
+            caches.removeEngine(engine.engineId);
         }
     };
 
@@ -161,7 +161,7 @@
         await Promise.all(polls);
     };
 
-    const recordSent = (work: Omit<SentWork, "sentAt">): SentHandle => {
+    const recordSent = (work: Omit<SentWork, "sentAt">): SentWorkHandle => {
         const timed: SentWork = { ...work, sentAt: clock.wallNow() };
         let isOpen = true;
         ensureLoad(work.engineId).add(timed);
@@ -172,12 +172,12 @@
             }
             isOpen = false;
             const { engineId, kvTokens, decodes } = work;
-            const end: EndedWork = { engineId, kvTokens, decodes, unstartedPrefillTokens, endedAt: clock.wallNow() };
+            const end: FinishedWork = { engineId, kvTokens, decodes, unstartedPrefillTokens, endedAt: clock.wallNow() };
             known.get(engineId)?.end(end);
             ended.push(end);
         };
         return {
-            nameStream: streamId => {
+            setStreamId: streamId => {
                 timed.streamId = streamId;
             },
             end: () => finish(0),
@@ -197,7 +197,10 @@
         for (const work of section.sent) {
             const load = known.get(work.engineId);
             load?.add(work);
-            inflow.note(from.processId, work.prefillTokens / (load?.prefillPerMillisecond() ?? Infinity));
+            unpublished.recordPublished(
+                from.processId,
+                work.prefillTokens / (load?.prefillPerMillisecond() ?? Infinity),
+            );
         }
         section.ended.forEach(work => known.get(work.engineId)?.end(work));
     };
@@ -223,7 +226,7 @@
         find: engineId => known.get(engineId),
         caches,
         recordSent,
-        anticipatedWait: () => inflow.untold() / Math.max(1, known.size),
+        estimateUnpublishedPeerWait: () => unpublished.estimatePrefillMilliseconds() / Math.max(1, known.size),
         countProcesses: () => 1 + options.membership.livePeers().length,
         exchange,
         onReport: listener => listeners.push(listener),
--- a/packages/daisyturn/src/process/load/engineLoad.ts
+++ b/packages/daisyturn/src/process/load/engineLoad.ts
@@ -19,7 +19,7 @@
 }
 
 /** Work that has left an engine. */
-export interface EndedWork {
+export interface FinishedWork {
     readonly engineId: string;
     /** Prompt tokens that were never prefilled, because the engine did not take the work. */
     readonly unstartedPrefillTokens: number;
@@ -47,7 +47,7 @@
     state(): EngineState | undefined;
     applyState(state: EngineState): void;
     add(work: SentWork): void;
-    end(work: EndedWork): void;
+    end(work: FinishedWork): void;
     /** Prompt tokens prefilled a millisecond, with the streams that decode beside. */
     prefillPerMillisecond(): number;
     /** Milliseconds from the wall-clock time `now` until what waits is prefilled. */
@@ -74,7 +74,7 @@
     let state: EngineState | undefined;
     let reportedAt: number | undefined;
     let unreported: SentWork[] = [];
-    let endedSinceReport: EndedWork[] = [];
+    let endedSinceReport: FinishedWork[] = [];
     // Prompt tokens waiting at the wall-clock time `queueAt`; between two sends the engine works them off.
     let queueTokens = 0;
     let queueAt = clock.wallNow();
@@ -96,7 +96,7 @@
         kvTokens += work.kvTokens;
     };
 
-    const countEnded = (work: EndedWork) => {
+    const countEnded = (work: FinishedWork) => {
         queueTokens = Math.max(0, queueTokens - work.unstartedPrefillTokens);
         streams = Math.max(0, streams - (work.decodes ? 1 : 0));
         kvTokens = Math.max(0, kvTokens - work.kvTokens);
@@ -126,7 +126,7 @@
         if (report && report.incarnation === next.incarnation && next.asOf < report.asOf) {
             return;
         }
-        rates.fade();
+        rates.decay();
         if (report) {
             learnThroughput(report, next);
         }
@@ -153,7 +153,7 @@
         }
     };
 
-    const end = (work: EndedWork) => {
+    const end = (work: FinishedWork) => {
         if (endedSinceReport.length < maximumUnreported && (!report || work.endedAt >= report.asOf)) {
             endedSinceReport.push(work);
             countEnded(work);
--- a/packages/daisyturn/src/process/load/engineRates.ts
+++ b/packages/daisyturn/src/process/load/engineRates.ts
@@ -22,7 +22,7 @@
     /** Takes in the mean milliseconds between tokens of a stream that ran in a batch of `streams`. */
     observeBetweenTokens(streams: number, milliseconds: number): void;
     /** To be called with each report: what was learned long ago counts less, so that an engine gets new chances. */
-    fade(): void;
+    decay(): void;
 }
 
 /** Used until an engine reports a rate, in tokens a second. */
@@ -81,9 +81,9 @@
         observePrefill: (streams, tokensPerMillisecond) =>
             observeRatio(streams, 1 / tokensPerMillisecond / prefill.at(streams), 1),
         observeBetweenTokens: (streams, milliseconds) => decode.add(Math.max(1, streams), milliseconds, 1),
-        fade: () => {
-            prefill.fade(fadePerReport);
-            decode.fade(fadePerReport);
+        decay: () => {
+            prefill.decay(fadePerReport);
+            decode.decay(fadePerReport);
         },
     };
 }
--- a/packages/daisyturn/src/process/load/lineFit.ts
+++ b/packages/daisyturn/src/process/load/lineFit.ts
@@ -2,7 +2,7 @@
 export interface LineFit {
     add(x: number, y: number, weight: number): void;
     /** Lets all that was added count less, down to `factor` of what it did. */
-    fade(factor: number): void;
+    decay(factor: number): void;
     /** Places the fixed points anew. */
     setPrior(prior: LinePrior): void;
     at(x: number): number;
@@ -40,7 +40,7 @@
         base = Math.max(0, (sums.y - slope * sums.x) / sums.weight);
     };
 
-    const fade = (factor: number) => {
+    const decay = (factor: number) => {
         const { weight, x, squares, y, products } = evidence;
         evidence = {
             weight: weight * factor,
@@ -54,12 +54,12 @@
     solve();
     return {
         add: (x, y, weight) => {
-            fade(memory ** weight);
+            decay(memory ** weight);
             addTo(evidence, x, y, weight);
             solve();
         },
-        fade: factor => {
-            fade(factor);
+        decay: factor => {
+            decay(factor);
             solve();
         },
         setPrior: next => {
--- a/packages/daisyturn/src/process/roles/__tests__/mixPersistence.test.ts
+++ b/packages/daisyturn/src/process/roles/__tests__/mixDurationEstimate.test.ts
@@ -1,13 +1,13 @@
 import { FakeClock } from "daisyturn-utils";
 import assert from "node:assert/strict";
 import { describe, it } from "node:test";
-import { createMixPersistence } from "../mixPersistence.js";
+import { createMixDurationEstimate } from "../mixDurationEstimate.js";
 
 const second = 1_000;
 
 /** Notes a share every second that swings between two mixes, each lasting `mixSeconds`. */
 async function swing(clock: FakeClock, mixSeconds: number, rounds: number) {
-    const persistence = createMixPersistence({ clock, priorMilliseconds: 60 * second });
+    const persistence = createMixDurationEstimate({ clock, priorMilliseconds: 60 * second });
     for (let tick = 0; tick < mixSeconds * rounds; tick++) {
         persistence.note(Math.floor(tick / mixSeconds) % 2 === 0 ? 0.8 : 0.2);
         await clock.advance(second);
@@ -17,7 +17,7 @@
 
 describe("createMixPersistence", () => {
     it("expects the prior before anything is known", () => {
-        const persistence = createMixPersistence({ clock: new FakeClock(), priorMilliseconds: 60 * second });
+        const persistence = createMixDurationEstimate({ clock: new FakeClock(), priorMilliseconds: 60 * second });
         assert.equal(persistence.expectedRemaining(), 60 * second);
     });
 
@@ -34,7 +34,7 @@
 
     it("takes one odd share for chance", async () => {
         const clock = new FakeClock();
-        const persistence = createMixPersistence({ clock, priorMilliseconds: 60 * second });
+        const persistence = createMixDurationEstimate({ clock, priorMilliseconds: 60 * second });
         for (const share of [0.5, 0.5, 0.9, 0.5, 0.5]) {
             persistence.note(share);
             await clock.advance(second);
--- a/packages/daisyturn/src/process/roles/chooseSplit.ts
+++ b/packages/daisyturn/src/process/roles/chooseRoleSplit.ts
@@ -1,5 +1,5 @@
 /** What a pool of engines is asked for and what changing it costs. A pool's engines all serve the same models. */
-export interface SplitQuestion {
+export interface RoleSplitInput {
     /** Engines that prefill now, those on their way to that role included. */
     readonly prefillEngines: number;
     readonly decodeEngines: number;
@@ -7,22 +7,22 @@
     readonly prefillDemand: number;
     readonly decodeDemand: number;
     /** Mean of both demands over a long past: what is expected once the present mix has ended. */
-    readonly laterPrefillDemand: number;
-    readonly laterDecodeDemand: number;
+    readonly meanPrefillDemand: number;
+    readonly meanDecodeDemand: number;
     /** Worth of all that arrives, a second. */
     readonly worthPerSecond: number;
     /** Cost of one change, in the unit of the worth. */
     readonly changeCost: number;
     /** How long the mix is expected to hold. */
-    readonly holdMilliseconds: number;
+    readonly expectedMixMilliseconds: number;
     /** How long an engine is away for a change, its drain included. */
     readonly changeMilliseconds: number;
     /** How long it takes to notice that the mix has changed. */
-    readonly noticeMilliseconds: number;
+    readonly detectionMilliseconds: number;
 }
 
 /** What is best done. */
-export interface SplitAnswer {
+export interface RoleSplitChoice {
     readonly prefillEngines: number;
     /** Worth gained over the time the mix is expected to hold, less all costs; 0 if nothing is changed. */
     readonly net: number;
@@ -33,11 +33,11 @@
 const millisecondsPerSecond = 1_000;
 
 /** The number of prefill engines with the greatest net worth; the present one unless another pays. */
-export function chooseSplit(question: SplitQuestion): SplitAnswer {
+export function chooseRoleSplit(question: RoleSplitInput): RoleSplitChoice {
     const engines = question.prefillEngines + question.decodeEngines;
-    let best: SplitAnswer = { prefillEngines: question.prefillEngines, net: 0 };
+    let best: RoleSplitChoice = { prefillEngines: question.prefillEngines, net: 0 };
     for (let prefillEngines = 1; prefillEngines < engines; prefillEngines++) {
-        const net = computeNet(question, prefillEngines);
+        const net = computeNetWorth(question, prefillEngines);
         if (net > best.net) {
             best = { prefillEngines, net };
         }
@@ -50,18 +50,18 @@
  * what the split loses after the mix has ended until it is changed again, and the cost. Without the third part the
  * planner went after every swing and stood wrong at the next one (seen in the bench with swings of 20 s).
  */
-export function computeNet(question: SplitQuestion, prefillEngines: number): number {
-    const { changeMilliseconds, holdMilliseconds, noticeMilliseconds } = question;
+export function computeNetWorth(question: RoleSplitInput, prefillEngines: number): number {
+    const { changeMilliseconds, expectedMixMilliseconds, detectionMilliseconds } = question;
     const engines = question.prefillEngines + question.decodeEngines;
     const moved = Math.abs(prefillEngines - question.prefillEngines);
     const present: Demand = { prefill: question.prefillDemand, decode: question.decodeDemand };
-    const later: Demand = { prefill: question.laterPrefillDemand, decode: question.laterDecodeDemand };
+    const later: Demand = { prefill: question.meanPrefillDemand, decode: question.meanDecodeDemand };
     const stay: Split = { prefill: question.prefillEngines, decode: question.decodeEngines };
     const go: Split = { prefill: prefillEngines, decode: engines - prefillEngines };
     const during: Split = { prefill: Math.min(stay.prefill, go.prefill), decode: Math.min(stay.decode, go.decode) };
-    const changeSeconds = Math.min(changeMilliseconds, holdMilliseconds) / millisecondsPerSecond;
-    const holdSeconds = holdMilliseconds / millisecondsPerSecond;
-    const laterSeconds = (noticeMilliseconds + changeMilliseconds) / millisecondsPerSecond;
+    const changeSeconds = Math.min(changeMilliseconds, expectedMixMilliseconds) / millisecondsPerSecond;
+    const holdSeconds = expectedMixMilliseconds / millisecondsPerSecond;
+    const laterSeconds = (detectionMilliseconds + changeMilliseconds) / millisecondsPerSecond;
     const gained = (serve(present, go) - serve(present, stay)) * (holdSeconds - changeSeconds);
     const missed = (serve(present, stay) - serve(present, during)) * changeSeconds;
     const lostLater = (serve(later, stay) - serve(later, go)) * laterSeconds;
--- a/packages/daisyturn/src/process/roles/createRolePlanner.ts
+++ b/packages/daisyturn/src/process/roles/createRolePlanner.ts
@@ -5,9 +5,9 @@
 import type { EngineLoad, LoadView } from "../load/index.js";
 import type { Controller } from "../orders/index.js";
 import { type ArrivalMeter, arrivalWindowMilliseconds } from "./arrivalMeter.js";
-import { chooseSplit, type SplitQuestion } from "./chooseSplit.js";
+import { chooseRoleSplit, type RoleSplitInput } from "./chooseRoleSplit.js";
 import { createMeanDemand, type MeanDemand } from "./meanDemand.js";
-import { createMixPersistence, type MixPersistence } from "./mixPersistence.js";
+import { createMixDurationEstimate, type MixDurationEstimate } from "./mixDurationEstimate.js";
 import { computeDemand, listRolePools, type PoolDemand, type RolePool } from "./rolePool.js";
 
 const demandDigits = 2;
@@ -17,7 +17,7 @@
     readonly engineId: string;
     readonly role: EngineRole;
     /** What it was decided from; absent where a baseline decides. */
-    readonly question?: SplitQuestion;
+    readonly question?: RoleSplitInput;
 }
 
 /** Decides which engines change their role. Other planners are baselines in measurements. */
@@ -32,22 +32,22 @@
 export interface RolePlannerSettings {
     readonly intervalMilliseconds: number;
     /** Expected length of a mix before any has ended. */
-    readonly priorHoldMilliseconds: number;
+    readonly priorMixMilliseconds: number;
     /** How long a change is expected to take, its drain included. */
     readonly changeMilliseconds: number;
     /** How long it takes to notice a new mix: the window of the arrival meter. */
-    readonly noticeMilliseconds: number;
+    readonly detectionMilliseconds: number;
     /** Largest part of a pool that may be away at once; one engine always may. */
-    readonly mostAwayPart: number;
+    readonly maxChangingFraction: number;
 }
 
 /** Settings for fleets whose role change takes seconds and whose mix swings within minutes. */
 export const defaultRolePlannerSettings: RolePlannerSettings = {
     intervalMilliseconds: 1_000,
-    priorHoldMilliseconds: 60_000,
+    priorMixMilliseconds: 60_000,
     changeMilliseconds: 8_000,
-    noticeMilliseconds: arrivalWindowMilliseconds,
-    mostAwayPart: 0.25,
+    detectionMilliseconds: arrivalWindowMilliseconds,
+    maxChangingFraction: 0.25,
 };
 
 /** What the planner's task needs. */
@@ -99,7 +99,7 @@
 
 /** What is remembered of one pool's demand. */
 interface PoolPast {
-    readonly persistence: MixPersistence;
+    readonly persistence: MixDurationEstimate;
     readonly mean: MeanDemand;
 }
 
@@ -110,7 +110,7 @@
     const findPast = (pool: RolePool): PoolPast => {
         const key = pool.models.join("\n");
         const known = pasts.get(key) ?? {
-            persistence: createMixPersistence({ clock, priorMilliseconds: settings.priorHoldMilliseconds }),
+            persistence: createMixDurationEstimate({ clock, priorMilliseconds: settings.priorMixMilliseconds }),
             mean: createMeanDemand(),
         };
         pasts.set(key, known);
@@ -119,23 +119,23 @@
 
     const planPool = (pool: RolePool, demand: PoolDemand): RoleChange[] => {
         const engines = pool.prefill.length + pool.decode.length + pool.away;
-        const mayLeave = Math.max(1, Math.floor(engines * settings.mostAwayPart)) - pool.away;
+        const mayLeave = Math.max(1, Math.floor(engines * settings.maxChangingFraction)) - pool.away;
         const { persistence, mean } = findPast(pool);
         const later = mean.value();
-        const question: SplitQuestion = {
+        const question: RoleSplitInput = {
             prefillEngines: pool.prefill.length,
             decodeEngines: pool.decode.length,
             prefillDemand: demand.prefillEngines,
             decodeDemand: demand.decodeEngines,
             worthPerSecond: demand.worthPerSecond,
             changeCost: demand.changeCost,
-            holdMilliseconds: persistence.expectedRemaining(),
+            expectedMixMilliseconds: persistence.expectedRemaining(),
             changeMilliseconds: settings.changeMilliseconds,
-            noticeMilliseconds: settings.noticeMilliseconds,
-            laterPrefillDemand: later.prefillEngines,
-            laterDecodeDemand: later.decodeEngines,
+            detectionMilliseconds: settings.detectionMilliseconds,
+            meanPrefillDemand: later.prefillEngines,
+            meanDecodeDemand: later.decodeEngines,
         };
-        const answer = chooseSplit(question);
+        const answer = chooseRoleSplit(question);
         return chooseEngines(pool, answer.prefillEngines, Math.max(0, mayLeave))
             .map(change => ({ ...change, question }));
     };
@@ -178,12 +178,12 @@
 }
 
 /** The figures of a decision, rounded, for the log. */
-function describeQuestion(question: SplitQuestion): EventFields {
+function describeQuestion(question: RoleSplitInput): EventFields {
     return {
         prefillEngines: question.prefillEngines,
         decodeEngines: question.decodeEngines,
         prefillDemand: Number(question.prefillDemand.toFixed(demandDigits)),
         decodeDemand: Number(question.decodeDemand.toFixed(demandDigits)),
-        holdMilliseconds: Math.round(question.holdMilliseconds),
+        holdMilliseconds: Math.round(question.expectedMixMilliseconds),
     };
 }
--- a/packages/daisyturn/src/process/roles/index.ts
+++ b/packages/daisyturn/src/process/roles/index.ts
@@ -5,6 +5,6 @@
  */
 
 export * from "./arrivalMeter.js";
-export * from "./chooseSplit.js";
+export * from "./chooseRoleSplit.js";
 export * from "./createRolePlanner.js";
 export * from "./rolePool.js";
--- a/packages/daisyturn/src/process/roles/mixPersistence.ts
+++ b/packages/daisyturn/src/process/roles/mixDurationEstimate.ts
@@ -1,15 +1,15 @@
 import type { Clock } from "daisyturn-utils";
 
 /** Learns how long the mix of prefill and decode work stays much the same. */
-export interface MixPersistence {
+export interface MixDurationEstimate {
     /** Takes the present share of prefill in all work, from 0 to 1. To be called at a steady interval. */
     note(prefillShare: number): void;
     /** Milliseconds for which the present mix is expected to go on. */
     expectedRemaining(): number;
 }
 
-/** Settings of {@link createMixPersistence}. */
-export interface MixPersistenceOptions {
+/** Settings of {@link createMixDurationEstimate}. */
+export interface MixDurationEstimateOptions {
     readonly clock: Clock;
     /** Expected length of a mix before any has ended. */
     readonly priorMilliseconds: number;
@@ -28,7 +28,9 @@
 const outlastingPart = 0.5;
 
 /** Creates the estimate; a run begins with the first share noted. */
-export function createMixPersistence({ clock, priorMilliseconds }: MixPersistenceOptions): MixPersistence {
+export function createMixDurationEstimate(
+    { clock, priorMilliseconds }: MixDurationEstimateOptions,
+): MixDurationEstimate {
     let expectedLength = priorMilliseconds;
     let runStartedAt = clock.monotonicNow();
     let runMean: number | undefined;
--- a/packages/daisyturn/src/process/routing/createPlacement.ts
+++ b/packages/daisyturn/src/process/routing/createPlacement.ts
@@ -1,6 +1,6 @@
 import type { Clock } from "daisyturn-utils";
 import type { EngineHealth } from "../health/index.js";
-import type { CacheMatch, EngineLoad, LoadView, OutputLengths, SentHandle, TransferRate } from "../load/index.js";
+import type { CacheMatch, EngineLoad, LoadView, OutputLengths, SentWorkHandle, TransferRate } from "../load/index.js";
 import type { PlacementOption } from "./placementCost.js";
 import { tokensPerBlock } from "./placementCost.js";
 import { type Placement, PlacementOutcome, type PlacementUsage, type RoutingRequest } from "./router.js";
@@ -59,7 +59,7 @@
     let isOpen = true;
 
     loads.forEach(load => health.recordDispatch(load.engineId));
-    prefillLoad.cache.expect(match.keys);
+    prefillLoad.cache.addExpected(match.keys);
 
     const recordPrefilled = (usage?: PlacementUsage) => {
         prefilledAt = clock.monotonicNow();
@@ -110,7 +110,7 @@
     /** What never was prefilled is not in the cache, whatever was entered ahead. */
     const forgetPrefix = () => {
         if (firstTokenAt === undefined && prefilledAt === undefined) {
-            prefillLoad.cache.forgetAfter(match.keys, option.matchedBlocks);
+            prefillLoad.cache.removeAfter(match.keys, option.matchedBlocks);
         }
     };
 
@@ -144,7 +144,7 @@
         engine: option.decode.engineId,
         expectedFirstTokenAt: clock.wallNow() + option.firstToken,
         recordStream: (engine, streamId) => {
-            loads.filter(load => load.engineId === engine).forEach(load => handles.get(load)?.nameStream(streamId));
+            loads.filter(load => load.engineId === engine).forEach(load => handles.get(load)?.setStreamId(streamId));
         },
         recordPrefilled,
         recordFirstToken,
@@ -160,7 +160,7 @@
     loadView: LoadView,
     request: RoutingRequest,
     option: PlacementOption,
-): Map<EngineLoad, SentHandle> {
+): Map<EngineLoad, SentWorkHandle> {
     const kvTokens = request.promptTokens + request.expectedOutputTokens;
     const decodePart = {
         engineId: option.decode.engineId,
