--- a/packages/daisyturn/src/process/roles/__tests__/chooseRoleSplit.test.ts
+++ b/packages/daisyturn/src/process/roles/__tests__/chooseRoleSplit.test.ts
@@ -45,7 +45,7 @@
 
     it("does not follow a mix whose end would leave the split wrong for longer than the mix lasts", () => {
         const swing = createQuestion({ prefillDemand: 3.6, decodeDemand: 2, expectedMixMilliseconds: 20_000 });
-        const opposite = { laterPrefillDemand: 2, laterDecodeDemand: 3.6 };
+        const opposite = { meanPrefillDemand: 2, meanDecodeDemand: 3.6 };
         assert.equal(chooseRoleSplit({ ...swing, ...opposite }).prefillEngines, 4);
         assert.equal(chooseRoleSplit({ ...swing, meanPrefillDemand: 3.6, meanDecodeDemand: 2 }).prefillEngines, 5);
     });
