--- a/packages/daisyturn/src/process/load/__tests__/cacheIndex.test.ts
+++ b/packages/daisyturn/src/process/load/__tests__/cacheIndex.test.ts
@@ -11,11 +11,11 @@
 });
 
 describe("cache index", () => {
-    test("agrees with one set for each engine on random changes", () => {
+    test("matches as many blocks as a model with one set per engine after random changes", () => {
         const random = createSeededRandom(3);
         const index = createCacheIndex(100_000);
         const names = [...Array(40).keys()].map(number => `e${number}`);
-        const plain = new Map(names.map(name => [name, new Set<string>()]));
+        const model = new Map(names.map(name => [name, new Set<string>()]));
         const draw = () => {
             const chain = random.integerBelow(12);
             return [...Array(1 + random.integerBelow(10)).keys()].map(depth => `${chain}-${depth}`);
@@ -25,22 +25,22 @@
             const blocks = draw();
             if (random.integerBelow(3) === 0) {
                 index.view(name).removeAfter(hashBlocks(blocks), 1);
-                blocks.slice(1).forEach(block => plain.get(name)!.delete(block));
+                blocks.slice(1).forEach(block => model.get(name)!.delete(block));
             }
             else {
                 index.view(name).addExpected(hashBlocks(blocks));
-                blocks.forEach(block => plain.get(name)!.add(block));
+                blocks.forEach(block => model.get(name)!.add(block));
             }
-            const asked = draw();
-            const match = index.match(asked);
+            const queried = draw();
+            const match = index.match(queried);
             for (const other of names) {
-                const end = asked.findIndex(block => !plain.get(other)!.has(block));
-                assert.equal(match.matchedBy(index.view(other)), end < 0 ? asked.length : end);
+                const end = queried.findIndex(block => !model.get(other)!.has(block));
+                assert.equal(match.matchedBy(index.view(other)), end < 0 ? queried.length : end);
             }
         }
     });
 
-    test("stays within its bound and keeps what was used last", () => {
+    test("stays within its limit and retains the most recently added blocks", () => {
         const index = createCacheIndex(1_024);
         for (let prompt = 0; prompt < 2_000; prompt++) {
             index.view("e1").addExpected(hashBlocks(["shared", `own-${prompt}`, `tail-${prompt}`]));
@@ -50,7 +50,7 @@
         assert.equal(index.match(["own-0"]).matchedBy(index.view("e1")), 0);
     });
 
-    test("a gap in the events empties the engine's view, a repeated event does not", () => {
+    test("a gap in the events clears the engine's view, and a repeated event does not", () => {
         const index = createCacheIndex();
         const view = index.view("e1");
         view.apply(page("1", { sequence: 1, stored: ["a"] }, { sequence: 2, stored: ["b"] }));
@@ -61,7 +61,7 @@
         assert.equal(index.match(["c"]).matchedBy(view), 1);
     });
 
-    test("a restarted engine holds nothing and is read from the beginning", () => {
+    test("a restart of an engine clears its view and resets the cursor", () => {
         const index = createCacheIndex();
         const view = index.view("e1");
         view.apply(page("1", { sequence: 7, stored: ["a"] }));
@@ -72,7 +72,7 @@
         assert.equal(index.match(["b"]).matchedBy(view), 1);
     });
 
-    test("an engine that takes the place of one that left starts empty", () => {
+    test("an engine that gets the slot of a removed engine starts empty", () => {
         const index = createCacheIndex();
         index.view("e1").addExpected(hashBlocks(["a"]));
         index.removeEngine("e1");
--- a/packages/daisyturn/src/process/load/__tests__/engineLoad.test.ts
+++ b/packages/daisyturn/src/process/load/__tests__/engineLoad.test.ts
@@ -16,7 +16,7 @@
     return { clock, load, send };
 }
 
-test("what was sent after a report's own time is added to it, what was sent before is not", async () => {
+test("work sent after a report's own time is added to the report, and earlier work is not", async () => {
     const { clock, load, send } = createFixture();
     const start = clock.wallNow();
     send(start);
@@ -24,11 +24,11 @@
     send(start + 400);
     load.applyReport(createReport("e1", { asOf: start + 200, runningStreams: 1, queuedPrefillTokens: 0 }));
     assert.equal(load.streams(), 2);
-    // Of two prompts of 1,000 tokens, only the one that was sent just now waits.
+    // Only the second of the two prompts of 1,000 tokens is queued.
     assert.equal(load.prefillWait(clock.wallNow()), 1_000 / load.prefillPerMillisecond());
 });
 
-test("the queue is worked off between reports, and no further than to its end", async () => {
+test("the estimated queue shrinks between reports, and not below zero", async () => {
     const { clock, load } = createFixture();
     load.applyReport(createReport("e1", { asOf: clock.wallNow(), queuedPrefillTokens: 5_000 }));
     const whole = load.prefillWait(clock.wallNow());
@@ -38,7 +38,7 @@
     assert.equal(load.prefillWait(clock.wallNow()), 0);
 });
 
-test("a stream that a report lists is not added again although the engine's clock is behind", async () => {
+test("a stream that a report lists is not added again if the engine's clock is behind", async () => {
     const { clock, load, send } = createFixture();
     await clock.advance(1_000);
     const now = clock.wallNow();
@@ -49,7 +49,7 @@
     assert.equal(load.streams(), 2);
 });
 
-test("a stream that ended after the report's time is taken off, once, and not from later reports", async () => {
+test("a stream that ended after a report's time is subtracted from that report once, and not from later reports", async () => {
     const { clock, load } = createFixture();
     const now = clock.wallNow();
     const ended = { engineId: "e1", unstartedPrefillTokens: 0, kvTokens: 500, decodes: true, endedAt: now };
@@ -63,14 +63,14 @@
     assert.equal(load.streams(), 2);
 });
 
-test("reports that come crossed don't take the view back", () => {
+test("a report that arrives after a newer one is ignored", () => {
     const { clock, load } = createFixture();
     load.applyReport(createReport("e1", { asOf: clock.wallNow() - 100, runningStreams: 7 }));
     load.applyReport(createReport("e1", { asOf: clock.wallNow() - 900, runningStreams: 1 }));
     assert.equal(load.streams(), 7);
 });
 
-test("the prefill rate is learned between reports only while the engine surely had work", async () => {
+test("the prefill rate is learned between two reports only if the engine was certainly busy throughout", async () => {
     const learn = async (queuedBefore: number, queuedAfter: number) => {
         const { clock, load, send } = createFixture();
         const start = clock.wallNow();
@@ -81,8 +81,8 @@
         load.applyReport(createReport("e1", { asOf: start + 500, queuedPrefillTokens: queuedAfter }));
         return load.rates.prefillPerMillisecond(0) / before;
     };
-    // 2,000 of 8,000 were done in 500 ms: 4 tokens a millisecond where 10 were promised.
+    // 2,000 of 8,000 tokens were prefilled in 500 ms: 4 tokens per millisecond, while the engine reported 10.
     assert.ok(await learn(8_000, 7_000) < 0.9);
-    // As many were done, but perhaps the engine had nothing to do before the last prompt came.
+    // As many tokens were prefilled, but the engine may have been idle before the last prompt arrived.
     assert.equal(await learn(1_500, 500), 1);
 });
--- a/packages/daisyturn/src/process/load/__tests__/engineRates.test.ts
+++ b/packages/daisyturn/src/process/load/__tests__/engineRates.test.ts
@@ -7,7 +7,7 @@
     assert.ok(Math.abs(actual - expected) <= tolerance * expected, `${actual} is not near ${expected}`);
 }
 
-test("an engine that prefills at a third of its figure is found out", () => {
+test("learns the rate of an engine that prefills at a third of its reported rate", () => {
     const rates = createEngineRates();
     rates.setPrior(9_000, 50);
     const random = createSeededRandom(1);
@@ -19,7 +19,7 @@
     assertNear(rates.prefillPerMillisecond(4), 3, 0.15);
 });
 
-test("a late first token behind others' work says nothing of the engine's rate", () => {
+test("ignores a late first token that waited mostly for other requests", () => {
     const rates = createEngineRates();
     const before = rates.prefillPerMillisecond(1);
     rates.observeFirstToken(1, 100, 400, 0.3);
@@ -28,7 +28,7 @@
     assert.ok(rates.prefillPerMillisecond(1) < before);
 });
 
-test("prefill beside a batch is learned from reports' throughput, and an engine left alone gets a new chance", () => {
+test("learns the prefill rate at each batch size, and returns to the prior without new observations", () => {
     const rates = createEngineRates();
     rates.setPrior(10_000, 50);
     for (let sample = 0; sample < 60; sample++) {
@@ -42,7 +42,7 @@
     assertNear(rates.prefillPerMillisecond(1), 10, 0.1);
 });
 
-test("the time between tokens is learned for each batch size, also those in between", () => {
+test("learns the time between tokens for all batch sizes", () => {
     const rates = createEngineRates();
     rates.setPrior(9_000, 100);
     const random = createSeededRandom(2);
@@ -54,7 +54,7 @@
     assertNear(rates.betweenTokens(50), 34, 0.08);
 });
 
-test("an engine that changes its speed is followed", () => {
+test("adapts to an engine that changes its speed", () => {
     const rates = createEngineRates();
     for (let sample = 0; sample < 100; sample++) {
         rates.observeBetweenTokens(1 + sample % 30, 20);
--- a/packages/daisyturn/src/process/load/__tests__/slowReports.test.ts
+++ b/packages/daisyturn/src/process/load/__tests__/slowReports.test.ts
@@ -5,7 +5,7 @@
 import type { Engine } from "../../../ports/engine.js";
 import { createDecisionBench, createReport } from "../../routing/__fixtures__/createDecisionBench.js";
 
-/** Makes an engine take so long to tell its load, and fail where its caller has given up by then. */
+/** Delays the engine's load reports by `milliseconds`; a report that would be later than its deadline fails. */
 function slowDown(engine: Engine, clock: Clock, milliseconds: number): void {
     engine.readLoad = async deadline => {
         const doneAt = clock.monotonicNow() + milliseconds;
@@ -29,11 +29,11 @@
 }
 
 describe("reports of a busy engine", () => {
-    test("count although they take longer than the interval between them", async () => {
+    test("are used if they take longer than the interval between them", async () => {
         assert.equal(await countUsable(1_500), 1);
     });
 
-    test("do not count when the engine has not told its load for long", async () => {
+    test("make the engine unusable if none arrives within the time limit", async () => {
         assert.equal(await countUsable(60_000), 0);
     });
 });
--- a/packages/daisyturn/src/process/load/cacheIndex.ts
+++ b/packages/daisyturn/src/process/load/cacheIndex.ts
@@ -3,7 +3,7 @@
     type BlockTable,
     createBlockTable,
     type EngineSlot,
-    maximumSlots,
+    maxSlots,
     noRow,
     noSlot,
     wordsPerRow,
@@ -11,65 +11,65 @@
 import { type CacheView, createCacheView, createEmptyCacheView } from "./cacheView.js";
 
 /**
- * Which engines are thought to hold which prompt blocks. One index over all engines, because a decision asks all of
- * them at once: a walk over the prompt's blocks answers for every engine.
+ * Index of the prompt blocks that each engine is presumed to cache. One index covers all engines, because a routing
+ * decision compares all of them: one pass over the prompt's blocks gives the matches of every engine.
  */
 export interface CacheIndex {
-    /** The view of one engine, made on first use. */
+    /** The view of one engine, created on first use. */
     view(engineId: string): CacheView;
-    /** Frees the place of an engine that has left. */
+    /** Removes an engine that has left and frees its slot. */
     removeEngine(engineId: string): void;
     match(blocks: readonly string[]): CacheMatch;
-    /** Blocks that some engine is thought to hold. */
+    /** Number of blocks that at least one engine is presumed to cache. */
     size(): number;
 }
 
-/** How much of a prompt the engines hold. */
+/** How much of a prompt the engines are presumed to cache. */
 export interface CacheMatch {
-    /** Blocks from the first on that some engine is thought to hold. */
+    /** Length, in blocks, of the prompt's longest prefix whose blocks are each cached by some engine. */
     readonly knownBlocks: number;
     /** Keys of all the prompt's blocks. */
     readonly keys: BlockKeys;
-    /** Blocks from the first on that the engine is thought to hold. */
+    /** Length, in blocks, of the prompt's longest prefix that the engine caches. */
     matchedBy(view: CacheView): number;
 }
 
-/** Blocks kept over all engines; bounds the index to some 20 MB. */
-const defaultMaximumBlocks = 131_072;
-const leastBlocksPerEngine = 256;
+/** Limit of blocks over all engines, which bounds the index to about 20 MB. */
+const defaultMaxBlocks = 131_072;
+const minBlocksPerEngine = 256;
 
-/** Creates an empty index. Engines beyond the table's slots are taken to hold nothing. */
-export function createCacheIndex(maximumBlocks = defaultMaximumBlocks): CacheIndex {
-    const table = createBlockTable(maximumBlocks);
+/** Creates an empty index. Engines for which the table has no slot are presumed to cache nothing. */
+export function createCacheIndex(maxBlocks = defaultMaxBlocks): CacheIndex {
+    const table = createBlockTable(maxBlocks);
     const views = new Map<string, CacheView>();
-    const freeSlots: EngineSlot[] = [...Array(maximumSlots).keys()].reverse();
+    const freeSlots: EngineSlot[] = [...Array(maxSlots).keys()].reverse();
 
-    const maximumOfEngine = () => Math.max(leastBlocksPerEngine, Math.floor(maximumBlocks / Math.max(1, views.size)));
+    const computeBlockLimit = () => Math.max(minBlocksPerEngine, Math.floor(maxBlocks / Math.max(1, views.size)));
 
     const view = (engineId: string) => {
-        const known = views.get(engineId);
-        if (known) {
-            return known;
+        const existing = views.get(engineId);
+        if (existing) {
+            return existing;
         }
         const slot = freeSlots.pop();
-        const created = slot === undefined ? createEmptyCacheView() : createCacheView(slot, table, maximumOfEngine);
+        const created = slot === undefined ? createEmptyCacheView() : createCacheView(slot, table, computeBlockLimit);
         views.set(engineId, created);
         return created;
     };
 
     const removeEngine = (engineId: string) => {
-        const dropped = views.get(engineId);
-        if (dropped) {
-            dropped.clear();
+        const removed = views.get(engineId);
+        if (removed) {
+            removed.clear();
             views.delete(engineId);
-            freeSlots.push(...[dropped.slot].filter(slot => slot !== noSlot));
+            freeSlots.push(...[removed.slot].filter(slot => slot !== noSlot));
         }
     };
 
     const match = (blocks: readonly string[]): CacheMatch => {
-        const depths = new Uint16Array(maximumSlots + 1);
+        const depths = new Uint16Array(maxSlots + 1);
         const keys = hashBlocks(blocks);
-        const knownBlocks = walk(keys, table, depths);
+        const knownBlocks = matchPrefix(keys, table, depths);
         depths[noSlot] = 0;
         return { knownBlocks, keys, matchedBy: view => depths[view.slot]! };
     };
@@ -77,44 +77,44 @@
     return { view, removeEngine, match, size: table.size };
 }
 
-/** Follows the chain of blocks, notes for each engine where it falls out, and counts the blocks anybody has. */
-function walk(keys: BlockKeys, table: BlockTable, depths: Uint16Array): number {
-    const alive = new Int32Array(wordsPerRow).fill(-1);
+/** Writes to `depths` the length of the prefix that each engine caches. Returns the length that some engine caches. */
+function matchPrefix(keys: BlockKeys, table: BlockTable, depths: Uint16Array): number {
+    const candidates = new Int32Array(wordsPerRow).fill(-1);
     const blocks = keys.length / 2;
-    let anyAlive = true;
+    let anyCandidate = true;
     let depth = 0;
     for (; depth < blocks; depth++) {
         const row = table.find(keys[2 * depth]!, keys[2 * depth + 1]!);
         if (row === noRow) {
             break;
         }
-        anyAlive = anyAlive && keepHolders(table, row, alive, depths, depth);
+        anyCandidate = anyCandidate && removeCandidatesWithout(table, row, candidates, depths, depth);
     }
-    if (anyAlive) {
-        keepHolders(table, noRow, alive, depths, depth);
+    if (anyCandidate) {
+        removeCandidatesWithout(table, noRow, candidates, depths, depth);
     }
     return depth;
 }
 
-/** Takes out of `alive` those that don't hold the row's block, and notes their depth; tells whether any is left. */
-function keepHolders(
+/** Removes engines without the row's block from `candidates` and records their depth. Returns whether any remain. */
+function removeCandidatesWithout(
     table: BlockTable,
     row: number,
-    alive: Int32Array,
+    candidates: Int32Array,
     depths: Uint16Array,
     depth: number,
 ): boolean {
-    let left = 0;
+    let remaining = 0;
     for (let word = 0; word < wordsPerRow; word++) {
-        const holding = row === noRow ? 0 : table.holders(row, word);
-        let fallen = alive[word]! & ~holding;
-        alive[word]! &= holding;
-        left |= alive[word]!;
-        while (fallen !== 0) {
-            const bit = 31 - Math.clz32(fallen);
+        const mask = row === noRow ? 0 : table.engineMask(row, word);
+        let removed = candidates[word]! & ~mask;
+        candidates[word]! &= mask;
+        remaining |= candidates[word]!;
+        while (removed !== 0) {
+            const bit = 31 - Math.clz32(removed);
             depths[word * 32 + bit] = depth;
-            fallen ^= 1 << bit;
+            removed ^= 1 << bit;
         }
     }
-    return left !== 0;
+    return remaining !== 0;
 }
--- a/packages/daisyturn/src/process/load/cacheView.ts
+++ b/packages/daisyturn/src/process/load/cacheView.ts
@@ -3,64 +3,65 @@
 import { type BlockTable, type EngineSlot, noRow, noSlot } from "./blockTable.js";
 
 /**
- * What one engine's prefix cache is thought to hold. It is a guess: own placements are entered before the engine has
- * confirmed them, and the engine's events come late and with gaps.
+ * Estimated contents of one engine's prefix cache. It is only an estimate: blocks of this process's own placements are
+ * added before the engine confirms them, and the engine's events arrive late and with gaps.
  */
 export interface CacheView {
-    /** Enters a placement's blocks ahead of the engine's events. */
+    /** Adds the blocks of a placement before the engine's events confirm them. */
     addExpected(keys: BlockKeys): void;
-    /** Takes in a page of events. A gap or a new incarnation empties the view first. */
+    /** Applies a page of events. A gap in the events or a new incarnation clears the view first. */
     apply(page: CacheEventPage): void;
-    /** Empties the view if the engine has been restarted. */
+    /** Clears the view if the engine has restarted. */
     applyIncarnation(incarnation: string): void;
-    /** Takes back what was expected beyond the first `matched` blocks. */
+    /** Removes all blocks after the first `matched` ones. */
     removeAfter(keys: BlockKeys, matched: number): void;
     clear(): void;
-    /** Number of the engine in matches. */
+    /** Index of the engine in matches. */
     readonly slot: EngineSlot;
-    /** Cursor for the next page; 0 before the first. */
+    /** Cursor for the next page of events; 0 before the first page. */
     cursor(): number;
 }
 
-/** Creates the empty view of one engine that enters at most so many blocks into the table. */
-export function createCacheView(slot: EngineSlot, table: BlockTable, maximumBlocks: () => number): CacheView {
-    // Two generations stand in for a least-recently-used list: cheaper for each decision, and as bounded. A row that
-    // was given to another block meanwhile may be left too early; that costs a little accuracy and no consistency.
+/** Creates an empty view of one engine that adds at most `maxBlocks()` blocks to the table. */
+export function createCacheView(slot: EngineSlot, table: BlockTable, maxBlocks: () => number): CacheView {
+    // Two generations approximate a least-recently-used list: they cost less per decision and are bounded as well. A
+    // row may have been reused for another block, which is then removed too early. That makes the estimate slightly
+    // less accurate, but not inconsistent.
     const rows: [number[], number[]] = [[], []];
     let generation: 0 | 1 = 0;
     let incarnation: string | undefined;
     let cursor = 0;
     let lastSequence: number | undefined;
 
-    /** Forgets the generation before the present one, and begins a new one in its place. */
-    const turnGeneration = () => {
+    /** Evicts the previous generation and starts a new one in its place. */
+    const rotateGenerations = () => {
         generation = generation === 0 ? 1 : 0;
-        rows[generation].forEach(row => table.leave(slot, generation, row));
+        rows[generation].forEach(row => table.removeRow(slot, generation, row));
         rows[generation] = [];
     };
 
-    const store = (keys: BlockKeys) => {
-        const limit = maximumBlocks() / 2;
-        for (let place = 0; place < keys.length; place += 2) {
-            const row = table.enter(slot, generation, keys[place]!, keys[place + 1]!);
+    const addBlocks = (keys: BlockKeys) => {
+        const limit = maxBlocks() / 2;
+        for (let position = 0; position < keys.length; position += 2) {
+            const row = table.addBlock(slot, generation, keys[position]!, keys[position + 1]!);
             if (row !== noRow) {
                 rows[generation].push(row);
             }
             if (rows[generation].length >= limit) {
-                turnGeneration();
+                rotateGenerations();
             }
         }
     };
 
-    const remove = (keys: BlockKeys) => {
-        for (let place = 0; place < keys.length; place += 2) {
-            table.drop(slot, keys[place]!, keys[place + 1]!);
+    const removeBlocks = (keys: BlockKeys) => {
+        for (let position = 0; position < keys.length; position += 2) {
+            table.removeBlock(slot, keys[position]!, keys[position + 1]!);
         }
     };
 
     const clear = () => {
-        turnGeneration();
-        turnGeneration();
+        rotateGenerations();
+        rotateGenerations();
     };
 
     const applyIncarnation = (next: string) => {
@@ -75,7 +76,7 @@
         lastSequence = undefined;
     };
 
-    const takeEvent = (event: CacheEvent) => {
+    const applyEvent = (event: CacheEvent) => {
         if (lastSequence !== undefined && event.sequence <= lastSequence) {
             return;
         }
@@ -83,28 +84,28 @@
             clear();
         }
         lastSequence = event.sequence;
-        remove(hashBlocks(event.evicted));
-        store(hashBlocks(event.stored));
+        removeBlocks(hashBlocks(event.evicted));
+        addBlocks(hashBlocks(event.stored));
     };
 
     const apply = (page: CacheEventPage) => {
         applyIncarnation(page.incarnation);
-        page.events.forEach(takeEvent);
+        page.events.forEach(applyEvent);
         cursor = page.cursor;
     };
 
     return {
         slot,
-        addExpected: store,
+        addExpected: addBlocks,
         apply,
         applyIncarnation,
-        removeAfter: (keys, matched) => remove(keys.subarray(2 * matched)),
+        removeAfter: (keys, matched) => removeBlocks(keys.subarray(2 * matched)),
         clear,
         cursor: () => cursor,
     };
 }
 
-/** Creates the view of an engine of which nothing is kept. */
+/** Creates a view that stores nothing, for an engine without a slot. */
 export function createEmptyCacheView(): CacheView {
     return {
         slot: noSlot,
--- a/packages/daisyturn/src/process/load/createLoadView.ts
+++ b/packages/daisyturn/src/process/load/createLoadView.ts
@@ -14,34 +14,34 @@
 import { createEngineLoad, type EngineLoad, type FinishedWork, type SentWork } from "./engineLoad.js";
 import { createUnpublishedPeerWork } from "./unpublishedPeerWork.js";
 
-/** Work that this process has sent; one of the endings must be called once. */
+/** Handle of work that this process has sent. Either `end` or `withdraw` must be called once. */
 export interface SentWorkHandle {
-    /** Tells the stream's id, by which an engine's report can name it. */
+    /** Sets the id under which the engine's reports list the stream. */
     setStreamId(streamId: string): void;
-    /** The work ran and has ended. */
+    /** Records that the work ran and has ended. */
     end(): void;
-    /** The engine never took the work. */
+    /** Records that the engine did not accept the work. */
     withdraw(): void;
 }
 
-/** What this process knows of the engines' loads. */
+/** Estimated loads of the engines. */
 export interface LoadView {
-    /** Polls the engines and tells the peers what was sent, until `signal` is aborted. */
+    /** Polls the engines and publishes the sent work to the peers until `signal` is aborted. */
     run(signal: AbortSignal): Promise<void>;
-    /** Engines that have reported lately. An engine's id is its target's name. */
+    /** Engines whose last report is recent enough to use. An engine's id is its target's name. */
     loads(): readonly EngineLoad[];
     find(engineId: string): EngineLoad | undefined;
-    /** What the engines' prefix caches are thought to hold. */
+    /** Estimated contents of the engines' prefix caches. */
     readonly caches: CacheIndex;
-    /** Counts work that is about to be sent. */
+    /** Records work that is about to be sent. */
     recordSent(work: Omit<SentWork, "sentAt">): SentWorkHandle;
-    /** What the processes tell each other; other modules add their parts. */
+    /** Exchange of digests between the processes; other modules register their own sections. */
     readonly exchange: LoadExchange;
-    /** Milliseconds of prefill for each engine that peers have probably sent since they last told. */
+    /** Mean milliseconds of prefill per engine that peers have probably sent since their last digests. */
     estimateUnpublishedPeerWait(): number;
-    /** Processes that send to the engines, this one included. */
+    /** Number of processes that send work to the engines, including this one. */
     countProcesses(): number;
-    /** Called after each report that was taken in. */
+    /** Registers a listener that is called after each report received from an engine. */
     onReport(listener: (load: EngineLoad) => void): void;
 }
 
@@ -52,37 +52,37 @@
     readonly membership: Membership;
     readonly clock: Clock;
     readonly eventLog: EventLog;
-    /** How often an engine is asked for its load. */
+    /** Interval at which each engine is polled for its load. */
     readonly reportIntervalMilliseconds: number;
-    /** How long peers wait at most to be told of a send; a tenth of a second if absent. */
+    /** Longest time until sent work is published to the peers; 100 ms by default. */
     readonly exchangeIntervalMilliseconds?: number;
 }
 
 /**
- * A report older than this says nothing any more. A few times what a busy engine or a busy VM may take: with one and a
- * half seconds, a VM under heavy load saw no engine at all and refused its callers (seen in the rolling restart).
+ * Older reports are not used. The limit is a few times the delay of a busy engine or VM: with 1.5 s, a VM under heavy
+ * load during a rolling restart had no usable engine and refused its callers.
  */
-const usableMilliseconds = 3_500;
-/** An engine has so long to tell its load; longer than the interval, or a slow engine would never be heard. */
-const readLimitMilliseconds = 2_000;
-/** Cache events and states are read in every n-th round only. */
+const maxReportAgeMilliseconds = 3_500;
+/** Time limit of each read. It is longer than the interval, or no read of a slow engine would succeed. */
+const readTimeoutMilliseconds = 2_000;
+/** Cache events and states are read only in every n-th polling round. */
 const roundsPerCacheRead = 2;
 const roundsPerStateRead = 10;
 const defaultExchangeIntervalMilliseconds = 100;
-/** Work told to the peers in one round, at most; they learn of the rest by the engines' reports. */
-const maximumToldWork = 200;
+/** Limit of the sent and of the ended work items in one digest. The engines' reports cover the rest. */
+const maxPublishedWork = 200;
 
 interface SentWorkSection {
     readonly sent: readonly SentWork[];
     readonly ended: readonly FinishedWork[];
 }
 
-/** Creates the view; `run` must be running for it to learn anything. */
+/** Creates the view, which receives reports and digests only while `run` is running. */
 export function createLoadView(options: LoadViewOptions): LoadView {
     const { targets, clock, reportIntervalMilliseconds } = options;
     const exchangeIntervalMilliseconds = options.exchangeIntervalMilliseconds ?? defaultExchangeIntervalMilliseconds;
     const exchange = createLoadExchange({ ...options, exchangeIntervalMilliseconds });
-    const unpublished = createUnpublishedPeerWork({ ...options, exchange });
+    const unpublishedPeerWork = createUnpublishedPeerWork({ ...options, exchange });
     const known = new Map<string, EngineLoad>();
     const caches = createCacheIndex();
     const polled = new Set<string>();
@@ -122,7 +122,7 @@
         }
     };
 
-    /** The reads of one round go out together: a slow one must not make the load report later. */
+    /** Starts the reads of one round together, so that a slow read does not delay the load report. */
     const pollOnce = async (engine: Engine, load: EngineLoad, round: number, deadline: number) => {
         const reads = [readLoad(engine, load, deadline)];
         if (round % roundsPerCacheRead === 0) {
@@ -138,7 +138,7 @@
         const load = ensureLoad(engine.engineId);
         for (let round = 0; !signal.aborted && targets.engine(engine.engineId) === engine; round++) {
             const next = clock.monotonicNow() + reportIntervalMilliseconds;
-            await pollOnce(engine, load, round, clock.monotonicNow() + readLimitMilliseconds);
+            await pollOnce(engine, load, round, clock.monotonicNow() + readTimeoutMilliseconds);
             await clock.sleepUntil(next, signal);
         }
         polled.delete(engine.engineId);
@@ -186,7 +186,7 @@
     };
 
     const collect = (): JsonObject | undefined => {
-        const section: SentWorkSection = { sent: sent.slice(-maximumToldWork), ended: ended.slice(-maximumToldWork) };
+        const section: SentWorkSection = { sent: sent.slice(-maxPublishedWork), ended: ended.slice(-maxPublishedWork) };
         sent = [];
         ended = [];
         return section.sent.length + section.ended.length > 0 ? toJson(section) : undefined;
@@ -197,7 +197,7 @@
         for (const work of section.sent) {
             const load = known.get(work.engineId);
             load?.add(work);
-            unpublished.recordPublished(
+            unpublishedPeerWork.recordPublished(
                 from.processId,
                 work.prefillTokens / (load?.prefillPerMillisecond() ?? Infinity),
             );
@@ -206,8 +206,8 @@
     };
 
     const loads = () => {
-        const oldest = clock.monotonicNow() - usableMilliseconds;
-        return [...known.values()].filter(load => (load.reportedAt() ?? -Infinity) >= oldest);
+        const minReportedAt = clock.monotonicNow() - maxReportAgeMilliseconds;
+        return [...known.values()].filter(load => (load.reportedAt() ?? -Infinity) >= minReportedAt);
     };
 
     exchange.register({
@@ -218,7 +218,7 @@
     });
     return {
         run: async signal => {
-            // One listener per engine waits on the signal; that many are meant.
+            // Each engine's poll adds a listener to the signal, so the default limit of listeners does not apply.
             setMaxListeners(0, signal);
             await Promise.all([pollEngines(signal), exchange.run(signal)]);
         },
@@ -226,7 +226,7 @@
         find: engineId => known.get(engineId),
         caches,
         recordSent,
-        estimateUnpublishedPeerWait: () => unpublished.estimatePrefillMilliseconds() / Math.max(1, known.size),
+        estimateUnpublishedPeerWait: () => unpublishedPeerWork.estimatePrefillMilliseconds() / Math.max(1, known.size),
         countProcesses: () => 1 + options.membership.livePeers().length,
         exchange,
         onReport: listener => listeners.push(listener),
--- a/packages/daisyturn/src/process/load/engineLoad.ts
+++ b/packages/daisyturn/src/process/load/engineLoad.ts
@@ -3,25 +3,25 @@
 import type { CacheView } from "./cacheView.js";
 import { createEngineRates, type EngineRates } from "./engineRates.js";
 
-/** Work that was sent to one engine, by this process or a peer. */
+/** Work that this process or a peer has sent to an engine. */
 export interface SentWork {
     readonly engineId: string;
-    /** Prompt tokens that the engine has to prefill; those it has in its cache are left out. */
+    /** Prompt tokens that the engine has to prefill, without those in its prefix cache. */
     readonly prefillTokens: number;
-    /** Prompt and output tokens for which it has to hold KV cache. */
+    /** Prompt and output tokens for which the engine has to reserve KV cache. */
     readonly kvTokens: number;
-    /** Whether it decodes; a prefill part holds no place in the batch. */
+    /** Whether the work includes decoding; prefill alone takes no slot in the batch. */
     readonly decodes: boolean;
     /** Wall-clock time in milliseconds. */
     readonly sentAt: number;
-    /** Set as soon as it is known. */
+    /** Set as soon as the engine has assigned it. */
     streamId?: string;
 }
 
-/** Work that has left an engine. */
+/** Work that has ended on an engine or that the engine has not accepted. */
 export interface FinishedWork {
     readonly engineId: string;
-    /** Prompt tokens that were never prefilled, because the engine did not take the work. */
+    /** Prompt tokens that were not prefilled, because the engine did not accept the work. */
     readonly unstartedPrefillTokens: number;
     readonly kvTokens: number;
     readonly decodes: boolean;
@@ -30,8 +30,8 @@
 }
 
 /**
- * One engine's load as this process estimates it: the last report, which lags, and what was sent after the time that
- * the report is about.
+ * Estimated load of one engine. The estimate combines the last report, which is always somewhat old, with the work that
+ * was sent or has ended after the report's own time.
  */
 export interface EngineLoad {
     readonly engineId: string;
@@ -40,42 +40,46 @@
     role(): EngineRole;
     phase(): EnginePhase;
     report(): LoadReport | undefined;
-    /** Monotonic time; undefined before the first report. */
+    /** Monotonic time at which the last report was received; undefined before the first report. */
     reportedAt(): number | undefined;
     applyReport(report: LoadReport): void;
-    /** Last state read; undefined before the first. */
+    /** Last state read; undefined before the first read. */
     state(): EngineState | undefined;
     applyState(state: EngineState): void;
     add(work: SentWork): void;
     end(work: FinishedWork): void;
-    /** Prompt tokens prefilled a millisecond, with the streams that decode beside. */
+    /** Prompt tokens prefilled per millisecond with the present number of streams. */
     prefillPerMillisecond(): number;
-    /** Milliseconds from the wall-clock time `now` until what waits is prefilled. */
+    /** Milliseconds from the wall-clock time `now` until the queued prompts are prefilled. */
     prefillWait(now: number): number;
-    /** Streams that decode or wait to. */
+    /** Streams that decode or are queued. */
     streams(): number;
-    /** KV cache that is spoken for, in tokens; 0 if the engine doesn't report its capacity. */
+    /** KV cache in use or reserved, in tokens. */
     kvTokens(): number;
+    /** Capacity of the KV cache in tokens; 0 if the engine doesn't report it. */
     kvCapacity(): number;
 }
 
-/** More unreported work than this of one engine is not kept. */
-const maximumUnreported = 1_024;
-/** Engine clocks may be off by this; a stream sent so shortly before a report that does not list it counts as new. */
+/** Limit of the work items per engine that are stored because no report covers them yet. */
+const maxUnreportedWork = 1_024;
+/**
+ * Engine clocks may differ by this much. A stream that was sent at most this long before a report's time is new to the
+ * report if the report does not list it.
+ */
 const clockToleranceMilliseconds = 50;
 
-/** Reports closer together, in milliseconds, tell too little of an engine's speed. */
-const leastReportDistance = 100;
+/** Two reports that are closer together in time are not used to learn the prefill rate, which they show too poorly. */
+const minReportDistanceMilliseconds = 100;
 
-/** Creates the estimate of one engine, which serves nothing until its first report. */
+/** Creates the estimate for one engine, whose phase is not `Serving` until its first report. */
 export function createEngineLoad(engineId: string, cache: CacheView, clock: Clock): EngineLoad {
     const rates = createEngineRates();
     let report: LoadReport | undefined;
     let state: EngineState | undefined;
     let reportedAt: number | undefined;
     let unreported: SentWork[] = [];
-    let endedSinceReport: FinishedWork[] = [];
-    // Prompt tokens waiting at the wall-clock time `queueAt`; between two sends the engine works them off.
+    let finishedSinceReport: FinishedWork[] = [];
+    // Prompt tokens queued at the wall-clock time `queueAt`. Between two sends the engine prefills them.
     let queueTokens = 0;
     let queueAt = clock.wallNow();
     let streams = 0;
@@ -83,42 +87,42 @@
 
     const prefillPerMillisecond = () => rates.prefillPerMillisecond(streams);
 
-    const drainUntil = (wallTime: number) => {
+    const advanceQueue = (wallTime: number) => {
         const elapsed = Math.max(0, wallTime - queueAt);
         queueTokens = Math.max(0, queueTokens - elapsed * prefillPerMillisecond());
         queueAt = Math.max(queueAt, wallTime);
     };
 
     const countSent = (work: SentWork) => {
-        drainUntil(work.sentAt);
+        advanceQueue(work.sentAt);
         queueTokens += work.prefillTokens;
         streams += work.decodes ? 1 : 0;
         kvTokens += work.kvTokens;
     };
 
-    const countEnded = (work: FinishedWork) => {
+    const countFinished = (work: FinishedWork) => {
         queueTokens = Math.max(0, queueTokens - work.unstartedPrefillTokens);
         streams = Math.max(0, streams - (work.decodes ? 1 : 0));
         kvTokens = Math.max(0, kvTokens - work.kvTokens);
     };
 
     /**
-     * Learns from what was prefilled between two reports. The engine worked all the time only if the first queue alone
-     * was enough for it; else what it did is only the least that it can do.
+     * Learns the prefill rate from the tokens prefilled between two reports. The engine was busy throughout only if
+     * they were all in the queue of the first report. Otherwise the measured rate is only a lower bound.
      */
-    const learnThroughput = (before: LoadReport, next: LoadReport) => {
+    const learnPrefillRate = (before: LoadReport, next: LoadReport) => {
         const elapsed = next.asOf - before.asOf;
-        if (elapsed < leastReportDistance || before.incarnation !== next.incarnation) {
+        if (elapsed < minReportDistanceMilliseconds || before.incarnation !== next.incarnation) {
             return;
         }
-        const sent = unreported
+        const sentTokens = unreported
             .filter(work => work.sentAt >= before.asOf && work.sentAt < next.asOf)
             .reduce((sum, work) => sum + work.prefillTokens, 0);
-        const done = before.queuedPrefillTokens + sent - next.queuedPrefillTokens;
+        const prefilledTokens = before.queuedPrefillTokens + sentTokens - next.queuedPrefillTokens;
         const batch = (before.runningStreams + next.runningStreams) / 2;
-        const wasBusy = done <= before.queuedPrefillTokens;
-        if (done > 0 && (wasBusy || done / elapsed > rates.prefillPerMillisecond(batch))) {
-            rates.observePrefill(batch, done / elapsed);
+        const wasBusy = prefilledTokens <= before.queuedPrefillTokens;
+        if (prefilledTokens > 0 && (wasBusy || prefilledTokens / elapsed > rates.prefillPerMillisecond(batch))) {
+            rates.observePrefill(batch, prefilledTokens / elapsed);
         }
     };
 
@@ -128,12 +132,12 @@
         }
         rates.decay();
         if (report) {
-            learnThroughput(report, next);
+            learnPrefillRate(report, next);
         }
         const asOf = Math.min(next.asOf, clock.wallNow());
         const listed = next.recentStreamIds && new Set(next.recentStreamIds);
         unreported = unreported.filter(work => isUnreported(work, listed, asOf));
-        endedSinceReport = endedSinceReport.filter(work => work.endedAt >= asOf);
+        finishedSinceReport = finishedSinceReport.filter(work => work.endedAt >= asOf);
         cache.applyIncarnation(next.incarnation);
         report = next;
         reportedAt = clock.monotonicNow();
@@ -143,20 +147,20 @@
         streams = next.runningStreams + next.queuedRequests;
         kvTokens = next.kvTokensUsed;
         unreported.forEach(countSent);
-        endedSinceReport.forEach(countEnded);
+        finishedSinceReport.forEach(countFinished);
     };
 
     const add = (work: SentWork) => {
-        if (unreported.length < maximumUnreported && (!report || work.sentAt >= report.asOf)) {
+        if (unreported.length < maxUnreportedWork && (!report || work.sentAt >= report.asOf)) {
             unreported.push(work);
             countSent(work);
         }
     };
 
     const end = (work: FinishedWork) => {
-        if (endedSinceReport.length < maximumUnreported && (!report || work.endedAt >= report.asOf)) {
-            endedSinceReport.push(work);
-            countEnded(work);
+        if (finishedSinceReport.length < maxUnreportedWork && (!report || work.endedAt >= report.asOf)) {
+            finishedSinceReport.push(work);
+            countFinished(work);
         }
     };
 
@@ -189,7 +193,7 @@
     };
 }
 
-/** Where a report lists streams, the list is believed; times settle the rest. */
+/** Decides by the report's list of streams if there is one and the stream's id is known, and otherwise by times. */
 function isUnreported(work: SentWork, listed: ReadonlySet<string> | undefined, asOf: number): boolean {
     if (listed === undefined || work.streamId === undefined) {
         return work.sentAt >= asOf;
--- a/packages/daisyturn/src/process/load/engineRates.ts
+++ b/packages/daisyturn/src/process/load/engineRates.ts
@@ -1,52 +1,55 @@
 import { createLineFit, type LinePrior } from "./lineFit.js";
 
 /**
- * How fast one engine really is, learned from its reports and from the streams of this process. Both its times per
- * token grow with the streams in its batch. The engine's own figures serve as a prior only.
+ * Prefill and decode rates of one engine, learned from its reports and from the streams of this process. Both times per
+ * token grow with the number of streams in the engine's batch. The rates that the engine reports are only a prior.
  */
 export interface EngineRates {
-    /** Takes over the figures of a report, in tokens a second. Zero or less counts as not given. */
+    /** Applies the rates of a report, in tokens per second. A rate of zero or less is ignored. */
     setPrior(prefillRate: number, decodeRate: number): void;
-    /** Prompt tokens prefilled a millisecond beside a batch of `streams`. */
+    /** Prompt tokens prefilled per millisecond while `streams` streams decode. */
     prefillPerMillisecond(streams: number): number;
-    /** Milliseconds between two tokens of one stream in a batch of `streams`. */
+    /** Milliseconds between two tokens of a stream in a batch of `streams`. */
     betweenTokens(streams: number): number;
     /**
-     * Takes in a first token that was predicted after `predicted` milliseconds and came after `actual`.
-     * @param certainty from 0 to 1: the part of the prediction that rests on the request's own prefill and not on
-     * others' work, which is known less well
+     * Records a first token that was predicted after `predicted` milliseconds and arrived after `actual`.
+     * @param certainty from 0 to 1: the fraction of the prediction that is due to the request's own prefill. The rest
+     * is due to other requests, whose work is known less accurately.
      */
     observeFirstToken(streams: number, predicted: number, actual: number, certainty: number): void;
-    /** Takes in prompt tokens prefilled a millisecond while there was always more to prefill. */
+    /** Records the prefilled prompt tokens per millisecond of a time in which the prefill queue was never empty. */
     observePrefill(streams: number, tokensPerMillisecond: number): void;
-    /** Takes in the mean milliseconds between tokens of a stream that ran in a batch of `streams`. */
+    /** Records the mean milliseconds between tokens of a stream that ran in a batch of `streams`. */
     observeBetweenTokens(streams: number, milliseconds: number): void;
-    /** To be called with each report: what was learned long ago counts less, so that an engine gets new chances. */
+    /**
+     * Reduces the weight of earlier observations. Called with each report, so that an engine that was slow and gets no
+     * work approaches its prior again.
+     */
     decay(): void;
 }
 
-/** Used until an engine reports a rate, in tokens a second. */
+/** Tokens per second, used until an engine reports its rates. */
 const assumedPrefillRate = 5_000;
 const assumedDecodeRate = 50;
 const millisecondsPerSecond = 1_000;
-/** One observation counts as at most this many times too slow or too fast. */
-const sampleRatioLimit = 4;
-/** First tokens that rest less than this on the request's own prefill say nothing of the engine's rate. */
-const leastCertainty = 0.6;
-/** Weight of the engine's own figures against learned ones, in observations. */
+/** Limits the ratio of one observation to its estimate, in both directions. */
+const maxSampleRatio = 4;
+/** First tokens with a lower certainty are ignored, because they depend mostly on other requests. */
+const minCertainty = 0.6;
+/** Weight of each prior point, in observations. */
 const priorWeight = 2;
-/** Without evidence, a batch of this many streams is taken to slow prefill and decode so much. */
+/** Without observations, a batch of this many streams is presumed to slow prefill and decode by these factors. */
 const priorBatch = 32;
 const priorPrefillSlowdown = 1.5;
 const priorDecodeSlowdown = 2;
-/** What is left of the evidence after one report. */
-const fadePerReport = 0.98;
+/** Factor by which the weight of earlier observations decays with each report. */
+const decayPerReport = 0.98;
 
-/** Creates the estimate of one engine. */
+/** Creates the estimate for one engine. */
 export function createEngineRates(): EngineRates {
     let prefillPrior = millisecondsPerSecond / assumedPrefillRate;
     let decodePrior = millisecondsPerSecond / assumedDecodeRate;
-    /** Milliseconds for a prompt token. */
+    /** Milliseconds per prompt token. */
     const prefill = createLineFit(createPrior(prefillPrior, priorPrefillSlowdown));
     /** Milliseconds between tokens. */
     const decode = createLineFit(createPrior(decodePrior, priorDecodeSlowdown));
@@ -65,7 +68,7 @@
     };
 
     const observeRatio = (streams: number, ratio: number, weight: number) => {
-        const limited = Math.min(sampleRatioLimit, Math.max(1 / sampleRatioLimit, ratio));
+        const limited = Math.min(maxSampleRatio, Math.max(1 / maxSampleRatio, ratio));
         prefill.add(streams, prefill.at(streams) * limited, weight);
     };
 
@@ -74,7 +77,7 @@
         prefillPerMillisecond: streams => 1 / prefill.at(streams),
         betweenTokens: streams => decode.at(Math.max(1, streams)),
         observeFirstToken: (streams, predicted, actual, certainty) => {
-            if (certainty >= leastCertainty) {
+            if (certainty >= minCertainty) {
                 observeRatio(streams, actual / Math.max(predicted, 1), certainty);
             }
         },
@@ -82,8 +85,8 @@
             observeRatio(streams, 1 / tokensPerMillisecond / prefill.at(streams), 1),
         observeBetweenTokens: (streams, milliseconds) => decode.add(Math.max(1, streams), milliseconds, 1),
         decay: () => {
-            prefill.decay(fadePerReport);
-            decode.decay(fadePerReport);
+            prefill.decay(decayPerReport);
+            decode.decay(decayPerReport);
         },
     };
 }
--- a/packages/daisyturn/src/process/load/index.ts
+++ b/packages/daisyturn/src/process/load/index.ts
@@ -1,5 +1,6 @@
 /**
- * What engines are doing, as far as reports, this process's own work and its peers tell.
+ * Estimates of the load and the prefix caches of engines, from their reports, this process's own work and the digests
+ * of its peers.
  *
  * @module
  */
--- a/packages/daisyturn/src/process/load/lineFit.ts
+++ b/packages/daisyturn/src/process/load/lineFit.ts
@@ -1,14 +1,15 @@
-/** A line through points that are forgotten with time, held by two points that are not. */
+/** A line fitted to points whose weight decays, and to prior points whose weight does not. */
 export interface LineFit {
     add(x: number, y: number, weight: number): void;
-    /** Lets all that was added count less, down to `factor` of what it did. */
+    /** Multiplies the weight of all added points by `factor`. */
     decay(factor: number): void;
-    /** Places the fixed points anew. */
+    /** Replaces the prior points. */
     setPrior(prior: LinePrior): void;
+    /** Value of the line at `x`. */
     at(x: number): number;
 }
 
-/** The fixed points. */
+/** Points whose weight does not decay. `weight` is the weight of each of them. */
 export interface LinePrior {
     readonly points: readonly (readonly [x: number, y: number])[];
     readonly weight: number;
@@ -22,14 +23,14 @@
     products: number;
 }
 
-/** Part of the evidence that stays after one more point of weight 1. */
-const memory = 0.95;
+/** Factor of decay of the earlier points for each added point of weight 1. */
+const decayPerPoint = 0.95;
 
-/** Creates a fit by least squares; the line never falls, because more work never makes an engine faster. */
+/** Creates a least-squares fit. The slope is never negative, because more work never makes an engine faster. */
 export function createLineFit(initial: LinePrior): LineFit {
     let prior = initial;
     let evidence: Sums = { weight: 0, x: 0, squares: 0, y: 0, products: 0 };
-    let base = 0;
+    let intercept = 0;
     let slope = 0;
 
     const solve = () => {
@@ -37,7 +38,7 @@
         prior.points.forEach(([x, y]) => addTo(sums, x, y, prior.weight));
         const spread = sums.weight * sums.squares - sums.x * sums.x;
         slope = Math.max(0, (sums.weight * sums.products - sums.x * sums.y) / spread);
-        base = Math.max(0, (sums.y - slope * sums.x) / sums.weight);
+        intercept = Math.max(0, (sums.y - slope * sums.x) / sums.weight);
     };
 
     const decay = (factor: number) => {
@@ -54,7 +55,7 @@
     solve();
     return {
         add: (x, y, weight) => {
-            decay(memory ** weight);
+            decay(decayPerPoint ** weight);
             addTo(evidence, x, y, weight);
             solve();
         },
@@ -66,7 +67,7 @@
             prior = next;
             solve();
         },
-        at: x => base + slope * x,
+        at: x => intercept + slope * x,
     };
 }
 
--- a/packages/daisyturn/src/process/load/transferRate.ts
+++ b/packages/daisyturn/src/process/load/transferRate.ts
@@ -1,19 +1,19 @@
-/** How long it takes to carry a prompt's KV cache from one engine to another, learned from what was seen. */
+/** Estimates the time to transfer a prompt's KV cache from one engine to another, from observed transfers. */
 export interface TransferRate {
-    /** Milliseconds for the cache of so many tokens. */
+    /** Milliseconds to transfer the KV cache of `tokens` tokens. */
     estimate(tokens: number): number;
     observe(tokens: number, milliseconds: number): void;
 }
 
-/** Until transfers were seen: some 160 kB a token over a link of 16 GB a second. */
+/** Used until a transfer is observed: about 160 kB per token over a link of 16 GB/s. */
 const assumedTokensPerMillisecond = 100;
 const setupMilliseconds = 2;
-/** How much one transfer moves the estimate. */
-const gain = 0.1;
-/** A single transfer counts as at most this many times too slow or too fast. */
-const sampleRatioLimit = 4;
+/** Weight of one transfer in the moving average. */
+const smoothingFactor = 0.1;
+/** Limits the ratio of one transfer's time to its estimate, in both directions. */
+const maxSampleRatio = 4;
 
-/** Creates the estimate; one serves all pairs of engines of a cell. */
+/** Creates the estimate, which all pairs of engines in a cell share. */
 export function createTransferRate(): TransferRate {
     let logFactor = 0;
     const estimate = (tokens: number) =>
@@ -22,8 +22,8 @@
         estimate,
         observe: (tokens, milliseconds) => {
             const ratio = Math.max(milliseconds, 0.1) / estimate(tokens);
-            const limited = Math.min(sampleRatioLimit, Math.max(1 / sampleRatioLimit, ratio));
-            logFactor += gain * Math.log(limited);
+            const limited = Math.min(maxSampleRatio, Math.max(1 / maxSampleRatio, ratio));
+            logFactor += smoothingFactor * Math.log(limited);
         },
     };
 }
