--- a/packages/daisyturn/src/process/health/createServiceGuard.ts
+++ b/packages/daisyturn/src/process/health/createServiceGuard.ts
@@ -1,22 +1,22 @@
 import { type Clock, EventKind, type EventLog, type Failure, FailureReason, notRun } from "daisyturn-utils";
 import { z } from "zod";
 
-/** What the guard needs to know of the other members. */
+/** The guard's view of the other members. */
 export interface MajorityView {
-    /** Latest time (monotonic) since which every member of some majority has been heard from; undefined if there is none. */
+    /** Latest monotonic time since which each member of some majority has sent a message; undefined if there is none. */
     majorityContactAt(): number | undefined;
-    /** Whether others have proof that this run has ended. */
+    /** Whether other members have proof that this incarnation has ended. */
     isPresumedEnded(): boolean;
 }
 
 /** Settings of the guard. */
 export interface ServiceGuardSettings {
-    /** Time without word from the store or a majority after which the process goes out of service. */
+    /** Time without a message from the store or a majority after which the process goes out of service. */
     readonly silenceLimitMilliseconds: number;
     readonly checkIntervalMilliseconds: number;
-    /** A check that comes so much too late shows that the process was paused. */
+    /** A check that is late by more than this indicates that the process was paused. */
     readonly pauseLimitMilliseconds: number;
-    /** Time after a pause in which messages that had waited in the system's buffers are still being read. */
+    /** Time after a pause during which messages from before its end are still read from the system's buffers. */
     readonly backlogMilliseconds: number;
 }
 
@@ -38,19 +38,19 @@
 
 /** Why a process is out of service. */
 export enum OutOfServiceReason {
-    /** Nothing heard yet since the start. */
+    /** No message received since the start. */
     Starting = "starting",
-    /** Neither the store nor a majority heard for too long. */
+    /** No message from the store or a majority within the time limit. */
     CutOff = "cut_off",
-    /** Paused, and nothing heard since. */
+    /** Paused, and no message received since. */
     Paused = "paused",
-    /** Others have proof that this run has ended; only a restart helps. */
+    /** Other members have proof that this incarnation has ended; only a restart ends this state. */
     PresumedEnded = "thought_ended",
 }
 
-/** Keeps a process that may be out of date from taking new work. */
+/** Prevents a process whose state may be outdated from accepting new work. */
 export interface ServiceGuard {
-    /** To be asked right before new work is taken or sent: it notices a pause even before the next check. */
+    /** Called right before new work is accepted or sent, because it detects a pause even before the next check. */
     isInService(): boolean;
     reason(): OutOfServiceReason | undefined;
     /** The refusal of new work; undefined while in service. */
@@ -64,79 +64,79 @@
     const { clock, eventLog, majority, lastStoreAnswerAt, ...input } = options;
     const settings = serviceGuardSettingsSchema.parse(input);
     const listeners: ((isInService: boolean) => void)[] = [];
-    /** Only what was heard later counts. */
-    let countsAfter = Number.NEGATIVE_INFINITY;
-    let lastLookAt = clock.monotonicNow();
-    let wallAhead = clock.wallNow() - clock.monotonicNow();
+    /** Monotonic time. Only messages received later are evidence that the process is in service. */
+    let validAfter = Number.NEGATIVE_INFINITY;
+    let lastCheckAt = clock.monotonicNow();
+    let wallOffset = clock.wallNow() - clock.monotonicNow();
     let reason: OutOfServiceReason | undefined = OutOfServiceReason.Starting;
 
     /**
-     * A paused process sees its own clock jump between two looks. Where the whole VM was stopped the monotonic clock may
-     * have stood still with it; then the wall clock, once set right, has moved against it.
+     * Detects a pause by a jump of the clock between two checks. If the whole VM was stopped, the monotonic clock may
+     * have stopped too. Then the wall clock, once corrected, has shifted relative to the monotonic clock.
      */
-    const noticePause = (now: number) => {
-        const ahead = clock.wallNow() - now;
-        const isLate = now - lastLookAt > settings.checkIntervalMilliseconds + settings.pauseLimitMilliseconds;
-        const isMoved = Math.abs(ahead - wallAhead) > settings.pauseLimitMilliseconds;
-        lastLookAt = now;
-        wallAhead = ahead;
-        if (isLate || isMoved) {
-            countsAfter = now + settings.backlogMilliseconds;
+    const detectPause = (now: number) => {
+        const offset = clock.wallNow() - now;
+        const isLate = now - lastCheckAt > settings.checkIntervalMilliseconds + settings.pauseLimitMilliseconds;
+        const isShifted = Math.abs(offset - wallOffset) > settings.pauseLimitMilliseconds;
+        lastCheckAt = now;
+        wallOffset = offset;
+        if (isLate || isShifted) {
+            validAfter = now + settings.backlogMilliseconds;
         }
     };
 
-    /** When the store or a majority was last heard. */
-    const readHeardAt = (): number | undefined => {
+    /** Monotonic time of the last contact with the store or a majority. */
+    const findLastContactAt = (): number | undefined => {
         const times = [lastStoreAnswerAt(), majority.majorityContactAt()].filter(time => time !== undefined);
         return times.length > 0 ? Math.max(...times) : undefined;
     };
 
-    const findReason = (now: number): OutOfServiceReason | undefined => {
-        const heardAt = readHeardAt();
+    const determineReason = (now: number): OutOfServiceReason | undefined => {
+        const lastContactAt = findLastContactAt();
         if (majority.isPresumedEnded()) {
             return OutOfServiceReason.PresumedEnded;
         }
-        if (heardAt === undefined) {
+        if (lastContactAt === undefined) {
             return OutOfServiceReason.Starting;
         }
-        if (heardAt <= countsAfter) {
+        if (lastContactAt <= validAfter) {
             return OutOfServiceReason.Paused;
         }
-        return now - heardAt > settings.silenceLimitMilliseconds ? OutOfServiceReason.CutOff : undefined;
+        return now - lastContactAt > settings.silenceLimitMilliseconds ? OutOfServiceReason.CutOff : undefined;
     };
 
-    const look = () => {
+    const check = () => {
         const now = clock.monotonicNow();
-        noticePause(now);
-        const before = reason;
-        reason = findReason(now);
-        if ((before === undefined) !== (reason === undefined)) {
-            announce();
+        detectPause(now);
+        const previous = reason;
+        reason = determineReason(now);
+        if ((previous === undefined) !== (reason === undefined)) {
+            reportChange();
         }
     };
 
-    const announce = () => {
+    const reportChange = () => {
         const kind = reason === undefined ? EventKind.BackInService : EventKind.OutOfService;
         eventLog.record(kind, { reason });
         listeners.forEach(listener => listener(reason === undefined));
     };
 
-    const readReason = () => {
-        look();
+    const checkReason = () => {
+        check();
         return reason;
     };
 
     return {
-        isInService: () => readReason() === undefined,
-        reason: readReason,
+        isInService: () => checkReason() === undefined,
+        reason: checkReason,
         refusal: () => {
-            const present = readReason();
-            return present && notRun(FailureReason.OutOfService, `this process is out of service: ${present}`);
+            const current = checkReason();
+            return current && notRun(FailureReason.OutOfService, `this process is out of service: ${current}`);
         },
         onChange: listener => void listeners.push(listener),
         run: async signal => {
             while (!signal.aborted) {
-                look();
+                check();
                 await clock.sleepUntil(clock.monotonicNow() + settings.checkIntervalMilliseconds, signal);
             }
         },
--- a/packages/daisyturn/src/process/health/createVmWatch.ts
+++ b/packages/daisyturn/src/process/health/createVmWatch.ts
@@ -8,11 +8,11 @@
     readonly intervalMilliseconds?: number;
 }
 
-/** Knows which VMs the platform is about to take away. */
+/** Reports which VMs the platform is about to remove. */
 export interface VmWatch {
     /**
-     * Whether the VM at this IP number leaves. A VM that is not listed counts as staying: the list lags, so a new
-     * target may not be listed yet, and one that is gone shows by its failures.
+     * Whether the VM at this IP address is about to be removed. A VM that is not listed counts as staying: the list
+     * lags, so a new target may not be listed yet, and a removed VM is noticed by its failing calls.
      */
     isLeaving(address: string): boolean;
     run(signal: AbortSignal): Promise<void>;
@@ -20,7 +20,7 @@
 
 const defaultIntervalMilliseconds = 1_000;
 
-/** Creates a watch that reads the list at an interval and keeps the last reading while the list can't be had. */
+/** Creates a watch that reads the list at an interval and uses the last list read while the list is unavailable. */
 export function createVmWatch(options: VmWatchOptions): VmWatch {
     const { clock, vmList } = options;
     const interval = options.intervalMilliseconds ?? defaultIntervalMilliseconds;
--- a/packages/daisyturn/src/process/health/engineHealth.ts
+++ b/packages/daisyturn/src/process/health/engineHealth.ts
@@ -1,26 +1,26 @@
 import { type Clock, EventKind, type EventLog, type JsonObject, toJson } from "daisyturn-utils";
 import { ExchangeSection, type LoadExchange } from "../peers/index.js";
 
-/** What the router may do with an engine. */
+/** Health state of an engine, which decides whether the router may use it. */
 export enum EngineHealthState {
     Healthy = "healthy",
-    /** Left alone until its time is over. */
+    /** Gets no requests until the ejection has expired. */
     Ejected = "ejected",
-    /** Back after its time; takes one request at a time until some went well. */
+    /** Ejection expired; gets one request at a time until enough have succeeded. */
     Probing = "probing",
 }
 
-/** Notices engines that fail or crawl and leaves them alone for a while. */
+/** Detects engines that fail or are slow, and ejects them for a limited time. */
 export interface EngineHealth {
-    standing(engineId: string): EngineHealthState;
-    /** Whether one more request may go there now, as far as health goes. */
+    state(engineId: string): EngineHealthState;
+    /** Whether the engine's health permits to send it another request now. */
     acceptsWork(engineId: string): boolean;
     recordDispatch(engineId: string): void;
     recordSuccess(engineId: string): void;
     recordFailure(engineId: string): void;
-    /** Takes in a first token, or its absence so far, as a multiple of what was predicted. */
+    /** Records the time to a first token, or the time waited for it so far, as a multiple of the predicted time. */
     recordFirstTokenRatio(engineId: string, ratio: number): void;
-    /** The request has left the engine without saying anything about its health. */
+    /** Records that a request has ended on the engine, independent of whether it has succeeded. */
     recordEnd(engineId: string): void;
 }
 
@@ -28,32 +28,36 @@
 export interface EngineHealthOptions {
     readonly clock: Clock;
     readonly eventLog: EventLog;
-    /** Engines that could do the same work, this one included; bounds how many may be ejected at once. */
+    /** Engines that can do the same work, including this one; limits how many may be ejected at once. */
     readonly listAlternatives: (engineId: string) => readonly string[];
     readonly exchange: LoadExchange;
 }
 
-/** Failures in a row that eject an engine. */
-const failuresToEject = 3;
+/** Number of consecutive failures after which an engine is ejected. */
+const consecutiveFailuresToEject = 3;
 /**
- * Slowness is judged by a cumulative sum (Page 1954): each first token adds the logarithm of how many times longer
- * than twice its prediction it took, a good one takes away, and an engine is ejected where the sum passes the limit.
+ * Slowness is detected by a cumulative sum (CUSUM, Page 1954). Each first token adds the logarithm of the ratio of its
+ * time to twice the predicted time, which is negative for a fast one. The engine is ejected once the sum reaches
+ * `slownessThreshold`.
  */
-const toleratedSlowness = 2;
-const evidenceToEject = 4;
-const smallestRatio = 0.01;
-const mostEvidenceOfOne = 2;
-const leastEvidenceOfOne = -1;
-/** How much one first token moves an engine's average, which the others are compared with. */
+const toleratedRatio = 2;
+const slownessThreshold = 4;
+const minRatio = 0.01;
+const maxSampleEvidence = 2;
+const minSampleEvidence = -1;
+/** Weight of one first token in an engine's moving average, from which the median of all engines is computed. */
 const averageGain = 0.3;
-const firstEjectionMilliseconds = 5_000;
-const longestEjectionMilliseconds = 120_000;
+const initialEjectionMilliseconds = 5_000;
+const maxEjectionMilliseconds = 120_000;
 const probesToRecover = 3;
-/** At most this part of the engines that can do the same work may be ejected; one always may, if another is left. */
-const largestEjectedFraction = 0.3;
-/** So many peers that have ejected an engine make this process eject it too, without waiting for failures of its own. */
-const peersToConvince = 2;
-const peerWordMilliseconds = 2_000;
+/**
+ * Largest fraction of the engines that can do the same work that may be ejected at once. One may always be ejected if
+ * there is another one.
+ */
+const maxEjectedFraction = 0.3;
+/** If this many peers have ejected an engine, this process ejects it too, without failures of its own. */
+const minReportingPeers = 2;
+const peerReportLifetimeMilliseconds = 2_000;
 
 enum EjectionReason {
     Failures = "failures",
@@ -62,14 +66,17 @@
 }
 
 interface HealthEntry {
-    standing: EngineHealthState;
-    failuresInRow: number;
-    slowEvidence: number;
-    /** Average logarithm of first-token times against predictions. */
+    state: EngineHealthState;
+    consecutiveFailures: number;
+    slownessSum: number;
+    /** Moving average of the logarithm of the ratio of first-token times to their predictions. */
     averageLog: number;
     samples: number;
-    /** Ejected on the word of peers only; not passed on, or processes would convince each other for ever. */
-    byPeers: boolean;
+    /**
+     * Whether the engine was ejected only because peers have ejected it. Such an ejection is not published, because
+     * otherwise the processes could renew it among each other forever.
+     */
+    isEjectedByPeers: boolean;
     /** Monotonic time. */
     ejectedUntil: number;
     ejections: number;
@@ -77,27 +84,27 @@
     inFlight: number;
 }
 
-/** How long a computed middle is used. */
-const middleMilliseconds = 100;
+/** Time for which a computed median is used. */
+const medianLifetimeMilliseconds = 100;
 
-interface PeerWord {
+interface PeerReport {
     readonly ejected: ReadonlySet<string>;
     /** Monotonic time. */
-    readonly heardAt: number;
+    readonly receivedAt: number;
 }
 
 interface HealthSection {
     readonly ejected: readonly string[];
 }
 
-/** Creates the health record of all engines. */
+/** Creates the health records of all engines. */
 export function createEngineHealth(options: EngineHealthOptions): EngineHealth {
     const { clock, eventLog, exchange } = options;
     const entries = new Map<string, HealthEntry>();
-    const words = new Map<string, PeerWord>();
-    let hasTold = false;
-    let middle = 0;
-    let middleAt = -Infinity;
+    const peerReports = new Map<string, PeerReport>();
+    let hasPublishedEjections = false;
+    let medianLog = 0;
+    let medianComputedAt = -Infinity;
 
     const ensureEntry = (engineId: string) => {
         const known = entries.get(engineId);
@@ -109,34 +116,34 @@
         return entry;
     };
 
-    const isLeftAlone = (engineId: string) => entries.get(engineId)?.standing === EngineHealthState.Ejected;
+    const isEjected = (engineId: string) => entries.get(engineId)?.state === EngineHealthState.Ejected;
 
-    /** The floor: with too many ejected already, a bad engine is still better than none. */
+    /** Limits the ejected engines: if too many are ejected already, a bad engine is better than none. */
     const mayEject = (engineId: string) => {
         const alternatives = options.listAlternatives(engineId);
-        const ejected = alternatives.filter(other => other !== engineId && isLeftAlone(other)).length;
-        const allowed = Math.max(1, Math.floor(alternatives.length * largestEjectedFraction));
+        const ejected = alternatives.filter(other => other !== engineId && isEjected(other)).length;
+        const allowed = Math.max(1, Math.floor(alternatives.length * maxEjectedFraction));
         return alternatives.length > 1 && ejected < allowed;
     };
 
     const eject = (engineId: string, reason: EjectionReason) => {
         const entry = ensureEntry(engineId);
-        if (entry.standing === EngineHealthState.Ejected || !mayEject(engineId)) {
+        if (entry.state === EngineHealthState.Ejected || !mayEject(engineId)) {
             return;
         }
-        const length = Math.min(longestEjectionMilliseconds, firstEjectionMilliseconds * 2 ** entry.ejections);
-        entry.standing = EngineHealthState.Ejected;
-        entry.ejectedUntil = clock.monotonicNow() + length;
+        const duration = Math.min(maxEjectionMilliseconds, initialEjectionMilliseconds * 2 ** entry.ejections);
+        entry.state = EngineHealthState.Ejected;
+        entry.ejectedUntil = clock.monotonicNow() + duration;
         entry.ejections += 1;
-        entry.byPeers = reason === EjectionReason.Peers;
+        entry.isEjectedByPeers = reason === EjectionReason.Peers;
         resetEvidence(entry);
         eventLog.record(EventKind.EngineDegraded, { engine: engineId, reason });
     };
 
     const refresh = (engineId: string) => {
         const entry = ensureEntry(engineId);
-        if (entry.standing === EngineHealthState.Ejected && clock.monotonicNow() >= entry.ejectedUntil) {
-            entry.standing = EngineHealthState.Probing;
+        if (entry.state === EngineHealthState.Ejected && clock.monotonicNow() >= entry.ejectedUntil) {
+            entry.state = EngineHealthState.Probing;
             entry.probesDone = 0;
         }
         return entry;
@@ -145,7 +152,7 @@
     const recoverAfterProbe = (engineId: string, entry: HealthEntry) => {
         entry.probesDone += 1;
         if (entry.probesDone >= probesToRecover) {
-            entry.standing = EngineHealthState.Healthy;
+            entry.state = EngineHealthState.Healthy;
             entry.ejections = Math.max(0, entry.ejections - 1);
             eventLog.record(EventKind.EngineRecovered, { engine: engineId });
         }
@@ -153,69 +160,69 @@
 
     const recordSuccess = (engineId: string) => {
         const entry = refresh(engineId);
-        entry.failuresInRow = 0;
-        if (entry.standing === EngineHealthState.Probing) {
+        entry.consecutiveFailures = 0;
+        if (entry.state === EngineHealthState.Probing) {
             recoverAfterProbe(engineId, entry);
         }
     };
 
     const recordFailure = (engineId: string) => {
         const entry = refresh(engineId);
-        entry.failuresInRow += 1;
-        const limit = entry.standing === EngineHealthState.Probing ? 1 : failuresToEject;
-        if (entry.failuresInRow >= limit) {
+        entry.consecutiveFailures += 1;
+        const limit = entry.state === EngineHealthState.Probing ? 1 : consecutiveFailuresToEject;
+        if (entry.consecutiveFailures >= limit) {
             eject(engineId, EjectionReason.Failures);
         }
     };
 
-    /** Under overload all engines are late; only what is worse than the middle of all counts. */
-    const middleOfAll = () => {
+    /** Under overload all engines are late, so only slowness beyond the median of all engines counts. */
+    const computeMedianLog = () => {
         const now = clock.monotonicNow();
-        if (now - middleAt >= middleMilliseconds) {
+        if (now - medianComputedAt >= medianLifetimeMilliseconds) {
             const sampled = [...entries.values()].filter(entry => entry.samples > 0);
             const logs = sampled.map(entry => entry.averageLog).sort((left, right) => left - right);
-            middle = Math.max(0, logs[(logs.length - 1) >> 1] ?? 0);
-            middleAt = now;
+            medianLog = Math.max(0, logs[(logs.length - 1) >> 1] ?? 0);
+            medianComputedAt = now;
         }
-        return middle;
+        return medianLog;
     };
 
     const recordFirstTokenRatio = (engineId: string, ratio: number) => {
         const entry = refresh(engineId);
-        const log = Math.log(Math.max(ratio, smallestRatio));
-        entry.averageLog += (entry.samples === 0 ? 1 : averageGain) * (log - entry.averageLog);
+        const logRatio = Math.log(Math.max(ratio, minRatio));
+        entry.averageLog += (entry.samples === 0 ? 1 : averageGain) * (logRatio - entry.averageLog);
         entry.samples += 1;
-        const evidence = log - Math.log(toleratedSlowness) - middleOfAll();
-        entry.slowEvidence += Math.max(leastEvidenceOfOne, Math.min(mostEvidenceOfOne, evidence));
-        entry.slowEvidence = Math.max(0, entry.slowEvidence);
-        if (entry.slowEvidence >= evidenceToEject) {
+        const evidence = logRatio - Math.log(toleratedRatio) - computeMedianLog();
+        entry.slownessSum += Math.max(minSampleEvidence, Math.min(maxSampleEvidence, evidence));
+        entry.slownessSum = Math.max(0, entry.slownessSum);
+        if (entry.slownessSum >= slownessThreshold) {
             eject(engineId, EjectionReason.Slow);
         }
     };
 
     const acceptsWork = (engineId: string) => {
         const entry = refresh(engineId);
-        return entry.standing === EngineHealthState.Healthy
-            || entry.standing === EngineHealthState.Probing && entry.inFlight === 0;
+        return entry.state === EngineHealthState.Healthy
+            || entry.state === EngineHealthState.Probing && entry.inFlight === 0;
     };
 
     const collect = (): JsonObject | undefined => {
         const ejected = [...entries.keys()].filter(engineId =>
-            isLeftAlone(engineId) && !entries.get(engineId)!.byPeers
+            isEjected(engineId) && !entries.get(engineId)!.isEjectedByPeers
         );
         const section: HealthSection = { ejected };
-        const isNews = ejected.length > 0 || hasTold;
-        hasTold = ejected.length > 0;
-        return isNews ? toJson(section) : undefined;
+        const shouldPublish = ejected.length > 0 || hasPublishedEjections;
+        hasPublishedEjections = ejected.length > 0;
+        return shouldPublish ? toJson(section) : undefined;
     };
 
     const receive = (processId: string, content: JsonObject) => {
         const section = content as unknown as HealthSection;
         const now = clock.monotonicNow();
-        words.set(processId, { ejected: new Set(section.ejected), heardAt: now });
+        peerReports.set(processId, { ejected: new Set(section.ejected), receivedAt: now });
         for (const engineId of section.ejected) {
-            const believers = [...words.values()].filter(word => isBeliever(word, engineId, now));
-            if (believers.length >= peersToConvince && refresh(engineId).standing === EngineHealthState.Healthy) {
+            const reporters = [...peerReports.values()].filter(report => isReportedEjected(report, engineId, now));
+            if (reporters.length >= minReportingPeers && refresh(engineId).state === EngineHealthState.Healthy) {
                 eject(engineId, EjectionReason.Peers);
             }
         }
@@ -227,7 +234,7 @@
         receive: (content, from) => receive(from.processId, content),
     });
     return {
-        standing: engineId => refresh(engineId).standing,
+        state: engineId => refresh(engineId).state,
         acceptsWork,
         recordDispatch: engineId => {
             ensureEntry(engineId).inFlight += 1;
@@ -242,19 +249,19 @@
     };
 }
 
-/** Peers repeat their word in each round, so one that has fallen silent is no witness. */
-function isBeliever(word: PeerWord, engineId: string, now: number): boolean {
-    return word.ejected.has(engineId) && now - word.heardAt <= peerWordMilliseconds;
+/** Peers repeat their ejections in each digest, so an older report is not used. */
+function isReportedEjected(report: PeerReport, engineId: string, now: number): boolean {
+    return report.ejected.has(engineId) && now - report.receivedAt <= peerReportLifetimeMilliseconds;
 }
 
 function createEntry(): HealthEntry {
     return {
-        standing: EngineHealthState.Healthy,
-        failuresInRow: 0,
-        slowEvidence: 0,
+        state: EngineHealthState.Healthy,
+        consecutiveFailures: 0,
+        slownessSum: 0,
         averageLog: 0,
         samples: 0,
-        byPeers: false,
+        isEjectedByPeers: false,
         ejectedUntil: 0,
         ejections: 0,
         probesDone: 0,
@@ -263,8 +270,8 @@
 }
 
 function resetEvidence(entry: HealthEntry): void {
-    entry.failuresInRow = 0;
-    entry.slowEvidence = 0;
+    entry.consecutiveFailures = 0;
+    entry.slownessSum = 0;
     entry.averageLog = 0;
     entry.samples = 0;
 }
--- a/packages/daisyturn/src/process/health/index.ts
+++ b/packages/daisyturn/src/process/health/index.ts
@@ -1,5 +1,5 @@
 /**
- * Whom to leave alone: engines by evidence, VMs that are taken away, and this process itself.
+ * Health of the engines, VMs that the platform is about to remove, and whether this process itself is in service.
  *
  * @module
  */
--- a/packages/daisyturn/src/process/load/cacheIndex.ts
+++ b/packages/daisyturn/src/process/load/cacheIndex.ts
@@ -107,13 +107,13 @@
     let remaining = 0;
     for (let word = 0; word < wordsPerRow; word++) {
         const mask = row === noRow ? 0 : table.engineMask(row, word);
-        let removed = candidates[word]! & ~mask;
+        let excluded = candidates[word]! & ~mask;
         candidates[word]! &= mask;
         remaining |= candidates[word]!;
-        while (removed !== 0) {
-            const bit = 31 - Math.clz32(removed);
+        while (excluded !== 0) {
+            const bit = 31 - Math.clz32(excluded);
             depths[word * 32 + bit] = depth;
-            removed ^= 1 << bit;
+            excluded ^= 1 << bit;
         }
     }
     return remaining !== 0;
