--- a/packages/daisyturn/src/process/roles/__tests__/chooseRoleSplit.test.ts
+++ b/packages/daisyturn/src/process/roles/__tests__/chooseRoleSplit.test.ts
@@ -3,7 +3,7 @@
 import { describe, it } from "node:test";
 import { chooseRoleSplit, computeNetWorth, type RoleSplitInput } from "../chooseRoleSplit.js";
 
-function createQuestion(changes: Partial<RoleSplitInput> = {}): RoleSplitInput {
+function createInput(changes: Partial<RoleSplitInput> = {}): RoleSplitInput {
     return {
         prefillEngines: 4,
         decodeEngines: 4,
@@ -21,36 +21,36 @@
 }
 
 describe("chooseSplit", () => {
-    it("leaves a split that serves everything as it is", () => {
-        assert.deepEqual(chooseRoleSplit(createQuestion()), { prefillEngines: 4, net: 0 });
+    it("keeps a split that serves all work", () => {
+        assert.deepEqual(chooseRoleSplit(createInput()), { prefillEngines: 4, netWorth: 0 });
     });
 
-    it("moves engines to the role that limits", () => {
-        const answer = chooseRoleSplit(createQuestion({ prefillDemand: 1.5, decodeDemand: 5.5 }));
-        assert.equal(answer.prefillEngines, 2);
+    it("changes engines to the scarcer role", () => {
+        const choice = chooseRoleSplit(createInput({ prefillDemand: 1.5, decodeDemand: 5.5 }));
+        assert.equal(choice.prefillEngines, 2);
     });
 
-    it("rides out a mix that changes back before the change has paid", () => {
-        const question = createQuestion({ prefillDemand: 1.5, decodeDemand: 5.5, expectedMixMilliseconds: 12_000 });
-        assert.equal(chooseRoleSplit(question).prefillEngines, 4);
+    it("keeps the split if the mix ends before a change has paid off", () => {
+        const input = createInput({ prefillDemand: 1.5, decodeDemand: 5.5, expectedMixMilliseconds: 12_000 });
+        assert.equal(chooseRoleSplit(input).prefillEngines, 4);
     });
 
-    it("changes less where a change costs more", () => {
-        const question = createQuestion({ prefillDemand: 2, decodeDemand: 4.2, worthPerSecond: 1 });
-        const cheap = chooseRoleSplit(question).prefillEngines;
-        const dear = chooseRoleSplit({ ...question, changeCost: 1_000 }).prefillEngines;
+    it("keeps the split if a change costs too much", () => {
+        const input = createInput({ prefillDemand: 2, decodeDemand: 4.2, worthPerSecond: 1 });
+        const cheap = chooseRoleSplit(input).prefillEngines;
+        const expensive = chooseRoleSplit({ ...input, changeCost: 1_000 }).prefillEngines;
         assert.ok(cheap < 4);
-        assert.equal(dear, 4);
+        assert.equal(expensive, 4);
     });
 
-    it("does not follow a mix whose end would leave the split wrong for longer than the mix lasts", () => {
-        const swing = createQuestion({ prefillDemand: 3.6, decodeDemand: 2, expectedMixMilliseconds: 20_000 });
+    it("does not follow a mix if the split would be wrong for too long after its end", () => {
+        const swing = createInput({ prefillDemand: 3.6, decodeDemand: 2, expectedMixMilliseconds: 20_000 });
         const opposite = { meanPrefillDemand: 2, meanDecodeDemand: 3.6 };
         assert.equal(chooseRoleSplit({ ...swing, ...opposite }).prefillEngines, 4);
         assert.equal(chooseRoleSplit({ ...swing, meanPrefillDemand: 3.6, meanDecodeDemand: 2 }).prefillEngines, 5);
     });
 
-    it("gives no net worth that is below the best of all splits or of staying", () => {
+    it("returns the greatest net worth of all splits, or zero for the present split", () => {
         fc.assert(
             fc.property(
                 fc.integer({ min: 1, max: 8 }),
@@ -59,7 +59,7 @@
                 fc.double({ min: 0, max: 12, noNaN: true }),
                 fc.integer({ min: 1_000, max: 200_000 }),
                 (prefillEngines, decodeEngines, prefillDemand, decodeDemand, expectedMixMilliseconds) => {
-                    const question = createQuestion({
+                    const input = createInput({
                         prefillEngines,
                         decodeEngines,
                         prefillDemand,
@@ -70,8 +70,8 @@
                         { length: prefillEngines + decodeEngines - 1 },
                         (unused, index) => index + 1,
                     );
-                    const best = Math.max(0, ...splits.map(split => computeNetWorth(question, split)));
-                    assert.equal(chooseRoleSplit(question).net, best);
+                    const best = Math.max(0, ...splits.map(split => computeNetWorth(input, split)));
+                    assert.equal(chooseRoleSplit(input).netWorth, best);
                 },
             ),
             { seed: 3, numRuns: 300 },
--- a/packages/daisyturn/src/process/roles/__tests__/mixDurationEstimate.test.ts
+++ b/packages/daisyturn/src/process/roles/__tests__/mixDurationEstimate.test.ts
@@ -5,41 +5,41 @@
 
 const second = 1_000;
 
-/** Notes a share every second that swings between two mixes, each lasting `mixSeconds`. */
+/** Records a share every second. The shares alternate between two mixes of `mixSeconds` each. */
 async function swing(clock: FakeClock, mixSeconds: number, rounds: number) {
-    const persistence = createMixDurationEstimate({ clock, priorMilliseconds: 60 * second });
+    const estimate = createMixDurationEstimate({ clock, priorMilliseconds: 60 * second });
     for (let tick = 0; tick < mixSeconds * rounds; tick++) {
-        persistence.note(Math.floor(tick / mixSeconds) % 2 === 0 ? 0.8 : 0.2);
+        estimate.record(Math.floor(tick / mixSeconds) % 2 === 0 ? 0.8 : 0.2);
         await clock.advance(second);
     }
-    return persistence;
+    return estimate;
 }
 
 describe("createMixPersistence", () => {
-    it("expects the prior before anything is known", () => {
-        const persistence = createMixDurationEstimate({ clock: new FakeClock(), priorMilliseconds: 60 * second });
-        assert.equal(persistence.expectedRemaining(), 60 * second);
+    it("expects the prior duration before the first record", () => {
+        const estimate = createMixDurationEstimate({ clock: new FakeClock(), priorMilliseconds: 60 * second });
+        assert.equal(estimate.expectedRemaining(), 60 * second);
     });
 
-    it("learns that a mix swings fast", async () => {
-        const persistence = await swing(new FakeClock(), 5, 12);
-        assert.ok(persistence.expectedRemaining() <= 6 * second);
+    it("learns a short duration of mixes", async () => {
+        const estimate = await swing(new FakeClock(), 5, 12);
+        assert.ok(estimate.expectedRemaining() <= 6 * second);
     });
 
-    it("expects a mix that has held long to go on for a good while", async () => {
+    it("expects a mix that has lasted long to last for some time more", async () => {
         const clock = new FakeClock();
-        const persistence = await swing(clock, 300, 1);
-        assert.ok(persistence.expectedRemaining() >= 140 * second);
+        const estimate = await swing(clock, 300, 1);
+        assert.ok(estimate.expectedRemaining() >= 140 * second);
     });
 
-    it("takes one odd share for chance", async () => {
+    it("ignores a single deviating share", async () => {
         const clock = new FakeClock();
-        const persistence = createMixDurationEstimate({ clock, priorMilliseconds: 60 * second });
+        const estimate = createMixDurationEstimate({ clock, priorMilliseconds: 60 * second });
         for (const share of [0.5, 0.5, 0.9, 0.5, 0.5]) {
-            persistence.note(share);
+            estimate.record(share);
             await clock.advance(second);
         }
-        // One run only: its five seconds have gone by of the sixty expected.
-        assert.equal(persistence.expectedRemaining(), 55 * second);
+        // Still the first mix: 5 of the expected 60 seconds have elapsed.
+        assert.equal(estimate.expectedRemaining(), 55 * second);
     });
 });
--- a/packages/daisyturn/src/process/roles/arrivalMeter.ts
+++ b/packages/daisyturn/src/process/roles/arrivalMeter.ts
@@ -2,12 +2,12 @@
 import { ExchangeSection, type LoadExchange, type Membership, type ProcessIdentity } from "../peers/index.js";
 import type { RoutingRequest } from "../routing/index.js";
 
-/** What has arrived for one model from one partner. Counts since the start of a process; they only grow. */
+/** Arrivals for one model from one partner. The counts start with the process and never decrease. */
 export interface ArrivalCounts {
     readonly model: string;
     readonly partner: string;
     requests: number;
-    /** Prompt tokens that had to be prefilled, estimated. */
+    /** Estimated prompt tokens to prefill. */
     prefillTokens: number;
     outputTokens: number;
     /** Sum of the profiles' `goodputWorth`. */
@@ -18,17 +18,17 @@
     betweenTokensLimit: number;
 }
 
-/** Arrivals a second over the recent past, of the whole cell. */
+/** Arrivals per second in the whole cell within the window. */
 export type ArrivalRates = Readonly<ArrivalCounts>;
 
-/** Counts what arrives, refused requests included: what is refused for want of engines is demand all the same. */
+/** Counts arriving requests. Refused requests are included, because a lack of engines does not reduce the demand. */
 export interface ArrivalMeter {
     recordArrival(request: RoutingRequest): void;
-    /** Tells what a placed request turned out to need, so that later arrivals are estimated better. */
+    /** Records the actual work of a placed request, which improves the estimates for later arrivals. */
     recordPlaced(request: RoutingRequest, prefillTokens: number): void;
-    /** To be called at a steady interval: takes a sample of the counts. */
+    /** Takes a sample of the counts. Must be called at a steady interval. */
     sample(): void;
-    /** Rates over the window, with one entry per model and partner; none before the window is nearly covered. */
+    /** Rates over the window, one entry per model and partner; empty until samples cover most of the window. */
     rates(): readonly ArrivalRates[];
 }
 
@@ -37,7 +37,7 @@
     readonly exchange: LoadExchange;
     readonly membership: Membership;
     readonly clock: Clock;
-    /** How far back rates look; {@link arrivalWindowMilliseconds} if absent. */
+    /** Window of the rates; {@link arrivalWindowMilliseconds} by default. */
     readonly windowMilliseconds?: number;
 }
 
@@ -56,26 +56,26 @@
     readonly counts: readonly ArrivalCounts[];
 }
 
-/** Means of one profile, moved by each placed request. */
+/** Moving averages over the placed requests of one profile. */
 interface ProfileMeans {
-    /** Prefilled part of the prompt, from 0 to 1. */
-    uncachedPart: number;
+    /** Fraction of the prompt that is not cached and must be prefilled, from 0 to 1. */
+    uncachedFraction: number;
     outputTokens: number;
 }
 
-/** Long enough to even out chance, short against the minutes within which a mix swings. */
+/** Long enough to average out random variation, and short compared to the minutes in which a mix swings. */
 export const arrivalWindowMilliseconds = 12_000;
-/** Rates are told once the samples cover this part of the window: a few seconds after a start say little. */
-const coveredPart = 0.8;
+/** Fraction of the window that samples must cover, because the first seconds after a start are not representative. */
+const minCoveredFraction = 0.8;
 const meanGain = 0.1;
 const millisecondsPerSecond = 1_000;
 const countNames = ["requests", "prefillTokens", "outputTokens", "worth", "changeCost", "betweenTokensLimit"] as const;
 
-/** Creates the meter of one process and registers its part of the exchange. */
+/** Creates the meter of one process and registers its section of the exchange. */
 export function createArrivalMeter(options: ArrivalMeterOptions): ArrivalMeter {
     const { clock, exchange, membership } = options;
-    const own = new Map<string, ArrivalCounts>();
-    const ofPeers = new Map<string, PeerCounts>();
+    const ownCounts = new Map<string, ArrivalCounts>();
+    const peerCounts = new Map<string, PeerCounts>();
     const means = new Map<string, ProfileMeans>();
     const windowMilliseconds = options.windowMilliseconds ?? arrivalWindowMilliseconds;
     let samples: Sample[] = [];
@@ -83,9 +83,9 @@
     const recordArrival = (request: RoutingRequest) => {
         const { profile, partner } = request;
         const mean = means.get(keyOf(partner, profile.name));
-        const counts = findCounts(own, profile.model, partner);
+        const counts = findCounts(ownCounts, profile.model, partner);
         counts.requests += 1;
-        counts.prefillTokens += request.promptTokens * (mean?.uncachedPart ?? 1);
+        counts.prefillTokens += request.promptTokens * (mean?.uncachedFraction ?? 1);
         counts.outputTokens += mean?.outputTokens ?? request.expectedOutputTokens;
         counts.worth += profile.goodputWorth;
         counts.changeCost += profile.roleChangeCost;
@@ -94,17 +94,17 @@
 
     const recordPlaced = (request: RoutingRequest, prefillTokens: number) => {
         const key = keyOf(request.partner, request.profile.name);
-        const uncachedPart = prefillTokens / Math.max(1, request.promptTokens);
-        const mean = means.get(key) ?? { uncachedPart, outputTokens: request.expectedOutputTokens };
-        mean.uncachedPart += (uncachedPart - mean.uncachedPart) * meanGain;
+        const uncachedFraction = prefillTokens / Math.max(1, request.promptTokens);
+        const mean = means.get(key) ?? { uncachedFraction, outputTokens: request.expectedOutputTokens };
+        mean.uncachedFraction += (uncachedFraction - mean.uncachedFraction) * meanGain;
         mean.outputTokens += (request.expectedOutputTokens - mean.outputTokens) * meanGain;
         means.set(key, mean);
     };
 
-    /** Counts of a peer that has ended stay in the total: taking them away would look like arrivals running backwards. */
-    const addUp = () => {
+    /** The total includes the counts of peers that have ended. Without them, the total would decrease. */
+    const sumCounts = () => {
         const totals = new Map<string, ArrivalCounts>();
-        const lists = [[...own.values()], ...[...ofPeers.values()].map(peer => peer.counts)];
+        const lists = [[...ownCounts.values()], ...[...peerCounts.values()].map(peer => peer.counts)];
         for (const counts of lists.flat()) {
             const total = findCounts(totals, counts.model, counts.partner);
             countNames.forEach(name => total[name] += counts[name]);
@@ -114,13 +114,13 @@
 
     const sample = () => {
         const now = clock.monotonicNow();
-        samples = [...samples, { at: now, totals: addUp() }].filter(one => one.at >= now - windowMilliseconds);
+        samples = [...samples, { at: now, totals: sumCounts() }].filter(one => one.at >= now - windowMilliseconds);
     };
 
     const rates = () => {
         const first = samples[0];
         const last = samples.at(-1);
-        if (!first || !last || last.at - first.at < windowMilliseconds * coveredPart) {
+        if (!first || !last || last.at - first.at < windowMilliseconds * minCoveredFraction) {
             return [];
         }
         const seconds = (last.at - first.at) / millisecondsPerSecond;
@@ -129,25 +129,28 @@
 
     exchange.register({
         section: ExchangeSection.Arrivals,
-        collect: () => own.size === 0 ? undefined : toJson<ArrivalMessage>({ counts: [...own.values()] }),
-        receive: (content, from) => takePeer(content, from),
+        collect: () => ownCounts.size === 0 ? undefined : toJson<ArrivalMessage>({ counts: [...ownCounts.values()] }),
+        receive: (content, from) => applyPeerCounts(content, from),
     });
 
-    const takePeer = (content: JsonObject, from: ProcessIdentity) => {
+    const applyPeerCounts = (content: JsonObject, from: ProcessIdentity) => {
         const { counts } = content as unknown as ArrivalMessage;
-        const known = ofPeers.get(from.processId);
+        const known = peerCounts.get(from.processId);
         if (known && known.incarnation !== from.incarnation) {
-            // The new run counts from zero, so the old run's counts are kept under its own name.
-            ofPeers.set(`${from.processId}/${known.incarnation}`, known);
-            forgetOldRuns();
+            // The new incarnation counts from zero, so the counts of the old one are retained under its own key.
+            peerCounts.set(`${from.processId}/${known.incarnation}`, known);
+            removeOldIncarnations();
         }
-        ofPeers.set(from.processId, { incarnation: from.incarnation, counts });
+        peerCounts.set(from.processId, { incarnation: from.incarnation, counts });
     };
 
-    /** Only runs whose end lies within the window matter; more than the members there are can't. */
-    const forgetOldRuns = () => {
-        const oldRuns = [...ofPeers.keys()].filter(key => key.includes("/"));
-        oldRuns.slice(0, Math.max(0, oldRuns.length - membership.others().length)).forEach(key => ofPeers.delete(key));
+    /**
+     * Only incarnations that ended within the window affect the rates. They are presumed to be no more than there are
+     * other members.
+     */
+    const removeOldIncarnations = () => {
+        const ended = [...peerCounts.keys()].filter(key => key.includes("/"));
+        ended.slice(0, Math.max(0, ended.length - membership.others().length)).forEach(key => peerCounts.delete(key));
     };
 
     return { recordArrival, recordPlaced, sample, rates };
@@ -160,7 +163,7 @@
 ): ArrivalRates {
     const before = earlier.get(keyOf(total.model, total.partner));
     const rate = createCounts(total.model, total.partner);
-    // A run that was forgotten takes its counts with it; a rate is never below zero.
+    // The total decreases when an old incarnation is removed. The rate is then limited to zero.
     countNames.forEach(name => rate[name] = Math.max(0, total[name] - (before?.[name] ?? 0)) / seconds);
     return rate;
 }
--- a/packages/daisyturn/src/process/roles/chooseRoleSplit.ts
+++ b/packages/daisyturn/src/process/roles/chooseRoleSplit.ts
@@ -1,71 +1,75 @@
-/** What a pool of engines is asked for and what changing it costs. A pool's engines all serve the same models. */
+/** Demand on a pool of engines and the cost of changing roles. All engines of a pool serve the same models. */
 export interface RoleSplitInput {
-    /** Engines that prefill now, those on their way to that role included. */
+    /** Number of engines that prefill now, including those that are changing to that role. */
     readonly prefillEngines: number;
     readonly decodeEngines: number;
-    /** Engines that the arriving work would keep busy, each part for itself. */
+    /** Number of engines that the arriving prefill work, and the arriving decode work, would keep busy. */
     readonly prefillDemand: number;
     readonly decodeDemand: number;
-    /** Mean of both demands over a long past: what is expected once the present mix has ended. */
+    /** Long-term means of both demands, which are expected after the present mix has ended. */
     readonly meanPrefillDemand: number;
     readonly meanDecodeDemand: number;
-    /** Worth of all that arrives, a second. */
+    /** Worth of all arriving requests per second. */
     readonly worthPerSecond: number;
-    /** Cost of one change, in the unit of the worth. */
+    /** Cost of changing the role of one engine, in the unit of the worth. */
     readonly changeCost: number;
-    /** How long the mix is expected to hold. */
+    /** Expected remaining duration of the present mix. */
     readonly expectedMixMilliseconds: number;
-    /** How long an engine is away for a change, its drain included. */
+    /** Time for which an engine serves nothing during a change, including its drain. */
     readonly changeMilliseconds: number;
-    /** How long it takes to notice that the mix has changed. */
+    /** Time until a change of the mix is detected. */
     readonly detectionMilliseconds: number;
 }
 
-/** What is best done. */
+/** The split with the greatest net worth. */
 export interface RoleSplitChoice {
     readonly prefillEngines: number;
-    /** Worth gained over the time the mix is expected to hold, less all costs; 0 if nothing is changed. */
-    readonly net: number;
+    /** Worth gained during the remaining duration of the mix, less all costs; 0 if the split does not change. */
+    readonly netWorth: number;
 }
 
-/** Engines are planned to be busy for this part of their time, so that waiting stays short. */
-const targetUse = 0.85;
+/** Planned utilization of the engines, which leaves enough spare time to keep queues short. */
+const targetUtilization = 0.85;
 const millisecondsPerSecond = 1_000;
 
-/** The number of prefill engines with the greatest net worth; the present one unless another pays. */
-export function chooseRoleSplit(question: RoleSplitInput): RoleSplitChoice {
-    const engines = question.prefillEngines + question.decodeEngines;
-    let best: RoleSplitChoice = { prefillEngines: question.prefillEngines, net: 0 };
+/** Chooses the number of prefill engines with the greatest net worth, or the present one if none is above zero. */
+export function chooseRoleSplit(input: RoleSplitInput): RoleSplitChoice {
+    const engines = input.prefillEngines + input.decodeEngines;
+    let best: RoleSplitChoice = { prefillEngines: input.prefillEngines, netWorth: 0 };
     for (let prefillEngines = 1; prefillEngines < engines; prefillEngines++) {
-        const net = computeNetWorth(question, prefillEngines);
-        if (net > best.net) {
-            best = { prefillEngines, net };
+        const netWorth = computeNetWorth(input, prefillEngines);
+        if (netWorth > best.netWorth) {
+            best = { prefillEngines, netWorth };
         }
     }
     return best;
 }
 
 /**
- * Net worth of going to a split: what is served more while the mix holds, less what the change keeps from being served,
- * what the split loses after the mix has ended until it is changed again, and the cost. Without the third part the
- * planner went after every swing and stood wrong at the next one (seen in the bench with swings of 20 s).
+ * Computes the net worth of changing to a split: the worth of the additional work served until the mix ends, minus the
+ * work not served during the change, minus the loss from the end of the mix until the next change, minus the cost.
+ * Without the loss after the mix ends, the planner followed every swing of a mix with swings of 20 s, and had the wrong
+ * split at the next swing.
  */
-export function computeNetWorth(question: RoleSplitInput, prefillEngines: number): number {
-    const { changeMilliseconds, expectedMixMilliseconds, detectionMilliseconds } = question;
-    const engines = question.prefillEngines + question.decodeEngines;
-    const moved = Math.abs(prefillEngines - question.prefillEngines);
-    const present: Demand = { prefill: question.prefillDemand, decode: question.decodeDemand };
-    const later: Demand = { prefill: question.meanPrefillDemand, decode: question.meanDecodeDemand };
-    const stay: Split = { prefill: question.prefillEngines, decode: question.decodeEngines };
-    const go: Split = { prefill: prefillEngines, decode: engines - prefillEngines };
-    const during: Split = { prefill: Math.min(stay.prefill, go.prefill), decode: Math.min(stay.decode, go.decode) };
+export function computeNetWorth(input: RoleSplitInput, prefillEngines: number): number {
+    const { changeMilliseconds, expectedMixMilliseconds, detectionMilliseconds } = input;
+    const engines = input.prefillEngines + input.decodeEngines;
+    const changedEngines = Math.abs(prefillEngines - input.prefillEngines);
+    const present: Demand = { prefill: input.prefillDemand, decode: input.decodeDemand };
+    const later: Demand = { prefill: input.meanPrefillDemand, decode: input.meanDecodeDemand };
+    const current: Split = { prefill: input.prefillEngines, decode: input.decodeEngines };
+    const planned: Split = { prefill: prefillEngines, decode: engines - prefillEngines };
+    const during: Split = {
+        prefill: Math.min(current.prefill, planned.prefill),
+        decode: Math.min(current.decode, planned.decode),
+    };
     const changeSeconds = Math.min(changeMilliseconds, expectedMixMilliseconds) / millisecondsPerSecond;
     const holdSeconds = expectedMixMilliseconds / millisecondsPerSecond;
     const laterSeconds = (detectionMilliseconds + changeMilliseconds) / millisecondsPerSecond;
-    const gained = (serve(present, go) - serve(present, stay)) * (holdSeconds - changeSeconds);
-    const missed = (serve(present, stay) - serve(present, during)) * changeSeconds;
-    const lostLater = (serve(later, stay) - serve(later, go)) * laterSeconds;
-    return (gained - missed - lostLater) * question.worthPerSecond - moved * question.changeCost;
+    const gained = (computeServed(present, planned) - computeServed(present, current)) * (holdSeconds - changeSeconds);
+    const missed = (computeServed(present, current) - computeServed(present, during)) * changeSeconds;
+    const lostLater = (computeServed(later, current) - computeServed(later, planned)) * laterSeconds;
+    return (gained - missed - lostLater) * input.worthPerSecond - changedEngines * input.changeCost;
 }
 
 interface Demand {
@@ -78,8 +82,9 @@
     readonly decode: number;
 }
 
-/** Part of the arriving work that a split serves: the scarcer role decides. */
-function serve(demand: Demand, split: Split): number {
-    const part = (count: number, wanted: number) => wanted <= 0 ? 1 : Math.min(1, count * targetUse / wanted);
-    return Math.min(part(split.prefill, demand.prefill), part(split.decode, demand.decode));
+/** Fraction of the arriving work that a split serves, which is limited by the scarcer role. */
+function computeServed(demand: Demand, split: Split): number {
+    const computePart = (count: number, demanded: number) =>
+        demanded <= 0 ? 1 : Math.min(1, count * targetUtilization / demanded);
+    return Math.min(computePart(split.prefill, demand.prefill), computePart(split.decode, demand.decode));
 }
--- a/packages/daisyturn/src/process/roles/createRolePlanner.ts
+++ b/packages/daisyturn/src/process/roles/createRolePlanner.ts
@@ -12,36 +12,36 @@
 
 const demandDigits = 2;
 
-/** One change that the planner wants. */
+/** A role change that the planner requests. */
 export interface RoleChange {
     readonly engineId: string;
     readonly role: EngineRole;
-    /** What it was decided from; absent where a baseline decides. */
-    readonly question?: RoleSplitInput;
+    /** Input of the decision; absent if a baseline decides. */
+    readonly input?: RoleSplitInput;
 }
 
-/** Decides which engines change their role. Other planners are baselines in measurements. */
+/** Decides which engines change their role. Measurements compare it with baselines. */
 export abstract class RolePlanning {
-    /** Called at a steady interval in every process, so that a new holder of the lease knows the past. */
+    /** Called at a steady interval in every process, so that a new holder of the lease already has the history. */
     abstract observe(pools: readonly RolePool[], demands: readonly (PoolDemand | undefined)[]): void;
-    /** Changes to ask for now; called only under the lease. */
+    /** Changes to request now. Called only while this process holds the lease. */
     abstract plan(pools: readonly RolePool[], demands: readonly (PoolDemand | undefined)[]): readonly RoleChange[];
 }
 
 /** Settings of the planner. */
 export interface RolePlannerSettings {
     readonly intervalMilliseconds: number;
-    /** Expected length of a mix before any has ended. */
+    /** Expected duration of a mix before any has ended. */
     readonly priorMixMilliseconds: number;
-    /** How long a change is expected to take, its drain included. */
+    /** Expected duration of a change, including the drain. */
     readonly changeMilliseconds: number;
-    /** How long it takes to notice a new mix: the window of the arrival meter. */
+    /** Time until a new mix is detected: the window of the arrival meter. */
     readonly detectionMilliseconds: number;
-    /** Largest part of a pool that may be away at once; one engine always may. */
+    /** Largest fraction of a pool that may change at once. One engine always may. */
     readonly maxChangingFraction: number;
 }
 
-/** Settings for fleets whose role change takes seconds and whose mix swings within minutes. */
+/** Settings for fleets whose role changes take seconds and whose mix swings within minutes. */
 export const defaultRolePlannerSettings: RolePlannerSettings = {
     intervalMilliseconds: 1_000,
     priorMixMilliseconds: 60_000,
@@ -50,7 +50,7 @@
     maxChangingFraction: 0.25,
 };
 
-/** What the planner's task needs. */
+/** What {@link runRolePlanner} needs. */
 export interface RolePlannerOptions {
     readonly planning: RolePlanning;
     readonly meter: ArrivalMeter;
@@ -85,70 +85,70 @@
 }
 
 async function requestChanges(options: RolePlannerOptions, changes: readonly RoleChange[]): Promise<void> {
-    for (const { engineId, role, question } of changes) {
+    for (const { engineId, role, input } of changes) {
         const recorded = await options.controller.requestRoleChange(engineId, role);
         options.eventLog.record(EventKind.RolePlanned, {
             engine: engineId,
             role,
-            ...question && describeQuestion(question),
+            ...input && describeInput(input),
             outcome: recorded.isOk ? "requested" : "refused",
             reason: recorded.isErr ? recorded.error.reason : undefined,
         });
     }
 }
 
-/** What is remembered of one pool's demand. */
-interface PoolPast {
-    readonly persistence: MixDurationEstimate;
+/** History of one pool's demand. */
+interface PoolHistory {
+    readonly mixDuration: MixDurationEstimate;
     readonly mean: MeanDemand;
 }
 
-/** Creates the planning of the product. */
+/** Creates the planning that is used in production. */
 export function createRolePlanning(clock: Clock, settings: RolePlannerSettings): RolePlanning {
-    const pasts = new Map<string, PoolPast>();
+    const histories = new Map<string, PoolHistory>();
 
-    const findPast = (pool: RolePool): PoolPast => {
+    const findHistory = (pool: RolePool): PoolHistory => {
         const key = pool.models.join("\n");
-        const known = pasts.get(key) ?? {
-            persistence: createMixDurationEstimate({ clock, priorMilliseconds: settings.priorMixMilliseconds }),
+        const known = histories.get(key) ?? {
+            mixDuration: createMixDurationEstimate({ clock, priorMilliseconds: settings.priorMixMilliseconds }),
             mean: createMeanDemand(),
         };
-        pasts.set(key, known);
+        histories.set(key, known);
         return known;
     };
 
     const planPool = (pool: RolePool, demand: PoolDemand): RoleChange[] => {
-        const engines = pool.prefill.length + pool.decode.length + pool.away;
-        const mayLeave = Math.max(1, Math.floor(engines * settings.maxChangingFraction)) - pool.away;
-        const { persistence, mean } = findPast(pool);
+        const engines = pool.prefill.length + pool.decode.length + pool.changingEngines;
+        const availableChanges = Math.max(1, Math.floor(engines * settings.maxChangingFraction)) - pool.changingEngines;
+        const { mixDuration, mean } = findHistory(pool);
         const later = mean.value();
-        const question: RoleSplitInput = {
+        const input: RoleSplitInput = {
             prefillEngines: pool.prefill.length,
             decodeEngines: pool.decode.length,
             prefillDemand: demand.prefillEngines,
             decodeDemand: demand.decodeEngines,
             worthPerSecond: demand.worthPerSecond,
             changeCost: demand.changeCost,
-            expectedMixMilliseconds: persistence.expectedRemaining(),
+            expectedMixMilliseconds: mixDuration.expectedRemaining(),
             changeMilliseconds: settings.changeMilliseconds,
             detectionMilliseconds: settings.detectionMilliseconds,
             meanPrefillDemand: later.prefillEngines,
             meanDecodeDemand: later.decodeEngines,
         };
-        const answer = chooseRoleSplit(question);
-        return chooseEngines(pool, answer.prefillEngines, Math.max(0, mayLeave))
-            .map(change => ({ ...change, question }));
+        const choice = chooseRoleSplit(input);
+        return chooseEngines(pool, choice.prefillEngines, Math.max(0, availableChanges))
+            .map(change => ({ ...change, input }));
     };
 
-    class PayingRolePlanning extends RolePlanning {
+    class NetWorthRolePlanning extends RolePlanning {
         override observe(pools: readonly RolePool[], demands: readonly (PoolDemand | undefined)[]): void {
             pools.forEach((pool, index) => {
                 const demand = demands[index];
                 if (demand) {
                     const all = demand.prefillEngines + demand.decodeEngines;
-                    const past = findPast(pool);
-                    past.persistence.note(demand.prefillEngines / Math.max(all, Number.EPSILON));
-                    past.mean.note(demand, {
+                    const history = findHistory(pool);
+                    history.mixDuration.record(demand.prefillEngines / Math.max(all, Number.EPSILON));
+                    history.mean.record(demand, {
                         prefillEngines: pool.prefill.length,
                         decodeEngines: pool.decode.length,
                     });
@@ -163,27 +163,27 @@
             });
         }
     }
-    return new PayingRolePlanning();
+    return new NetWorthRolePlanning();
 }
 
-/** The engines that change: those with the fewest streams, since they are drained soonest; at most `most`. */
-export function chooseEngines(pool: RolePool, prefillEngines: number, most: number): RoleChange[] {
+/** Chooses the engines that change, at most `maxChanges`: those with the fewest streams, which drain soonest. */
+export function chooseEngines(pool: RolePool, prefillEngines: number, maxChanges: number): RoleChange[] {
     const surplus = pool.prefill.length - prefillEngines;
     const donors: readonly EngineLoad[] = surplus > 0 ? pool.prefill : pool.decode;
     const role = surplus > 0 ? EngineRole.Decode : EngineRole.Prefill;
     return [...donors]
         .sort((left, right) => left.streams() - right.streams())
-        .slice(0, Math.min(most, Math.abs(surplus)))
+        .slice(0, Math.min(maxChanges, Math.abs(surplus)))
         .map(load => ({ engineId: load.engineId, role }));
 }
 
-/** The figures of a decision, rounded, for the log. */
-function describeQuestion(question: RoleSplitInput): EventFields {
+/** Rounded figures of a decision, for the event log. */
+function describeInput(input: RoleSplitInput): EventFields {
     return {
-        prefillEngines: question.prefillEngines,
-        decodeEngines: question.decodeEngines,
-        prefillDemand: Number(question.prefillDemand.toFixed(demandDigits)),
-        decodeDemand: Number(question.decodeDemand.toFixed(demandDigits)),
-        holdMilliseconds: Math.round(question.expectedMixMilliseconds),
+        prefillEngines: input.prefillEngines,
+        decodeEngines: input.decodeEngines,
+        prefillDemand: Number(input.prefillDemand.toFixed(demandDigits)),
+        decodeDemand: Number(input.decodeDemand.toFixed(demandDigits)),
+        holdMilliseconds: Math.round(input.expectedMixMilliseconds),
     };
 }
--- a/packages/daisyturn/src/process/roles/index.ts
+++ b/packages/daisyturn/src/process/roles/index.ts
@@ -1,5 +1,5 @@
 /**
- * How many engines prefill and how many decode.
+ * Plans how many engines prefill and how many decode.
  *
  * @module
  */
--- a/packages/daisyturn/src/process/roles/meanDemand.ts
+++ b/packages/daisyturn/src/process/roles/meanDemand.ts
@@ -1,52 +1,55 @@
-/** Demand for both roles, in engines. */
+/** Demand for both roles, or a split, in engines. */
 export interface RoleDemand {
     readonly prefillEngines: number;
     readonly decodeEngines: number;
 }
 
-/** Mean demand over a long past. */
+/** Long-term mean demand. */
 export interface MeanDemand {
     /**
-     * To be called at a steady interval.
-     * @param split the engines as they stand; the first call takes them for what suits the mean
+     * Records a demand. Must be called at a steady interval.
+     * @param split the present engines; the first call assumes that they suit the mean demand
      */
-    note(demand: RoleDemand, split: RoleDemand): void;
-    /** The mean; nothing before the first note. */
+    record(demand: RoleDemand, split: RoleDemand): void;
+    /** The mean demand; zero before the first record. */
     value(): RoleDemand;
 }
 
-/** Notes after which an old one counts for little; ten minutes at one note a second. */
-const memoryNotes = 600;
+/** Number of records after which an earlier one has little weight: ten minutes at one record per second. */
+const maxWeight = 600;
 
 /**
- * Notes that the split found at the start counts for: operators chose it for some mix, and what is seen in the first
- * minutes may be just one side of a swing (in the bench the first change was always regretted).
+ * Weight of the split found at the start, in records. Operators chose it for some mix, and the first minutes may show
+ * only one side of a swing. In benchmarks without this weight, the first change was always wrong.
  */
-const priorNotes = 180;
+const priorWeight = 180;
 
-/** Creates a mean that begins with the split that it finds, weighs notes alike until there are many, and then forgets. */
+/**
+ * Creates a mean that starts from the present split. All records have equal weight until the total weight is
+ * `maxWeight`. From then on, the weight of earlier records decays.
+ */
 export function createMeanDemand(): MeanDemand {
-    let notes = 0;
+    let weight = 0;
     let mean: RoleDemand = { prefillEngines: 0, decodeEngines: 0 };
 
-    const begin = (demand: RoleDemand, split: RoleDemand) => {
+    const initialize = (demand: RoleDemand, split: RoleDemand) => {
         const share = split.prefillEngines / Math.max(1, split.prefillEngines + split.decodeEngines);
         const all = demand.prefillEngines + demand.decodeEngines;
         mean = { prefillEngines: all * share, decodeEngines: all * (1 - share) };
-        notes = priorNotes;
+        weight = priorWeight;
     };
 
-    const note = (demand: RoleDemand, split: RoleDemand) => {
-        if (notes === 0) {
-            begin(demand, split);
+    const record = (demand: RoleDemand, split: RoleDemand) => {
+        if (weight === 0) {
+            initialize(demand, split);
         }
-        notes = Math.min(memoryNotes, notes + 1);
-        const move = (from: number, to: number) => from + (to - from) / notes;
+        weight = Math.min(maxWeight, weight + 1);
+        const move = (from: number, to: number) => from + (to - from) / weight;
         mean = {
             prefillEngines: move(mean.prefillEngines, demand.prefillEngines),
             decodeEngines: move(mean.decodeEngines, demand.decodeEngines),
         };
     };
 
-    return { note, value: () => mean };
+    return { record, value: () => mean };
 }
--- a/packages/daisyturn/src/process/roles/mixDurationEstimate.ts
+++ b/packages/daisyturn/src/process/roles/mixDurationEstimate.ts
@@ -1,70 +1,70 @@
 import type { Clock } from "daisyturn-utils";
 
-/** Learns how long the mix of prefill and decode work stays much the same. */
+/** Estimates how long the mix of prefill and decode work remains about the same. */
 export interface MixDurationEstimate {
-    /** Takes the present share of prefill in all work, from 0 to 1. To be called at a steady interval. */
-    note(prefillShare: number): void;
-    /** Milliseconds for which the present mix is expected to go on. */
+    /** Records the present share of prefill in all work, from 0 to 1. Must be called at a steady interval. */
+    record(prefillShare: number): void;
+    /** Expected remaining duration of the present mix in milliseconds. */
     expectedRemaining(): number;
 }
 
 /** Settings of {@link createMixDurationEstimate}. */
 export interface MixDurationEstimateOptions {
     readonly clock: Clock;
-    /** Expected length of a mix before any has ended. */
+    /** Expected duration of a mix before any has ended. */
     readonly priorMilliseconds: number;
 }
 
-/** A share that lies further than this from the mean of the run belongs to another mix. */
-const band = 0.15;
-/** Shares in a row that must lie outside before the mix counts as another: one may be chance. */
-const outsideNeeded = 2;
-/** How much the length of one run moves the expectation. */
-const lengthGain = 0.4;
+/** A share that differs by more than this from the mean of the present mix belongs to another mix. */
+const maxShareDeviation = 0.15;
+/** Consecutive shares that must deviate until a new mix is assumed, because a single one may be chance. */
+const minDeviatingShares = 2;
+/** Weight of one mix in the moving average of durations. */
+const durationGain = 0.4;
 const meanGain = 0.2;
-/** Never expected to end sooner than this part of the expected length: when it ends is not known exactly. */
-const leastRemainingPart = 0.25;
-/** A run that outlasts the expectation is expected to go on for this part of its length so far. */
-const outlastingPart = 0.5;
+/** Least expected remaining duration, as a fraction of the expected duration, because the end is not known exactly. */
+const minRemainingFraction = 0.25;
+/** A mix that exceeds its expected duration is expected to last for this fraction of its duration so far. */
+const overrunFraction = 0.5;
 
-/** Creates the estimate; a run begins with the first share noted. */
+/** Creates the estimate. The first mix starts with the first recorded share. */
 export function createMixDurationEstimate(
     { clock, priorMilliseconds }: MixDurationEstimateOptions,
 ): MixDurationEstimate {
-    let expectedLength = priorMilliseconds;
-    let runStartedAt = clock.monotonicNow();
-    let runMean: number | undefined;
-    let outside = 0;
+    let meanDuration = priorMilliseconds;
+    let mixStartedAt = clock.monotonicNow();
+    let mixMean: number | undefined;
+    let deviatingShares = 0;
 
-    const beginRun = (prefillShare: number) => {
+    const startMix = (prefillShare: number) => {
         const now = clock.monotonicNow();
-        expectedLength += (now - runStartedAt - expectedLength) * lengthGain;
-        runStartedAt = now;
-        runMean = prefillShare;
-        outside = 0;
+        meanDuration += (now - mixStartedAt - meanDuration) * durationGain;
+        mixStartedAt = now;
+        mixMean = prefillShare;
+        deviatingShares = 0;
     };
 
-    const note = (prefillShare: number) => {
-        if (runMean === undefined) {
-            runStartedAt = clock.monotonicNow();
-            runMean = prefillShare;
+    const record = (prefillShare: number) => {
+        if (mixMean === undefined) {
+            mixStartedAt = clock.monotonicNow();
+            mixMean = prefillShare;
             return;
         }
-        if (Math.abs(prefillShare - runMean) <= band) {
-            outside = 0;
-            runMean += (prefillShare - runMean) * meanGain;
+        if (Math.abs(prefillShare - mixMean) <= maxShareDeviation) {
+            deviatingShares = 0;
+            mixMean += (prefillShare - mixMean) * meanGain;
             return;
         }
-        outside += 1;
-        if (outside >= outsideNeeded) {
-            beginRun(prefillShare);
+        deviatingShares += 1;
+        if (deviatingShares >= minDeviatingShares) {
+            startMix(prefillShare);
         }
     };
 
     const expectedRemaining = () => {
-        const elapsed = clock.monotonicNow() - runStartedAt;
-        return Math.max(expectedLength - elapsed, expectedLength * leastRemainingPart, elapsed * outlastingPart);
+        const elapsed = clock.monotonicNow() - mixStartedAt;
+        return Math.max(meanDuration - elapsed, meanDuration * minRemainingFraction, elapsed * overrunFraction);
     };
 
-    return { note, expectedRemaining };
+    return { record, expectedRemaining };
 }
--- a/packages/daisyturn/src/process/roles/rolePool.ts
+++ b/packages/daisyturn/src/process/roles/rolePool.ts
@@ -3,32 +3,33 @@
 import type { EngineLoad } from "../load/index.js";
 import type { ArrivalRates } from "./arrivalMeter.js";
 
-/** Engines that serve the same models and take a part in planning. */
+/** Engines that serve the same models and are subject to planning. */
 export interface RolePool {
     readonly models: readonly string[];
     readonly prefill: readonly EngineLoad[];
     readonly decode: readonly EngineLoad[];
-    /** Engines of the pool that are away for a change now. */
-    readonly away: number;
+    /** Number of engines of the pool that serve nothing now because of a change. */
+    readonly changingEngines: number;
 }
 
-/** What a pool is asked for. */
+/** Demand on a pool. */
 export interface PoolDemand {
-    /** Engines that the arriving work would keep busy. */
+    /** Number of engines that the arriving prefill work would keep busy. */
     readonly prefillEngines: number;
+    /** Number of engines that the arriving decode work would keep busy. */
     readonly decodeEngines: number;
     readonly worthPerSecond: number;
-    /** Cost of one change: the partners' costs by their parts in the work of the scarcer role. */
+    /** Cost of one change: mean of the partners' costs, weighted by their shares of the work of the scarcer role. */
     readonly changeCost: number;
 }
 
-/** Largest batch that is looked at when an engine's decode rate is worked out: beyond it rates are only guessed. */
-const largestBatch = 48;
-/** The batch is not planned up to the very limit, where any more work makes all answers late. */
-const usedLimitPart = 0.8;
+/** Largest batch considered in the computation of an engine's decode rate; rates of larger ones are too uncertain. */
+const maxBatch = 48;
+/** Fraction of the limit used in plans. At the limit itself, any additional work would make all answers late. */
+const usableLimitFraction = 0.8;
 const millisecondsPerSecond = 1_000;
 
-/** Groups engines by the models they serve. Mixed engines, and those that a partner holds, are left out. */
+/** Groups engines by the models they serve. Mixed engines and those with a hold of a partner are excluded. */
 export function listRolePools(
     loads: readonly EngineLoad[],
     version: ConfigurationVersion,
@@ -40,13 +41,13 @@
         byModels.set(key, [...byModels.get(key) ?? [], load]);
     }
     return [...byModels].map(([key, members]) => {
-        const isAway = (load: EngineLoad) => load.phase() !== EnginePhase.Serving || isChanging(load.engineId);
-        const present = members.filter(load => !isAway(load));
+        const isOutOfService = (load: EngineLoad) => load.phase() !== EnginePhase.Serving || isChanging(load.engineId);
+        const present = members.filter(load => !isOutOfService(load));
         return {
             models: key.split("\n"),
             prefill: present.filter(load => load.role() === EngineRole.Prefill),
             decode: present.filter(load => load.role() === EngineRole.Decode),
-            away: members.length - present.length,
+            changingEngines: members.length - present.length,
         };
     });
 }
@@ -55,7 +56,7 @@
     return [...version.findTarget(load.engineId)?.models ?? load.state()?.models ?? []].sort();
 }
 
-/** Engines that arriving work would keep busy, from learned rates. Undefined before any engine has told its rates. */
+/** Computes the demand from learned rates. Undefined without arrivals or without engines in service. */
 export function computeDemand(pool: RolePool, arrivals: readonly ArrivalRates[]): PoolDemand | undefined {
     const served = arrivals.filter(rate => pool.models.includes(rate.model) && rate.requests > 0);
     const engines = [...pool.prefill, ...pool.decode];
@@ -64,7 +65,7 @@
     }
     const limit = sum(served, rate => rate.betweenTokensLimit) / sum(served, rate => rate.requests);
     const prefillRate = mean(engines, load => load.prefillPerMillisecond()) * millisecondsPerSecond;
-    const decodeRate = mean(engines, load => bestDecodeRate(load, limit));
+    const decodeRate = mean(engines, load => computeMaxDecodeRate(load, limit));
     const prefillOf = (rate: ArrivalRates) => rate.prefillTokens / prefillRate;
     const decodeOf = (rate: ArrivalRates) => rate.outputTokens / decodeRate;
     const prefillEngines = sum(served, prefillOf);
@@ -79,8 +80,8 @@
 }
 
 /**
- * The change is charged to the partners whose work gains from it. Against a common objective (mean of all costs) this
- * keeps a partner that never gains from paying; against the strictest partner's cost it keeps one from vetoing.
+ * Charges the cost of a change to the partners whose work benefits from it. With the mean of all partners' costs, a
+ * partner that never benefits would pay too; with the highest cost, one partner could veto every change.
  */
 function weighCosts(served: readonly ArrivalRates[], work: (rate: ArrivalRates) => number): number {
     const total = sum(served, work);
@@ -88,15 +89,15 @@
     return total <= 0 ? 0 : sum(served, rate => work(rate) / total * costOf(rate));
 }
 
-/** Tokens a second of one engine with the largest batch that keeps the limit between tokens. */
-function bestDecodeRate(load: EngineLoad, limitMilliseconds: number): number {
+/** Computes the highest decode rate of an engine, in tokens per second, within the limit between tokens. */
+function computeMaxDecodeRate(load: EngineLoad, limitMilliseconds: number): number {
     let best = millisecondsPerSecond / load.rates.betweenTokens(1);
-    for (let streams = 2; streams <= largestBatch; streams++) {
-        const gap = load.rates.betweenTokens(streams);
-        if (gap > limitMilliseconds * usedLimitPart) {
+    for (let streams = 2; streams <= maxBatch; streams++) {
+        const interval = load.rates.betweenTokens(streams);
+        if (interval > limitMilliseconds * usableLimitFraction) {
             break;
         }
-        best = Math.max(best, streams * millisecondsPerSecond / gap);
+        best = Math.max(best, streams * millisecondsPerSecond / interval);
     }
     return best;
 }
