--- a/packages/daisyturn/src/process/health/__tests__/createServiceGuard.test.ts
+++ b/packages/daisyturn/src/process/health/__tests__/createServiceGuard.test.ts
@@ -35,7 +35,7 @@
         }
     });
 
-    it("goes out of service without messages, refuses work as not run, and returns after the next message", async () => {
+    it("goes out of service without messages, refuses work as not run, and returns by itself", async () => {
         const { clock, eventLog, guard, contacts, changes } = createGuard();
         contacts.store = 0;
         contacts.majority = 1_000;
--- a/packages/daisyturn/src/process/health/createServiceGuard.ts
+++ b/packages/daisyturn/src/process/health/createServiceGuard.ts
@@ -3,7 +3,9 @@
 
 /** The guard's view of the other members. */
 export interface MajorityView {
-    /** Latest monotonic time since which each member of some majority has sent a message; undefined if there is none. */
+    /**
+     * Latest monotonic time since which every member of some majority has sent a message; undefined if there is none.
+     */
     majorityContactAt(): number | undefined;
     /** Whether other members have proof that this incarnation has ended. */
     isPresumedEnded(): boolean;
--- a/packages/daisyturn/src/process/health/engineHealth.ts
+++ b/packages/daisyturn/src/process/health/engineHealth.ts
@@ -13,7 +13,7 @@
 /** Detects engines that fail or are slow, and ejects them for a limited time. */
 export interface EngineHealth {
     state(engineId: string): EngineHealthState;
-    /** Whether the engine's health permits to send it another request now. */
+    /** Whether the engine's health permits sending it another request now. */
     acceptsWork(engineId: string): boolean;
     recordDispatch(engineId: string): void;
     recordSuccess(engineId: string): void;
@@ -43,6 +43,7 @@
 const toleratedRatio = 2;
 const slownessThreshold = 4;
 const minRatio = 0.01;
+/** Limits of what one first token adds to the sum. */
 const maxSampleEvidence = 2;
 const minSampleEvidence = -1;
 /** Weight of one first token in an engine's moving average, from which the median of all engines is computed. */
--- a/packages/daisyturn/src/process/load/__tests__/engineLoad.test.ts
+++ b/packages/daisyturn/src/process/load/__tests__/engineLoad.test.ts
@@ -10,7 +10,7 @@
     const load = createEngineLoad("e1", createCacheIndex().view("e1"), clock);
     const send = (sentAt: number, streamId?: string): SentWork => {
         const work = { engineId: "e1", prefillTokens: 1_000, kvTokens: 1_100, decodes: true, sentAt, streamId };
-        load.add(work);
+        load.recordSent(work);
         return work;
     };
     return { clock, load, send };
@@ -49,12 +49,12 @@
     assert.equal(load.streams(), 2);
 });
 
-test("a stream that ended after a report's time is subtracted from that report once, and not from later reports", async () => {
+test("a stream that ended after a report's time is subtracted once, and not from later reports", async () => {
     const { clock, load } = createFixture();
     const now = clock.wallNow();
     const ended = { engineId: "e1", unstartedPrefillTokens: 0, kvTokens: 500, decodes: true, endedAt: now };
     load.applyReport(createReport("e1", { asOf: now - 100, runningStreams: 3, kvTokensUsed: 2_000 }));
-    load.end(ended);
+    load.recordFinished(ended);
     assert.equal(load.streams(), 2);
     load.applyReport(createReport("e1", { asOf: now - 50, runningStreams: 3, kvTokensUsed: 2_000 }));
     assert.deepEqual([load.streams(), load.kvTokens()], [2, 1_500]);
--- a/packages/daisyturn/src/process/load/createLoadView.ts
+++ b/packages/daisyturn/src/process/load/createLoadView.ts
@@ -164,7 +164,7 @@
     const recordSent = (work: Omit<SentWork, "sentAt">): SentWorkHandle => {
         const timed: SentWork = { ...work, sentAt: clock.wallNow() };
         let isOpen = true;
-        ensureLoad(work.engineId).add(timed);
+        ensureLoad(work.engineId).recordSent(timed);
         sent.push(timed);
         const finish = (unstartedPrefillTokens: number) => {
             if (!isOpen) {
@@ -172,9 +172,15 @@
             }
             isOpen = false;
             const { engineId, kvTokens, decodes } = work;
-            const end: FinishedWork = { engineId, kvTokens, decodes, unstartedPrefillTokens, endedAt: clock.wallNow() };
-            known.get(engineId)?.end(end);
-            ended.push(end);
+            const finished: FinishedWork = {
+                engineId,
+                kvTokens,
+                decodes,
+                unstartedPrefillTokens,
+                endedAt: clock.wallNow(),
+            };
+            known.get(engineId)?.recordFinished(finished);
+            ended.push(finished);
         };
         return {
             setStreamId: streamId => {
@@ -196,13 +202,13 @@
         const section = content as unknown as SentWorkSection;
         for (const work of section.sent) {
             const load = known.get(work.engineId);
-            load?.add(work);
+            load?.recordSent(work);
             unpublishedPeerWork.recordPublished(
                 from.processId,
                 work.prefillTokens / (load?.prefillPerMillisecond() ?? Infinity),
             );
         }
-        section.ended.forEach(work => known.get(work.engineId)?.end(work));
+        section.ended.forEach(work => known.get(work.engineId)?.recordFinished(work));
     };
 
     const loads = () => {
--- a/packages/daisyturn/src/process/load/engineLoad.ts
+++ b/packages/daisyturn/src/process/load/engineLoad.ts
@@ -46,8 +46,8 @@
     /** Last state read; undefined before the first read. */
     state(): EngineState | undefined;
     applyState(state: EngineState): void;
-    add(work: SentWork): void;
-    end(work: FinishedWork): void;
+    recordSent(work: SentWork): void;
+    recordFinished(work: FinishedWork): void;
     /** Prompt tokens prefilled per millisecond with the present number of streams. */
     prefillPerMillisecond(): number;
     /** Milliseconds from the wall-clock time `now` until the queued prompts are prefilled. */
@@ -68,7 +68,7 @@
  */
 const clockToleranceMilliseconds = 50;
 
-/** Two reports that are closer together in time are not used to learn the prefill rate, which they show too poorly. */
+/** Least time between two reports from which the prefill rate is learned. Less time gives too inaccurate a rate. */
 const minReportDistanceMilliseconds = 100;
 
 /** Creates the estimate for one engine, whose phase is not `Serving` until its first report. */
@@ -150,14 +150,14 @@
         finishedSinceReport.forEach(countFinished);
     };
 
-    const add = (work: SentWork) => {
+    const recordSent = (work: SentWork) => {
         if (unreported.length < maxUnreportedWork && (!report || work.sentAt >= report.asOf)) {
             unreported.push(work);
             countSent(work);
         }
     };
 
-    const end = (work: FinishedWork) => {
+    const recordFinished = (work: FinishedWork) => {
         if (finishedSinceReport.length < maxUnreportedWork && (!report || work.endedAt >= report.asOf)) {
             finishedSinceReport.push(work);
             countFinished(work);
@@ -183,8 +183,8 @@
         applyState: next => {
             state = next;
         },
-        add,
-        end,
+        recordSent,
+        recordFinished,
         prefillPerMillisecond,
         prefillWait,
         streams: () => streams,
--- a/packages/daisyturn/src/process/roles/__tests__/chooseRoleSplit.test.ts
+++ b/packages/daisyturn/src/process/roles/__tests__/chooseRoleSplit.test.ts
@@ -20,7 +20,7 @@
     };
 }
 
-describe("chooseSplit", () => {
+describe("chooseRoleSplit", () => {
     it("keeps a split that serves all work", () => {
         assert.deepEqual(chooseRoleSplit(createInput()), { prefillEngines: 4, netWorth: 0 });
     });
--- a/packages/daisyturn/src/process/roles/__tests__/mixDurationEstimate.test.ts
+++ b/packages/daisyturn/src/process/roles/__tests__/mixDurationEstimate.test.ts
@@ -15,7 +15,7 @@
     return estimate;
 }
 
-describe("createMixPersistence", () => {
+describe("createMixDurationEstimate", () => {
     it("expects the prior duration before the first record", () => {
         const estimate = createMixDurationEstimate({ clock: new FakeClock(), priorMilliseconds: 60 * second });
         assert.equal(estimate.expectedRemaining(), 60 * second);
--- a/packages/daisyturn/src/process/roles/arrivalMeter.ts
+++ b/packages/daisyturn/src/process/roles/arrivalMeter.ts
@@ -21,7 +21,7 @@
 /** Arrivals per second in the whole cell within the window. */
 export type ArrivalRates = Readonly<ArrivalCounts>;
 
-/** Counts arriving requests. Refused requests are included, because a lack of engines does not reduce the demand. */
+/** Counts arriving requests. Refused requests are included, because a lack of engines does not reduce demand. */
 export interface ArrivalMeter {
     recordArrival(request: RoutingRequest): void;
     /** Records the actual work of a placed request, which improves the estimates for later arrivals. */
@@ -145,8 +145,8 @@
     };
 
     /**
-     * Only incarnations that ended within the window affect the rates. They are presumed to be no more than there are
-     * other members.
+     * Only incarnations that ended within the window affect the rates. There are presumed to be at most as many of them
+     * as other members.
      */
     const removeOldIncarnations = () => {
         const ended = [...peerCounts.keys()].filter(key => key.includes("/"));
--- a/packages/daisyturn/src/process/roles/chooseRoleSplit.ts
+++ b/packages/daisyturn/src/process/roles/chooseRoleSplit.ts
@@ -64,9 +64,9 @@
         decode: Math.min(current.decode, planned.decode),
     };
     const changeSeconds = Math.min(changeMilliseconds, expectedMixMilliseconds) / millisecondsPerSecond;
-    const holdSeconds = expectedMixMilliseconds / millisecondsPerSecond;
+    const mixSeconds = expectedMixMilliseconds / millisecondsPerSecond;
     const laterSeconds = (detectionMilliseconds + changeMilliseconds) / millisecondsPerSecond;
-    const gained = (computeServed(present, planned) - computeServed(present, current)) * (holdSeconds - changeSeconds);
+    const gained = (computeServed(present, planned) - computeServed(present, current)) * (mixSeconds - changeSeconds);
     const missed = (computeServed(present, current) - computeServed(present, during)) * changeSeconds;
     const lostLater = (computeServed(later, current) - computeServed(later, planned)) * laterSeconds;
     return (gained - missed - lostLater) * input.worthPerSecond - changedEngines * input.changeCost;
--- a/packages/daisyturn/src/process/roles/rolePool.ts
+++ b/packages/daisyturn/src/process/roles/rolePool.ts
@@ -25,7 +25,10 @@
 
 /** Largest batch considered in the computation of an engine's decode rate; rates of larger ones are too uncertain. */
 const maxBatch = 48;
-/** Fraction of the limit used in plans. At the limit itself, any additional work would make all answers late. */
+/**
+ * Fraction of the limit between tokens up to which batches are planned. At the limit itself, any additional work would
+ * make all answers late.
+ */
 const usableLimitFraction = 0.8;
 const millisecondsPerSecond = 1_000;
 
