--- a/packages/daisyturn-examples/src/planRoles.ts
+++ b/packages/daisyturn-examples/src/planRoles.ts
@@ -1,6 +1,9 @@
 import { chooseRoleSplit } from "daisyturn";
 
-/** Eight engines, half and half, and a mix that needs far more decoding: how many should prefill? */
+/**
+ * Computes how many of eight engines should prefill. Half of them prefill now, and the current demand is mostly for
+ * decoding.
+ */
 export function planPrefillEngines(expectedMixMilliseconds: number): number {
     return chooseRoleSplit({
         prefillEngines: 4,
--- a/packages/daisyturn/src/process/load/cacheIndex.ts
+++ b/packages/daisyturn/src/process/load/cacheIndex.ts
@@ -31,7 +31,7 @@
     /** Keys of all the prompt's blocks. */
     readonly keys: BlockKeys;
     /** Length, in blocks, of the prompt's longest prefix that the engine caches. */
-    matchedBy(view: CacheView): number;
+    countMatchedBlocks(view: CacheView): number;
 }
 
 /** Limit of blocks over all engines, which bounds the index to about 20 MB. */
@@ -71,7 +71,7 @@
         const keys = hashBlocks(blocks);
         const knownBlocks = matchPrefix(keys, table, depths);
         depths[noSlot] = 0;
-        return { knownBlocks, keys, matchedBy: view => depths[view.slot]! };
+        return { knownBlocks, keys, countMatchedBlocks: view => depths[view.slot]! };
     };
 
     return { view, removeEngine, match, size: table.size };
