--- a/packages/daisyturn/src/process/admission/engineCapacity.ts
+++ b/packages/daisyturn/src/process/admission/engineCapacity.ts
@@ -89,7 +89,7 @@
         const waitLimit = clamp(waitFraction * firstTokenLimitMilliseconds, minWaitMilliseconds, maxWaitMilliseconds);
         const memoryFraction = isAbove ? ordinaryMemoryFraction : 1;
         const requiredKvTokens = request.promptTokens + request.expectedOutputTokens;
-        const anticipatedWait = loadView.anticipatedWait();
+        const anticipatedWait = loadView.estimateUnpublishedPeerWait();
         return (option: PlacementOption) => {
             const load = option.decode;
             const isIdle = load.streams() === 0;
@@ -106,7 +106,7 @@
         const ownPrefill = option.firstToken * option.prefillFraction;
         return {
             engineTime: ownPrefill + estimateDecodeTime(request, option),
-            firstToken: option.firstToken + loadView.anticipatedWait(),
+            firstToken: option.firstToken + loadView.estimateUnpublishedPeerWait(),
             ownPrefill,
         };
     };
