--- a/packages/daisyturn/src/process/configuration/__tests__/configurationInterleavings.test.ts
+++ b/packages/daisyturn/src/process/configuration/__tests__/configurationInterleavings.test.ts
@@ -159,7 +159,7 @@
             const retire = async () => {
                 await step("publish");
                 await operator.configurationManager.publish(createChangeRequest("north", "w-2", [remove(dossier)]));
-                for (let ask = 0; ask < 3; ask++) {
+                for (let query = 0; query < 3; query++) {
                     await step("ask");
                     const report = (await operator.configurationManager.retirementOf(dossier)).unwrapOr(undefined);
                     completions += report?.isComplete ? 1 : 0;
--- a/packages/daisyturn/src/process/store/__tests__/differential.test.ts
+++ b/packages/daisyturn/src/process/store/__tests__/differential.test.ts
@@ -12,7 +12,7 @@
 import { addWriteMarker, writeMarkerPrefix } from "../writeMarker.js";
 
 /** Which version of a row a condition expects. */
-enum Expectation {
+enum Demand {
     Current = "current",
     Stale = "stale",
     Absent = "absent",
@@ -20,7 +20,7 @@
 
 interface Step {
     readonly client: number;
-    readonly conditions: readonly { readonly key: string; readonly expectation: Expectation; }[];
+    readonly conditions: readonly { readonly key: string; readonly demand: Demand; }[];
     readonly writes: readonly { readonly key: string; readonly isDelete: boolean; }[];
     readonly isMarked: boolean;
 }
@@ -47,7 +47,7 @@
 const stepArbitrary: fc.Arbitrary<Step> = fc.record({
     client: fc.nat(clientCount - 1),
     conditions: fc.uniqueArray(
-        fc.record({ key: keyArbitrary, expectation: fc.constantFrom(...Object.values(Expectation)) }),
+        fc.record({ key: keyArbitrary, demand: fc.constantFrom(...Object.values(Demand)) }),
         { selector: item => item.key, maxLength: 3 },
     ),
     writes: fc.uniqueArray(
@@ -71,19 +71,19 @@
 }
 
 function createTransaction(step: Step, writeId: string, currentRows: ReadonlyMap<string, Row>): Transaction {
-    const expectedVersionOf = (key: string, expectation: Expectation) => {
+    const expectedVersionOf = (key: string, demand: Demand) => {
         const current = currentRows.get(key)?.version ?? absentVersion;
-        return expectation === Expectation.Absent
+        return demand === Demand.Absent
             ? absentVersion
-            : expectation === Expectation.Current
+            : demand === Demand.Current
             ? current
             : Math.max(0, current - 1);
     };
     return {
         writeId,
-        conditions: step.conditions.map(({ key, expectation }) => ({
+        conditions: step.conditions.map(({ key, demand }) => ({
             key,
-            expectedVersion: expectedVersionOf(key, expectation),
+            expectedVersion: expectedVersionOf(key, demand),
         })),
         writes: step.writes.map(({ key, isDelete }) => (
             { key, value: isDelete && deletableKeys.includes(key) ? undefined : writeId }
--- a/packages/daisyturn/src/process/store/__tests__/storeBudget.test.ts
+++ b/packages/daisyturn/src/process/store/__tests__/storeBudget.test.ts
@@ -12,28 +12,29 @@
     const budget = createStoreBudget({ clock, callsPerSecond: 10 });
     budget.drain();
     const grants: string[] = [];
-    const enqueue = (priority: StorePriority, deadline = farDeadline) => {
+    /** Queues a call, and records in `grants` whether it was granted. */
+    const line = (priority: StorePriority, deadline = farDeadline) => {
         void budget.acquire(priority, deadline).then(granted => grants.push(`${priority}:${granted}`));
     };
-    return { clock, budget, grants, enqueue };
+    return { clock, budget, grants, line };
 }
 
 describe("createStoreBudget", () => {
     it("serves leases before claims and claims before the rest", async () => {
-        const { clock, grants, enqueue } = createEmptyBudget();
-        enqueue(StorePriority.Other);
-        enqueue(StorePriority.Claim);
-        enqueue(StorePriority.Lease);
+        const { clock, grants, line } = createEmptyBudget();
+        line(StorePriority.Other);
+        line(StorePriority.Claim);
+        line(StorePriority.Lease);
         await clock.advance(300);
         assert.deepEqual(grants, ["lease:true", "claim:true", "other:true"]);
     });
 
     it("skips a waiting call at most a fixed number of times", async () => {
-        const { clock, grants, enqueue } = createEmptyBudget();
-        enqueue(StorePriority.Other);
-        enqueue(StorePriority.Claim);
+        const { clock, grants, line } = createEmptyBudget();
+        line(StorePriority.Other);
+        line(StorePriority.Claim);
         for (let count = 0; count < 30; count++) {
-            enqueue(StorePriority.Lease);
+            line(StorePriority.Lease);
         }
         await clock.advance(3_200);
         const positions = [grants.indexOf("claim:true"), grants.indexOf("other:true")].sort((one, other) =>
@@ -44,9 +45,9 @@
     });
 
     it("keeps to the rate and accumulates at most the calls of a quarter of a second", async () => {
-        const { clock, grants, enqueue } = createEmptyBudget();
+        const { clock, grants, line } = createEmptyBudget();
         for (let count = 0; count < 100; count++) {
-            enqueue(StorePriority.Other);
+            line(StorePriority.Other);
         }
         await clock.advance(2_000);
         assert.equal(grants.length, 20);
@@ -54,17 +55,17 @@
         assert.equal(grants.length, 100);
         await clock.advance(10_000);
         for (let count = 0; count < 10; count++) {
-            enqueue(StorePriority.Other);
+            line(StorePriority.Other);
         }
         await clock.advance(0);
         assert.equal(grants.length, 102);
     });
 
     it("rejects a call at its deadline, not at the next grant", async () => {
-        const { clock, grants, enqueue } = createEmptyBudget();
-        enqueue(StorePriority.Lease);
+        const { clock, grants, line } = createEmptyBudget();
+        line(StorePriority.Lease);
         await clock.advance(100);
-        enqueue(StorePriority.Lease, 120);
+        line(StorePriority.Lease, 120);
         await clock.advance(20);
         assert.deepEqual(grants, ["lease:true", "lease:false"]);
     });
--- a/packages/daisyturn/src/process/store/__tests__/writeMarker.test.ts
+++ b/packages/daisyturn/src/process/store/__tests__/writeMarker.test.ts
@@ -14,7 +14,7 @@
 const deadline = Number.MAX_SAFE_INTEGER;
 
 /** Creates a row, deletes it, and then lets the late first attempt commit. Returns whether the row exists again. */
-async function bringBackByLateTry(isMarked: boolean) {
+async function lateAttemptRecreatesRow(isMarked: boolean) {
     const { clock, faulty, client, inner } = createStoreSetup();
     const create = createRows("w1", ["a"]);
     faulty.script(TableFaultKind.CommitLate);
@@ -29,9 +29,9 @@
 
 describe("write markers", () => {
     it("prevent a late attempt from recreating a deleted row, unlike a create without a marker", async () => {
-        assert.equal(await bringBackByLateTry(true), false);
+        assert.equal(await lateAttemptRecreatesRow(true), false);
         // The documented limitation of a condition that a row is absent.
-        assert.equal(await bringBackByLateTry(false), true);
+        assert.equal(await lateAttemptRecreatesRow(false), true);
     });
 
     it("are removed after the retention period, and not before", async () => {
