--- a/packages/daisyturn/src/request/forwarding/__fixtures__/playOverload.ts
+++ b/packages/daisyturn/src/request/forwarding/__fixtures__/simulateOverload.ts
@@ -10,10 +10,10 @@
     type Mechanism,
 } from "../../../process/forwarding/index.js";
 import { type AdmissionParts, admitPrompt } from "../admitPrompt.js";
-import { findLeaveTime } from "../findLeaveTime.js";
+import { computeAbandonmentTime } from "../computeAbandonmentTime.js";
 import { createRequestTrace } from "../requestTrace.js";
 import { createOverloadPrompts } from "./createOverloadPrompts.js";
-import { createPlayedEngines } from "./createPlayedEngines.js";
+import { createSimulatedEngines } from "./createSimulatedEngines.js";
 
 /** A stretch of time in which more prompts come than the engines can read, and how it is played. */
 export interface Overload {
@@ -28,12 +28,12 @@
 }
 
 /** A long prompt, and whether its answer began before its caller left. */
-export interface PlayedPrompt {
+export interface SimulatedPrompt {
     readonly tokens: number;
     readonly isServed: boolean;
 }
 
-type PlayedRun = ReturnType<typeof createRun>;
+type SimulatedCall = ReturnType<typeof createCall>;
 type EndListener = (isServed: boolean) => void;
 
 const sliceMilliseconds = 5;
@@ -50,51 +50,56 @@
  * the speed that is forecast. Callers who have had no event when their patience ends leave.
  * @returns the long prompts
  */
-export async function playOverload(overload: Overload): Promise<readonly PlayedPrompt[]> {
+export async function simulateOverload(overload: Overload): Promise<readonly SimulatedPrompt[]> {
     const { seed, longPerSecond, shortPerSecond, seconds } = overload;
     const random = createSeededRandom(seed);
     const prompts = createOverloadPrompts(random);
-    const { arrive, work } = createPlayedProcess(overload);
+    const { arrive, work } = createSimulatedProcess(overload);
     const isDue = (perSecond: number) => random.fraction() < perSecond * sliceMilliseconds / millisecondsPerSecond;
-    const played: PlayedPrompt[] = [];
+    const simulated: SimulatedPrompt[] = [];
 
     for (let slice = 1; slice <= seconds * millisecondsPerSecond / sliceMilliseconds; slice++) {
         if (isDue(longPerSecond)) {
             const prompt = prompts.createLong(`own-${slice}`);
-            await arrive("long", prompt, isServed => played.push({ tokens: prompt.promptTokens, isServed }));
+            await arrive("long", prompt, isServed => simulated.push({ tokens: prompt.promptTokens, isServed }));
         }
         if (isDue(shortPerSecond)) {
             await arrive("short", prompts.createShort(`short-${slice}`), () => undefined);
         }
         await work();
     }
-    return played;
+    return simulated;
 }
 
 /** Served of all, by tenths of the order of size, smallest first. */
-export function shareByTenth(played: readonly PlayedPrompt[]): readonly number[] {
-    const ordered = [...played].sort((left, right) => left.tokens - right.tokens);
+export function computeServedShareByTenth(simulated: readonly SimulatedPrompt[]): readonly number[] {
+    const ordered = [...simulated].sort((left, right) => left.tokens - right.tokens);
     return Array.from({ length: 10 }, (...[, tenth]) => {
         const part = ordered.slice(tenth * ordered.length / 10, (tenth + 1) * ordered.length / 10);
-        return shareServed(part);
+        return computeServedShare(part);
     });
 }
 
-export function shareServed(played: readonly PlayedPrompt[]): number {
-    return played.filter(({ isServed }) => isServed).length / played.length;
+export function computeServedShare(simulated: readonly SimulatedPrompt[]): number {
+    return simulated.filter(({ isServed }) => isServed).length / simulated.length;
 }
 
 /** One process before its engines. */
-function createPlayedProcess({ seed, switchedOff = new Set() }: Overload) {
+function createSimulatedProcess({ seed, switchedOff = new Set() }: Overload) {
     const { placement, loads, caches, clock } = createPlacementBench(stages, seed, switchedOff);
     const decisions = new LocalDecisions({ placement, longPrefillTimes: createLongPrefillTimes(), switchedOff });
     const parts: AdmissionParts = { decisions, clock, switchedOff, availabilityZone: "zone-0" };
     const sizeFairness = createSizeFairness();
-    const engines = createPlayedEngines();
+    const engines = createSimulatedEngines();
 
-    const send = async (run: PlayedRun, prompt: PromptDescription, onEnd: EndListener) => {
-        const account = sizeFairness.begin(run.route.name, measureSize(prompt));
-        const admitted = await admitPrompt(parts, run, { prompt, account, isWholeOnly: false, hasBegun: false });
+    const send = async (call: SimulatedCall, prompt: PromptDescription, onEnd: EndListener) => {
+        const account = sizeFairness.begin(call.route.name, measureSize(prompt));
+        const admitted = await admitPrompt(parts, call, {
+            prompt,
+            account,
+            isWholeOnly: false,
+            hasStarted: false,
+        });
         if (admitted.isErr) {
             account.end(false);
             onEnd(false);
@@ -109,12 +114,17 @@
             account.end(isServed);
             onEnd(isServed);
         };
-        engines.add(targetId, { isDeferred, leavesAt: findLeaveTime(run), end, left: leastWork });
+        engines.add(targetId, {
+            isDeferred,
+            abandonedAt: computeAbandonmentTime(call),
+            end,
+            left: leastWork,
+        });
     };
 
     return {
         arrive: (route: string, prompt: PromptDescription, onEnd: EndListener) =>
-            send(createRun(clock.monotonicNow(), route, prompt), prompt, onEnd),
+            send(createCall(clock.monotonicNow(), route, prompt), prompt, onEnd),
         work: async () => {
             await clock.advance(sliceMilliseconds);
             engines.work(sliceMilliseconds, clock.monotonicNow());
@@ -122,7 +132,7 @@
     };
 }
 
-function createRun(arrivedAt: number, route: string, { promptTokens }: PromptDescription) {
+function createCall(arrivedAt: number, route: string, { promptTokens }: PromptDescription) {
     return {
         call: { arrivedAt, body: Buffer.alloc(promptTokens * bytesPerToken) },
         service: engineService,
--- a/packages/daisyturn/src/request/forwarding/__tests__/findLeaveTime.test.ts
+++ b/packages/daisyturn/src/request/forwarding/__tests__/computeAbandonmentTime.test.ts
@@ -1,15 +1,15 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { findLeaveTime, type JudgedCall } from "../findLeaveTime.js";
+import { type CallTiming, computeAbandonmentTime } from "../computeAbandonmentTime.js";
 
-function createCall(latencyAimMilliseconds: number, deadline: number): JudgedCall {
+function createCall(latencyAimMilliseconds: number, deadline: number): CallTiming {
     return { call: { arrivedAt: 1_000 }, route: { latencyAimMilliseconds }, deadline };
 }
 
 test("callers wait two seconds, or four times the aim if that is longer, and never beyond the deadline", () => {
-    assert.equal(findLeaveTime(createCall(250, 9_000)), 3_000);
-    assert.equal(findLeaveTime(createCall(600, 9_000)), 3_400);
-    assert.equal(findLeaveTime(createCall(600, 2_200)), 2_200);
+    assert.equal(computeAbandonmentTime(createCall(250, 9_000)), 3_000);
+    assert.equal(computeAbandonmentTime(createCall(600, 9_000)), 3_400);
+    assert.equal(computeAbandonmentTime(createCall(600, 2_200)), 2_200);
 });
 
 /**
@@ -20,7 +20,7 @@
 test("callers who bear long pauses wait for eight of them", () => {
     const { call, deadline } = createCall(600, 9_000);
     const route = { latencyAimMilliseconds: 600, pauseAimMilliseconds: 600 };
-    assert.equal(findLeaveTime({ call, route, deadline }), 5_800);
+    assert.equal(computeAbandonmentTime({ call, route, deadline }), 5_800);
     const shortPauses = { ...route, pauseAimMilliseconds: 150 };
-    assert.equal(findLeaveTime({ call, route: shortPauses, deadline }), 3_400);
+    assert.equal(computeAbandonmentTime({ call, route: shortPauses, deadline }), 3_400);
 });
--- a/packages/daisyturn/src/request/forwarding/__tests__/eventRelay.test.ts
+++ b/packages/daisyturn/src/request/forwarding/__tests__/eventRelay.test.ts
@@ -38,7 +38,7 @@
         const relay = createEventRelay(exchange);
         for (let at = 0; at < text.length;) {
             const next = Math.min(text.length, at + 1 + random.integerBelow(12));
-            relay.take(200, [], Buffer.from(text.slice(at, next)));
+            relay.write(200, [], Buffer.from(text.slice(at, next)));
             at = next;
             assert.ok(written.every(piece => piece.endsWith("\n\n")));
         }
@@ -52,18 +52,18 @@
 test("the beginning of an event that a broken stream leaves is dropped before another goes on", () => {
     const { exchange, written } = createRecorder();
     const relay = createEventRelay(exchange);
-    relay.take(200, [], Buffer.from(`${event(1)}id: 2\nda`));
+    relay.write(200, [], Buffer.from(`${event(1)}id: 2\nda`));
     assert.equal(relay.lastEventId(), "1");
-    relay.dropPartialEvent();
-    relay.take(200, [], Buffer.from(event(2)));
+    relay.discardPartialEvent();
+    relay.write(200, [], Buffer.from(event(2)));
     assert.equal(written.join(""), event(1) + event(2));
 });
 
 test("the head is sent only with the first event, or with the end", () => {
     const { exchange, counts } = createRecorder();
     const relay = createEventRelay(exchange);
-    relay.take(200, [], Buffer.from("id: 1"));
-    assert.equal(relay.hasBegun(), false);
+    relay.write(200, [], Buffer.from("id: 1"));
+    assert.equal(relay.hasStarted(), false);
     relay.end(200, []);
     assert.deepEqual(counts(), { begun: 1, ended: 1 });
 });
--- a/packages/daisyturn/src/request/forwarding/__tests__/overload.test.ts
+++ b/packages/daisyturn/src/request/forwarding/__tests__/overload.test.ts
@@ -11,10 +11,10 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import { Mechanism } from "../../../process/forwarding/index.js";
-import { playOverload, shareByTenth, shareServed } from "../__fixtures__/playOverload.js";
+import { computeServedShare, computeServedShareByTenth, simulateOverload } from "../__fixtures__/simulateOverload.js";
 
 /** The operators' bound: any part of the order of size is served at least so often, against all prompts of the kind. */
-const leastRatio = 0.5;
+const minRatio = 0.5;
 
 const { KvFetch, SizeFairness } = Mechanism;
 /** The load under which it was seen: each engine read anew what it did not keep. */
@@ -24,27 +24,27 @@
 
 for (const seed of [1, 2, 3, 4]) {
     test(`under a lasting overload, the longest prompts are served at least half as often as all, seed ${seed}`, async () => {
-        const played = await playOverload({ seed, ...overload, switchedOff: new Set([KvFetch]) });
-        const all = shareServed(played);
-        const tenths = shareByTenth(played);
+        const prompts = await simulateOverload({ seed, ...overload, switchedOff: new Set([KvFetch]) });
+        const all = computeServedShare(prompts);
+        const tenths = computeServedShareByTenth(prompts);
         const ratio = Math.min(...tenths) / all;
-        assert.ok(ratio >= leastRatio, `served by tenth: ${tenths.map(share => share.toFixed(2)).join(" ")}`);
+        assert.ok(ratio >= minRatio, `served by tenth: ${tenths.map(share => share.toFixed(2)).join(" ")}`);
     });
 
     test(`without the account by size, the same overload starves them, seed ${seed}`, async () => {
-        const played = await playOverload({ seed, ...overload, switchedOff: new Set([KvFetch, SizeFairness]) });
-        assert.ok((shareByTenth(played).at(-1) ?? 0) < leastRatio * shareServed(played));
+        const prompts = await simulateOverload({ seed, ...overload, switchedOff: new Set([KvFetch, SizeFairness]) });
+        assert.ok((computeServedShareByTenth(prompts).at(-1) ?? 0) < minRatio * computeServedShare(prompts));
     });
 
     test(`the same where beginnings are fetched, for the largest tenth and the fifth below it, seed ${seed}`, async () => {
-        const played = await playOverload({ seed, ...fetchingOverload });
-        const [eighth = 0, ninth = 0, largest = 0] = shareByTenth(played).slice(7);
+        const prompts = await simulateOverload({ seed, ...fetchingOverload });
+        const [eighth = 0, ninth = 0, largest = 0] = computeServedShareByTenth(prompts).slice(7);
         const least = Math.min(largest, (eighth + ninth) / 2);
-        assert.ok(least >= leastRatio * shareServed(played), `${least} of ${shareServed(played)}`);
+        assert.ok(least >= minRatio * computeServedShare(prompts), `${least} of ${computeServedShare(prompts)}`);
     });
 
     test(`without the account by size, the longest starve there too, seed ${seed}`, async () => {
-        const played = await playOverload({ seed, ...fetchingOverload, switchedOff: new Set([SizeFairness]) });
-        assert.ok((shareByTenth(played).at(-1) ?? 0) < leastRatio * shareServed(played));
+        const prompts = await simulateOverload({ seed, ...fetchingOverload, switchedOff: new Set([SizeFairness]) });
+        assert.ok((computeServedShareByTenth(prompts).at(-1) ?? 0) < minRatio * computeServedShare(prompts));
     });
 }
--- a/packages/daisyturn/src/request/forwarding/__tests__/requestTrace.test.ts
+++ b/packages/daisyturn/src/request/forwarding/__tests__/requestTrace.test.ts
@@ -6,9 +6,9 @@
 test("the last line of a call tells by itself what it was judged by", () => {
     const eventLog = new MemoryEventLog();
     const trace = createRequestTrace({ eventLog, sampledCalls: 64, callId: "a", arrivedAt: 100, now: () => 105 });
-    trace.repeatAtEnd({ tokens: 30_000, begins: 2_900, patience: 2_400 });
+    trace.addSummaryFields({ tokens: 30_000, begins: 2_900, patience: 2_400 });
     trace.record(EventKind.RequestPlaced, { target: "i-1" });
-    trace.repeatAtEnd({ begins: 2_600 });
+    trace.addSummaryFields({ begins: 2_600 });
     trace.recordEnd(EventKind.RequestRefused, { reason: "deadline_unreachable" });
     trace.end(false);
     assert.deepEqual(eventLog.events.map(({ fields }) => fields), [
--- a/packages/daisyturn/src/request/forwarding/admitPrompt.ts
+++ b/packages/daisyturn/src/request/forwarding/admitPrompt.ts
@@ -8,17 +8,17 @@
     type PromptPlacement,
     type TrackedPrompt,
 } from "../../process/forwarding/index.js";
-import { type CallRun, describeNoTarget } from "./callRun.js";
-import { findLeaveTime, type JudgedCall } from "./findLeaveTime.js";
+import { type CallContext, createNoTargetFailure } from "./callContext.js";
+import { type CallTiming, computeAbandonmentTime } from "./computeAbandonmentTime.js";
 import type { ForwardingParts } from "./forwardingParts.js";
 
 /** The parts of the process that admission asks. */
 export type AdmissionParts = Pick<ForwardingParts, "decisions" | "clock" | "switchedOff" | "availabilityZone">;
 
 /** A call that is to be admitted. */
-export interface AdmittedRun extends JudgedCall, Pick<CallRun, "service" | "avoid" | "pauseAim" | "trace"> {
+export interface AdmissionContext extends CallTiming, Pick<CallContext, "service" | "avoid" | "pauseAim" | "trace"> {
     readonly call: Pick<ForwardedCall, "arrivedAt" | "body">;
-    readonly route: JudgedCall["route"] & Pick<CallRun["route"], "name">;
+    readonly route: CallTiming["route"] & Pick<CallContext["route"], "name">;
 }
 
 /** What one placement of a prompt goes by, beside the call itself. */
@@ -28,52 +28,52 @@
     /** Whether both parts have to be done by one engine. */
     readonly isWholeOnly: boolean;
     /** Whether the caller has had events already: then it is not refused by a forecast. */
-    readonly hasBegun: boolean;
+    readonly hasStarted: boolean;
 }
 
 /** An answer is planned to be on time by this part of its aim: the rest covers what estimates are off. */
-const aimFraction = 0.85;
+const plannedAimFraction = 0.85;
 const tooLateMessage = "The answer would begin too late.";
 
 /** Chooses the way of a prompt; refuses it at once where no engine is open or its answer would begin after its caller has left. */
 export async function admitPrompt(
     parts: AdmissionParts,
-    run: AdmittedRun,
+    context: AdmissionContext,
     terms: AdmissionTerms,
 ): Promise<Result<PromptPlacement, Failure>> {
-    const decision = await parts.decisions.decide(describeRequest(parts, run, terms));
+    const decision = await parts.decisions.decide(buildDecisionRequest(parts, context, terms));
     if (!decision) {
-        return err(describeNoTarget(run, parts.clock));
+        return err(createNoTargetFailure(context, parts.clock));
     }
-    recordPlacement(parts, run, decision);
-    const { placement: way, lateness } = decision;
-    if (lateness > 0 && !terms.hasBegun && !parts.switchedOff.has(Mechanism.RefusalByForecast)) {
+    recordPlacement(parts, context, decision);
+    const { placement, lateness } = decision;
+    if (lateness > 0 && !terms.hasStarted && !parts.switchedOff.has(Mechanism.RefusalByForecast)) {
         const retryAt = parts.clock.wallNow() + lateness;
         return err(notRun(FailureReason.DeadlineUnreachable, tooLateMessage, retryAt));
     }
-    return ok(way);
+    return ok(placement);
 }
 
-function describeRequest(
+function buildDecisionRequest(
     parts: AdmissionParts,
-    run: AdmittedRun,
+    context: AdmissionContext,
     { prompt, isWholeOnly, account }: AdmissionTerms,
 ): DecisionRequest {
     const now = parts.clock.monotonicNow();
     return {
-        route: run.route.name,
+        route: context.route.name,
         demand: {
-            service: run.service,
+            service: context.service,
             prompt,
-            bodyBytes: run.call.body.length,
-            avoid: run.avoid,
+            bodyBytes: context.call.body.length,
+            avoid: context.avoid,
             isWholeOnly,
-            pauseAim: run.pauseAim,
-            aim: run.call.arrivedAt + run.route.latencyAimMilliseconds * aimFraction - now,
+            pauseAim: context.pauseAim,
+            aim: context.call.arrivedAt + context.route.latencyAimMilliseconds * plannedAimFraction - now,
             mayDefer: true,
             availabilityZone: parts.availabilityZone,
         },
-        patience: findLeaveTime(run) - now,
+        patience: computeAbandonmentTime(context) - now,
         isUnderserved: account.isUnderserved,
         areLongestUnderserved: account.areLongestUnderserved,
     };
@@ -81,24 +81,24 @@
 
 function recordPlacement(
     { clock }: AdmissionParts,
-    run: AdmittedRun,
-    { placement: way, isUnderserved, decidedBy }: PromptDecision,
+    context: AdmissionContext,
+    { placement, isUnderserved, decidedBy }: PromptDecision,
 ): void {
-    const { prefill: reader, decode: decoder, firstEvent, soonestEvent, isDeferred } = way;
-    const { arrivedAt } = run.call;
-    run.trace.repeatAtEnd({
+    const { prefill, decode, firstEvent, soonestEvent, isDeferred } = placement;
+    const { arrivedAt } = context.call;
+    context.trace.addSummaryFields({
         begins: Math.round(clock.monotonicNow() + soonestEvent - arrivedAt),
-        patience: Math.round(findLeaveTime(run) - arrivedAt),
+        patience: Math.round(computeAbandonmentTime(context) - arrivedAt),
         deferred: isDeferred,
     });
-    run.trace.record(EventKind.RequestPlaced, {
-        reader: reader?.target.targetId,
-        readerWait: reader && Math.round(reader.wait),
-        readerWork: reader && Math.round(reader.work),
-        fetchFrom: (reader ?? decoder).fetchFrom?.targetId,
-        target: decoder.target.targetId,
-        wait: Math.round(decoder.wait),
-        work: Math.round(decoder.work),
+    context.trace.record(EventKind.RequestPlaced, {
+        reader: prefill?.target.targetId,
+        readerWait: prefill && Math.round(prefill.wait),
+        readerWork: prefill && Math.round(prefill.work),
+        fetchFrom: (prefill ?? decode).fetchFrom?.targetId,
+        target: decode.target.targetId,
+        wait: Math.round(decode.wait),
+        work: Math.round(decode.work),
         firstEvent: Math.round(firstEvent),
         soonest: Math.round(soonestEvent),
         deferred: isDeferred,
--- a/packages/daisyturn/src/request/forwarding/callRun.ts
+++ b/packages/daisyturn/src/request/forwarding/callContext.ts
@@ -7,7 +7,7 @@
 import type { RequestTrace } from "./requestTrace.js";
 
 /** One forwarded call on its way, and what its attempts have shown. */
-export interface CallRun {
+export interface CallContext {
     readonly call: ForwardedCall;
     readonly route: ForwardRoute;
     readonly service: ForwardService;
@@ -23,19 +23,19 @@
     /** Targets that failed this call. */
     readonly avoid: Set<string>;
     /** Targets that were sent this call to run it. */
-    readonly sentTo: Set<string>;
+    readonly attemptedTargets: Set<string>;
 }
 
 /** Sends that never reached a target are free, but not without end. */
-const mostAttempts = 4;
+const maxTotalAttempts = 4;
 /** A target that starts anew, or an engine that takes over what another did, needs a few seconds. */
-const noTargetRetryMilliseconds = 1_500;
+const noTargetRetryDelayMilliseconds = 1_500;
 /** With less time left, another attempt would only add load. */
-const leastRetryMilliseconds = 30;
+const minRetryMilliseconds = 30;
 
 /** Starts the run of a call, of which nothing has been tried yet. */
-export function createCallRun(start: Omit<CallRun, "history" | "avoid" | "sentTo">): CallRun {
-    return { ...start, history: createFailureHistory(), avoid: new Set(), sentTo: new Set() };
+export function createCallContext(start: Omit<CallContext, "history" | "avoid" | "attemptedTargets">): CallContext {
+    return { ...start, history: createFailureHistory(), avoid: new Set(), attemptedTargets: new Set() };
 }
 
 /** Whether a call that may have run may be sent again, from the last event on where it is a stream. */
@@ -44,42 +44,47 @@
 }
 
 /** The final failure of a call: why it ended, and whether any attempt may have run. */
-export function concludeRun(run: CallRun, last: Failure): Failure {
-    return run.history.conclude(run.signal.aborted ? run.signal.reason as Failure : last);
+export function createFinalFailure(context: CallContext, last: Failure): Failure {
+    return context.history.conclude(context.signal.aborted ? context.signal.reason as Failure : last);
 }
 
 /**
  * Notes a failed attempt and takes leave for another one, from the route's limit and the fleet's budget.
- * @param reachedTarget whether the target was sent the call: a connection that could not be made costs no budget
+ * @param isReached whether the target was sent the call: a connection that could not be made costs no budget
  */
-export function mayTryAgain(parts: ForwardingParts, run: CallRun, failure: Failure, reachedTarget: boolean): boolean {
-    run.history.record(failure);
-    const hasTime = run.deadline - parts.clock.monotonicNow() > leastRetryMilliseconds;
-    const isWorthwhile = isWorthAnotherTarget(failure) && run.history.attempts < mostAttempts;
-    const isAllowed = maySendAgain(failure, isRepeatable(run.route));
-    if (run.signal.aborted || !hasTime || !isWorthwhile || !isAllowed) {
+export function tryAcquireRetry(
+    parts: ForwardingParts,
+    context: CallContext,
+    failure: Failure,
+    isReached: boolean,
+): boolean {
+    context.history.record(failure);
+    const hasTime = context.deadline - parts.clock.monotonicNow() > minRetryMilliseconds;
+    const isWorthwhile = isWorthAnotherTarget(failure) && context.history.attempts < maxTotalAttempts;
+    const isAllowed = maySendAgain(failure, isRepeatable(context.route));
+    if (context.signal.aborted || !hasTime || !isWorthwhile || !isAllowed) {
         return false;
     }
-    const isSpent = reachedTarget && run.sentTo.size >= run.route.maxAttempts;
-    if (isSpent || (reachedTarget && !parts.budget.tryAcquire(run.service.name))) {
+    const hasUsedAllAttempts = isReached && context.attemptedTargets.size >= context.route.maxAttempts;
+    if (hasUsedAllAttempts || (isReached && !parts.budget.tryAcquire(context.service.name))) {
         return false;
     }
-    run.trace.record(EventKind.RequestRetried, {
+    context.trace.record(EventKind.RequestRetried, {
         reason: failure.reason,
         verdict: failure.verdict,
-        attempts: run.history.attempts,
+        attempts: context.history.attempts,
         cause: failure.message,
     });
     return true;
 }
 
 /** Nobody can take the call now. */
-export function describeNoTarget(run: Pick<CallRun, "service">, clock: Clock): Failure {
-    const message = `No target of service ${run.service.name} is open.`;
-    return notRun(FailureReason.NoTarget, message, clock.wallNow() + noTargetRetryMilliseconds);
+export function createNoTargetFailure(context: Pick<CallContext, "service">, clock: Clock): Failure {
+    const message = `No target of service ${context.service.name} is open.`;
+    return notRun(FailureReason.NoTarget, message, clock.wallNow() + noTargetRetryDelayMilliseconds);
 }
 
 /** Whether a failed send had reached its target. */
-export function hasReached(failure: Failure): boolean {
+export function hasReachedTarget(failure: Failure): boolean {
     return failure.verdict === ExecutionVerdict.MayHaveRun || failure.reason === FailureReason.TargetRefused;
 }
--- a/packages/daisyturn/src/request/forwarding/eventRelay.ts
+++ b/packages/daisyturn/src/request/forwarding/eventRelay.ts
@@ -4,12 +4,12 @@
 /** Passes a stream of events on to the caller, whole events only, over one or more targets. */
 export interface EventRelay {
     /** Takes bytes of the stream; the head is sent with the first whole event. */
-    take(status: number, fields: HeaderFields, piece: Buffer): void;
+    write(status: number, fields: HeaderFields, piece: Buffer): void;
     /** Identifier of the last event that was passed on. */
     lastEventId(): string | undefined;
-    hasBegun(): boolean;
+    hasStarted(): boolean;
     /** Drops the beginning of an event that a broken stream has left, before another target goes on. */
-    dropPartialEvent(): void;
+    discardPartialEvent(): void;
     /** The target has ended its stream as complete: what is left is passed on, and the answer ends. */
     end(status: number, fields: HeaderFields): void;
 }
@@ -22,21 +22,21 @@
     let partial: Buffer | undefined;
     let lastEventId: string | undefined;
 
-    const pass = (status: number, fields: HeaderFields, events: Buffer) => {
+    const forward = (status: number, fields: HeaderFields, events: Buffer) => {
         if (!exchange.isHeadSent()) {
             exchange.begin(status, fields);
         }
         exchange.write(events);
     };
 
-    const noteIds = (events: Buffer) => {
+    const recordEventIds = (events: Buffer) => {
         for (const match of events.toString("latin1").matchAll(idField)) {
             lastEventId = match[1]?.trim();
         }
     };
 
     return {
-        take: (status, fields, piece) => {
+        write: (status, fields, piece) => {
             const bytes = partial ? Buffer.concat([partial, piece]) : piece;
             const end = bytes.lastIndexOf(eventEnd);
             if (end < 0) {
@@ -45,17 +45,17 @@
             }
             const events = bytes.subarray(0, end + eventEnd.length);
             partial = events.length < bytes.length ? bytes.subarray(events.length) : undefined;
-            noteIds(events);
-            pass(status, fields, events);
+            recordEventIds(events);
+            forward(status, fields, events);
         },
         lastEventId: () => lastEventId,
-        hasBegun: () => exchange.isHeadSent(),
-        dropPartialEvent: () => {
+        hasStarted: () => exchange.isHeadSent(),
+        discardPartialEvent: () => {
             partial = undefined;
         },
         end: (status, fields) => {
             if (partial || !exchange.isHeadSent()) {
-                pass(status, fields, partial ?? Buffer.alloc(0));
+                forward(status, fields, partial ?? Buffer.alloc(0));
             }
             exchange.end();
         },
--- a/packages/daisyturn/src/request/forwarding/refuseCall.ts
+++ b/packages/daisyturn/src/request/forwarding/refuseCall.ts
@@ -3,7 +3,7 @@
 import { buildErrorBody, statusOfFailure } from "../answer/answer.js";
 
 /** These statuses promise that the request has not run and never will. */
-const promisingStatuses: ReadonlySet<number> = new Set([408, 421, 429, 503]);
+const notRunStatuses: ReadonlySet<number> = new Set([408, 421, 429, 503]);
 const badGatewayStatus = 502;
 const gatewayTimeoutStatus = 504;
 const millisecondsPerSecond = 1_000;
@@ -28,6 +28,6 @@
         return gatewayTimeoutStatus;
     }
     const status = statusOfFailure(failure.reason);
-    const promises = promisingStatuses.has(status);
-    return promises && failure.verdict !== ExecutionVerdict.NotRun ? badGatewayStatus : status;
+    const impliesNotRun = notRunStatuses.has(status);
+    return impliesNotRun && failure.verdict !== ExecutionVerdict.NotRun ? badGatewayStatus : status;
 }
--- a/packages/daisyturn/src/request/forwarding/requestTrace.ts
+++ b/packages/daisyturn/src/request/forwarding/requestTrace.ts
@@ -8,7 +8,7 @@
 export interface RequestTrace {
     record(kind: EventKind, fields: EventFields): void;
     /** Fields that the last line repeats, so that it tells why the call ended even where the lines before it were dropped. */
-    repeatAtEnd(fields: EventFields): void;
+    addSummaryFields(fields: EventFields): void;
     /** Notes how the call ended. */
     recordEnd(kind: EventKind, fields: EventFields): void;
     /** Logs what was noted, or forgets it. */
@@ -18,9 +18,9 @@
 /** Every so many-th ordinary call is logged, where nothing else is set. */
 export const defaultSampledCalls = 64;
 /** Decisions kept of one call; a call is tried a few times at most. */
-const mostNotes = 24;
+const maxEntries = 24;
 
-interface Note {
+interface TraceEntry {
     readonly kind: EventKind;
     readonly fields: EventFields;
 }
@@ -39,23 +39,23 @@
 /** Creates the trace of one call. */
 export function createRequestTrace(options: RequestTraceOptions): RequestTrace {
     const { eventLog, sampledCalls, callId, arrivedAt, now } = options;
-    const notes: Note[] = [];
+    const entries: TraceEntry[] = [];
     const isSampled = hashTextTo32Bits(callId) % sampledCalls === 0;
-    let repeated: EventFields = {};
+    let summaryFields: EventFields = {};
     const record = (kind: EventKind, fields: EventFields) => {
-        if (notes.length < mostNotes) {
-            notes.push({ kind, fields: { request: callId, after: Math.round(now() - arrivedAt), ...fields } });
+        if (entries.length < maxEntries) {
+            entries.push({ kind, fields: { request: callId, after: Math.round(now() - arrivedAt), ...fields } });
         }
     };
     return {
         record,
-        repeatAtEnd: fields => {
-            repeated = { ...repeated, ...fields };
+        addSummaryFields: fields => {
+            summaryFields = { ...summaryFields, ...fields };
         },
-        recordEnd: (kind, fields) => record(kind, { ...fields, ...repeated }),
+        recordEnd: (kind, fields) => record(kind, { ...fields, ...summaryFields }),
         end: isOrdinary => {
             if (!isOrdinary || isSampled) {
-                notes.forEach(({ kind, fields }) => eventLog.record(kind, fields));
+                entries.forEach(({ kind, fields }) => eventLog.record(kind, fields));
             }
         },
     };
--- a/packages/daisyturn/src/request/forwarding/runPlainCall.ts
+++ b/packages/daisyturn/src/request/forwarding/runPlainCall.ts
@@ -3,13 +3,20 @@
 import type { ListedTarget } from "../../ports/listedTarget.js";
 import type { CallCost } from "../../process/forwarding/index.js";
 import { CallKind } from "../../version/forwarding/forwardingConfiguration.js";
-import { type CallAnswer, concludeStream } from "./callAnswer.js";
-import { type CallRun, concludeRun, describeNoTarget, hasReached, isRepeatable, mayTryAgain } from "./callRun.js";
+import { type CallAnswer, finishStream } from "./callAnswer.js";
+import {
+    type CallContext,
+    createFinalFailure,
+    createNoTargetFailure,
+    hasReachedTarget,
+    isRepeatable,
+    tryAcquireRetry,
+} from "./callContext.js";
 import { createEventRelay, type EventRelay } from "./eventRelay.js";
 import type { ForwardingParts } from "./forwardingParts.js";
 import { sendToTarget } from "./sendToTarget.js";
 
-const firstErrorStatus = 500;
+const minErrorStatus = 500;
 /** What a plain call costs its target is not known ahead; only how many run there counts. */
 const plainCost: CallCost = { work: 0, isDeferred: false, tokens: 0 };
 
@@ -17,62 +24,62 @@
  * Has a plain service answer a call, at another target after a failure where that can do no harm. The events of a
  * stream are passed on as they come.
  */
-export async function runPlainCall(parts: ForwardingParts, run: CallRun): Promise<Result<CallAnswer, Failure>> {
-    const relay = run.route.kind === CallKind.Stream ? createEventRelay(run.exchange) : undefined;
+export async function runPlainCall(parts: ForwardingParts, context: CallContext): Promise<Result<CallAnswer, Failure>> {
+    const relay = context.route.kind === CallKind.Stream ? createEventRelay(context.exchange) : undefined;
     for (;;) {
-        const target = parts.placement.placePlain(run.service.name, run.avoid);
+        const target = parts.placement.placePlain(context.service.name, context.avoid);
         if (!target) {
-            return err(concludeRun(run, describeNoTarget(run, parts.clock)));
+            return err(createFinalFailure(context, createNoTargetFailure(context, parts.clock)));
         }
-        const answer = await tryTarget(parts, run, target, relay);
-        run.avoid.add(target.targetId);
-        relay?.dropPartialEvent();
-        if (answer.isOk && !isWorthRepeating(run, answer.value)) {
+        const answer = await tryTarget(parts, context, target, relay);
+        context.avoid.add(target.targetId);
+        relay?.discardPartialEvent();
+        if (answer.isOk && !isRetryableError(context, answer.value)) {
             return answer;
         }
-        const failure = answer.isErr ? answer.error : describeTargetError();
-        const isReached = hasReached(failure);
+        const failure = answer.isErr ? answer.error : createTargetErrorFailure();
+        const isReached = hasReachedTarget(failure);
         if (isReached) {
-            run.sentTo.add(target.targetId);
+            context.attemptedTargets.add(target.targetId);
         }
-        if (!mayTryAgain(parts, run, failure, isReached)) {
-            return answer.isOk ? answer : err(concludeRun(run, failure));
+        if (!tryAcquireRetry(parts, context, failure, isReached)) {
+            return answer.isOk ? answer : err(createFinalFailure(context, failure));
         }
     }
 }
 
 async function tryTarget(
     parts: ForwardingParts,
-    run: CallRun,
+    context: CallContext,
     target: ListedTarget,
     relay: EventRelay | undefined,
 ): Promise<Result<CallAnswer, Failure>> {
-    run.trace.record(EventKind.RequestPlaced, {
+    context.trace.record(EventKind.RequestPlaced, {
         target: target.targetId,
         zone: target.availabilityZone,
         calls: Math.round(parts.loads.calls(target.targetId)),
         slots: target.slots,
     });
-    const reply = await sendToTarget(parts, run, {
+    const reply = await sendToTarget(parts, context, {
         target,
         terms: { lastEventId: relay?.lastEventId() },
-        isRepeatable: isRepeatable(run.route),
+        isRepeatable: isRepeatable(context.route),
         cost: plainCost,
         ...(relay && {
-            onPiece: (head, piece) => relay.take(head.status, head.forwardedFields, piece),
+            onChunk: (head, piece) => relay.write(head.status, head.forwardedFields, piece),
         }),
     });
     if (reply.isErr) {
         return err(reply.error);
     }
-    run.sentTo.add(target.targetId);
-    return relay ? concludeStream(run, relay, reply.value) : ok({ isPassedOn: false, reply: reply.value });
+    context.attemptedTargets.add(target.targetId);
+    return relay ? finishStream(context, relay, reply.value) : ok({ isRelayed: false, reply: reply.value });
 }
 
-function isWorthRepeating(run: CallRun, { reply }: CallAnswer): boolean {
-    return run.route.kind === CallKind.Idempotent && reply.head.status >= firstErrorStatus;
+function isRetryableError(context: CallContext, { reply }: CallAnswer): boolean {
+    return context.route.kind === CallKind.Idempotent && reply.head.status >= minErrorStatus;
 }
 
-function describeTargetError(): Failure {
+function createTargetErrorFailure(): Failure {
     return mayHaveRun(FailureReason.TargetFailed, "The target answered with an error of its own.");
 }
--- a/packages/daisyturn/src/request/forwarding/sendToTarget.ts
+++ b/packages/daisyturn/src/request/forwarding/sendToTarget.ts
@@ -12,18 +12,18 @@
 import type { ReplyHead, SendTerms } from "../../ports/forwardedCall.js";
 import type { ListedTarget } from "../../ports/listedTarget.js";
 import { type CallCost, TargetEvidence, type TargetHealth } from "../../process/forwarding/index.js";
-import { type CallRun } from "./callRun.js";
+import { type CallContext } from "./callContext.js";
 import type { ForwardingParts } from "./forwardingParts.js";
 
 /** One send of a call to one target. */
-export interface CallSend {
+export interface CallAttempt {
     readonly target: ListedTarget;
     readonly terms: Omit<SendTerms, "targetName" | "remainingMilliseconds">;
     /** Whether the send may be given up when the target falls silent, since it can be repeated elsewhere. */
     readonly isRepeatable: boolean;
     readonly cost: CallCost;
     /** Takes pieces of a successful answer as they arrive; absent: they are collected. */
-    readonly onPiece?: (head: ReplyHead, piece: Buffer) => void;
+    readonly onChunk?: (head: ReplyHead, piece: Buffer) => void;
     /** Called with the first bytes of the answer's body, or its end: the expensive work is done. */
     readonly onFirstByte?: () => void;
 }
@@ -35,57 +35,57 @@
     readonly body: Buffer;
 }
 
-const firstErrorStatus = 500;
-const firstFailureStatus = 300;
+const minErrorStatus = 500;
+const minFailureStatus = 300;
 /** Longest answer that is collected before it is passed on. */
 const maxCollectedBytes = 16 * 1024 * 1024;
 /** How long a stream may pause before its target is looked at, and then from time to time. */
-const silenceCheckMilliseconds = 350;
+const silenceCheckIntervalMilliseconds = 350;
 
 /** Sends a call, keeps load and health of the target up to date, and gives each failure its verdict. */
 export async function sendToTarget(
     parts: ForwardingParts,
-    run: CallRun,
-    send: CallSend,
+    context: CallContext,
+    attempt: CallAttempt,
 ): Promise<Result<TargetReply, Failure>> {
-    const { target } = send;
+    const { target } = attempt;
     const { loads, health, clock, protocol } = parts;
-    if (run.signal.aborted) {
-        return err(run.signal.reason as Failure);
+    if (context.signal.aborted) {
+        return err(context.signal.reason as Failure);
     }
     // Asked last: the list may have changed since the target was chosen.
     if (!parts.targets.isOpen(target.targetId) || parts.closed.isClosed(target.targetId)) {
         return err(notRun(FailureReason.NoTarget, "The chosen target has just stopped taking new work."));
     }
     const reply: { head?: ReplyHead; bytes: number; } = { bytes: 0 };
-    const pieces: Buffer[] = [];
-    const work = loads.begin(target.targetId, send.cost);
-    const wait = health.beginWait(target.targetId, run.service.engine !== undefined);
-    const watch = watchSilence(clock, health, run.signal, target.targetId, send.isRepeatable);
+    const chunks: Buffer[] = [];
+    const work = loads.begin(target.targetId, attempt.cost);
+    const wait = health.beginWait(target.targetId, context.service.engine !== undefined);
+    const silenceWatch = watchSilence(clock, health, context.signal, target.targetId, attempt.isRepeatable);
 
-    run.trace.record(EventKind.RequestDispatched, {
+    context.trace.record(EventKind.RequestDispatched, {
         target: target.targetId,
         address: target.address,
-        part: describePart(send),
-        remaining: Math.round(run.deadline - clock.monotonicNow()),
+        part: describePart(attempt),
+        remaining: Math.round(context.deadline - clock.monotonicNow()),
         calls: Math.round(loads.calls(target.targetId)),
     });
-    const noteFirstByte = () => {
+    const handleFirstByte = () => {
         work.finishExpensiveWork();
         wait.end();
-        send.onFirstByte?.();
+        attempt.onFirstByte?.();
     };
     const result = await parts.connections.send(
         target.address,
-        send.isRepeatable ? ConnectionCare.Reuse : ConnectionCare.Proven,
+        attempt.isRepeatable ? ConnectionCare.Reuse : ConnectionCare.Proven,
         {
-            head: protocol.encodeCall(run.call, {
-                ...send.terms,
+            head: protocol.encodeCall(context.call, {
+                ...attempt.terms,
                 targetName: target.name,
-                remainingMilliseconds: run.deadline - clock.monotonicNow(),
+                remainingMilliseconds: context.deadline - clock.monotonicNow(),
             }),
-            body: run.call.body.length > 0 ? run.call.body : undefined,
-            signal: watch.signal,
+            body: context.call.body.length > 0 ? context.call.body : undefined,
+            signal: silenceWatch.signal,
             sink: {
                 onHead: (status, fields) => {
                     const head = protocol.readHead(status, fields);
@@ -94,58 +94,63 @@
                         loads.recordReport(target.targetId, head.load);
                     }
                     reply.head = head;
-                    return checkOrigin(run, send, head);
+                    return checkOrigin(context, attempt, head);
                 },
                 onChunk: chunk => {
                     health.recordBytesReceived(target.targetId);
-                    watch.noteHeard();
+                    silenceWatch.recordBytesReceived();
                     reply.bytes += chunk.length;
                     if (reply.bytes === chunk.length) {
-                        noteFirstByte();
+                        handleFirstByte();
                     }
-                    if (send.onPiece && reply.head && reply.head.status < firstFailureStatus) {
-                        send.onPiece(reply.head, chunk);
+                    if (attempt.onChunk && reply.head && reply.head.status < minFailureStatus) {
+                        attempt.onChunk(reply.head, chunk);
                     }
                     else if (reply.bytes <= maxCollectedBytes) {
-                        pieces.push(chunk);
+                        chunks.push(chunk);
                     }
                 },
             },
         },
     );
-    watch.end();
-    recordSend(parts, run, send, reply.head, result);
+    silenceWatch.end();
+    recordSend(parts, context, attempt, reply.head, result);
     work.end();
     wait.end();
-    const judged = judge(result, reply.head, Buffer.concat(pieces), reply.bytes > maxCollectedBytes && !send.onPiece);
-    noteEvidence(parts, run, target.targetId, judged, watch.isSilent());
-    return judged;
+    const outcome = determineResult(
+        result,
+        reply.head,
+        Buffer.concat(chunks),
+        reply.bytes > maxCollectedBytes && !attempt.onChunk,
+    );
+    recordEvidence(parts, context, target.targetId, outcome, silenceWatch.isSilent());
+    return outcome;
 }
 
 /** An answer counts only if it names the call and, where it is a success for the caller, is signed by its target. */
-function checkOrigin(run: CallRun, send: CallSend, head: ReplyHead): Failure | undefined {
-    if (head.callId !== run.call.callId) {
+function checkOrigin(context: CallContext, attempt: CallAttempt, head: ReplyHead): Failure | undefined {
+    if (head.callId !== context.call.callId) {
         return mayHaveRun(FailureReason.TargetFailed, "The answer belongs to another call.");
     }
-    const isForCaller = !send.terms.prefillOnly && head.status < firstFailureStatus;
+    const isForCaller = !attempt.terms.prefillOnly && head.status < minFailureStatus;
     return isForCaller && !head.isStamped
         ? mayHaveRun(FailureReason.TargetFailed, "The answer is not signed by its target.")
         : undefined;
 }
 
-function describePart({ terms }: CallSend): string {
+function describePart({ terms }: CallAttempt): string {
     return terms.prefillOnly ? "prefill" : terms.kvSource ? "decode" : "whole";
 }
 
 function recordSend(
     parts: ForwardingParts,
-    run: CallRun,
-    { target }: CallSend,
+    context: CallContext,
+    { target }: CallAttempt,
     head: ReplyHead | undefined,
     result: Result<void, Failure>,
 ): void {
     parts.metrics.recordSend(result.isErr ? result.error.reason : head?.isNotRun ? "not_run" : "answered");
-    run.trace.record(EventKind.TargetAnswered, {
+    context.trace.record(EventKind.TargetAnswered, {
         target: target.targetId,
         status: head?.status,
         isNotRun: head?.isNotRun,
@@ -154,7 +159,7 @@
     });
 }
 
-function judge(
+function determineResult(
     result: Result<void, Failure>,
     head: ReplyHead | undefined,
     body: Buffer,
@@ -175,29 +180,29 @@
     return ok({ head, body });
 }
 
-function noteEvidence(
+function recordEvidence(
     parts: ForwardingParts,
-    run: CallRun,
+    context: CallContext,
     targetId: string,
-    judged: Result<TargetReply, Failure>,
+    outcome: Result<TargetReply, Failure>,
     isSilent: boolean,
 ): void {
     if (isSilent) {
         parts.health.record(targetId, TargetEvidence.Silent);
     }
-    else if (judged.isOk) {
-        const isError = judged.value.head.status >= firstErrorStatus;
+    else if (outcome.isOk) {
+        const isError = outcome.value.head.status >= minErrorStatus;
         parts.health.record(targetId, isError ? TargetEvidence.AnsweredError : TargetEvidence.Answered);
     }
-    else if (!run.signal.aborted && judged.error.reason === FailureReason.TargetFailed) {
-        const isSent = judged.error.verdict !== ExecutionVerdict.NotRun;
+    else if (!context.signal.aborted && outcome.error.reason === FailureReason.TargetFailed) {
+        const isSent = outcome.error.verdict !== ExecutionVerdict.NotRun;
         parts.health.record(targetId, isSent ? TargetEvidence.Broken : TargetEvidence.Unreachable);
     }
 }
 
 interface SilenceWatch {
     readonly signal: AbortSignal;
-    noteHeard(): void;
+    recordBytesReceived(): void;
     /** Whether the send was given up since its target had fallen silent. */
     isSilent(): boolean;
     end(): void;
@@ -212,27 +217,27 @@
     isRepeatable: boolean,
 ): SilenceWatch {
     const controller = new AbortController();
-    const follow = () => controller.abort(callSignal.reason);
+    const abortWithCall = () => controller.abort(callSignal.reason);
     let isSilent = false;
-    let heardAt = clock.monotonicNow();
+    let lastReceivedAt = clock.monotonicNow();
     const check = () => {
         health.checkSilence(targetId);
-        if (health.isSilent(targetId) && clock.monotonicNow() - heardAt > silenceCheckMilliseconds) {
+        if (health.isSilent(targetId) && clock.monotonicNow() - lastReceivedAt > silenceCheckIntervalMilliseconds) {
             isSilent = true;
             controller.abort(mayHaveRun(FailureReason.TargetFailed, "The target has fallen silent."));
         }
     };
-    const timer = isRepeatable ? setInterval(check, silenceCheckMilliseconds) : undefined;
-    callSignal.addEventListener("abort", follow, { once: true });
+    const timer = isRepeatable ? setInterval(check, silenceCheckIntervalMilliseconds) : undefined;
+    callSignal.addEventListener("abort", abortWithCall, { once: true });
     return {
         signal: controller.signal,
-        noteHeard: () => {
-            heardAt = clock.monotonicNow();
+        recordBytesReceived: () => {
+            lastReceivedAt = clock.monotonicNow();
         },
         isSilent: () => isSilent,
         end: () => {
             clearInterval(timer);
-            callSignal.removeEventListener("abort", follow);
+            callSignal.removeEventListener("abort", abortWithCall);
         },
     };
 }
--- a/packages/daisyturn/src/request/forwarding/serveForwardedCall.ts
+++ b/packages/daisyturn/src/request/forwarding/serveForwardedCall.ts
@@ -5,7 +5,7 @@
 import { CallOutcome, measureSize } from "../../process/forwarding/index.js";
 import { chooseService } from "../../version/forwarding/createRouteTable.js";
 import { startRequestLife } from "../requestLife.js";
-import { type CallRun, createCallRun } from "./callRun.js";
+import { type CallContext, createCallContext } from "./callContext.js";
 import type { ForwardingParts } from "./forwardingParts.js";
 import { refuseCall } from "./refuseCall.js";
 import { createRequestTrace, type RequestTrace } from "./requestTrace.js";
@@ -16,9 +16,9 @@
 /** What a call was answered with; undefined where the answer was passed on as it came. */
 type Answer = TargetReply | undefined;
 
-const noConfigurationRetryMilliseconds = 300;
-const overloadRetryMilliseconds = 250;
-const firstErrorStatus = 500;
+const noConfigurationRetryDelayMilliseconds = 300;
+const overloadRetryDelayMilliseconds = 250;
+const minErrorStatus = 500;
 
 /** Serves one forwarded call: finds its route, has targets run it, and answers or refuses it. */
 export async function serveForwardedCall(
@@ -30,18 +30,18 @@
     const { callId, arrivedAt } = call;
     const now = () => clock.monotonicNow();
     const trace = createRequestTrace({ eventLog, sampledCalls, callId, arrivedAt, now });
-    const started = startRun(parts, call, exchange, trace);
+    const started = startCall(parts, call, exchange, trace);
     if (started.isErr) {
         recordEnd(parts, trace, undefined, "unrouted", started.error);
         refuseCall(exchange, started.error, parts.clock);
         return;
     }
-    const { run, end } = started.value;
-    parts.budget.recordRequest(run.service.name);
-    const answer = await runCall(parts, run);
+    const { context, end } = started.value;
+    parts.budget.recordRequest(context.service.name);
+    const answer = await runCall(parts, context);
     end();
-    const failure = answer.isErr ? adviseReturn(parts, answer.error) : undefined;
-    recordEnd(parts, trace, run, run.route.kind, failure, answer.unwrapOr(undefined));
+    const failure = answer.isErr ? addRetryTime(parts, answer.error) : undefined;
+    recordEnd(parts, trace, context, context.route.kind, failure, answer.unwrapOr(undefined));
     if (failure) {
         refuseCall(exchange, failure, parts.clock);
     }
@@ -52,15 +52,15 @@
 }
 
 /** The version in force at the call's arrival counts for it to its end. */
-function startRun(
+function startCall(
     parts: ForwardingParts,
     call: ForwardedCall,
     exchange: ForwardExchange,
     trace: RequestTrace,
-): Result<{ run: CallRun; end: () => void; }, Failure> {
+): Result<{ context: CallContext; end: () => void; }, Failure> {
     const table = parts.configurationManager.current();
     if (!table) {
-        const retryAt = parts.clock.wallNow() + noConfigurationRetryMilliseconds;
+        const retryAt = parts.clock.wallNow() + noConfigurationRetryDelayMilliseconds;
         return err(notRun(FailureReason.OutOfService, "This process knows no configuration yet.", retryAt));
     }
     const path = call.url.split("?", 1)[0] ?? call.url;
@@ -81,54 +81,54 @@
         remaining: Math.round(deadline - parts.clock.monotonicNow()),
         tokens: call.prompt?.promptTokens,
     });
-    trace.repeatAtEnd({
+    trace.addSummaryFields({
         route: route.name,
         tokens: call.prompt?.promptTokens,
         size: call.prompt && measureSize(call.prompt),
     });
     return ok({
-        run: createCallRun({ call, route, service, pauseAim, exchange, signal: life.signal, deadline, trace }),
+        context: createCallContext({ call, route, service, pauseAim, exchange, signal: life.signal, deadline, trace }),
         end: life.end,
     });
 }
 
-async function runCall(parts: ForwardingParts, run: CallRun): Promise<Result<Answer, Failure>> {
-    const { prompt } = run.call;
-    const answer = prompt && run.service.engine
-        ? await runPromptCall(parts, run, prompt)
-        : await runPlainCall(parts, run);
-    return answer.map(({ isPassedOn, reply }) => isPassedOn ? undefined : reply);
+async function runCall(parts: ForwardingParts, context: CallContext): Promise<Result<Answer, Failure>> {
+    const { prompt } = context.call;
+    const answer = prompt && context.service.engine
+        ? await runPromptCall(parts, context, prompt)
+        : await runPlainCall(parts, context);
+    return answer.map(({ isRelayed, reply }) => isRelayed ? undefined : reply);
 }
 
 /** Where the request has not run and nothing better is known, the caller may come back soon. */
-function adviseReturn(parts: ForwardingParts, failure: Failure): Failure {
-    const isAdvised = failure.retryAt !== undefined || failure.verdict !== ExecutionVerdict.NotRun;
-    return isAdvised ? failure : { ...failure, retryAt: parts.clock.wallNow() + overloadRetryMilliseconds };
+function addRetryTime(parts: ForwardingParts, failure: Failure): Failure {
+    const isUnchanged = failure.retryAt !== undefined || failure.verdict !== ExecutionVerdict.NotRun;
+    return isUnchanged ? failure : { ...failure, retryAt: parts.clock.wallNow() + overloadRetryDelayMilliseconds };
 }
 
 /** Counts the call, and logs it whole unless it was answered on time. */
 function recordEnd(
     parts: ForwardingParts,
     trace: RequestTrace,
-    run: CallRun | undefined,
+    context: CallContext | undefined,
     kind: string,
     failure: Failure | undefined,
     reply?: Answer,
 ): void {
-    const arrivedAt = run?.call.arrivedAt ?? parts.clock.monotonicNow();
-    const milliseconds = (run?.exchange.firstByteAt() ?? parts.clock.monotonicNow()) - arrivedAt;
-    const longestPause = run?.exchange.longestPause() ?? 0;
-    const outcome = determineOutcome(run, milliseconds, failure, reply);
+    const arrivedAt = context?.call.arrivedAt ?? parts.clock.monotonicNow();
+    const milliseconds = (context?.exchange.firstByteAt() ?? parts.clock.monotonicNow()) - arrivedAt;
+    const longestPause = context?.exchange.longestPause() ?? 0;
+    const outcome = determineOutcome(context, milliseconds, failure, reply);
     parts.metrics.recordCall(kind, outcome, milliseconds, longestPause);
-    if (run?.call.prompt) {
-        parts.sizeCounts.record(run.route.name, measureSize(run.call.prompt), isServed(outcome));
+    if (context?.call.prompt) {
+        parts.sizeCounts.record(context.route.name, measureSize(context.call.prompt), isServed(outcome));
     }
-    trace.recordEnd(failure ? kindOfFailure(failure) : EventKind.RequestAnswered, {
+    trace.recordEnd(failure ? eventKindOfFailure(failure) : EventKind.RequestAnswered, {
         outcome,
         firstByte: Math.round(milliseconds),
-        aim: run?.route.latencyAimMilliseconds,
+        aim: context?.route.latencyAimMilliseconds,
         longestPause: Math.round(longestPause),
-        pauseAim: run?.route.pauseAimMilliseconds,
+        pauseAim: context?.route.pauseAimMilliseconds,
         status: reply?.head.status,
         reason: failure?.reason,
         verdict: failure?.verdict,
@@ -141,12 +141,12 @@
     return outcome === CallOutcome.OnTime || outcome === CallOutcome.Late || outcome === CallOutcome.Paused;
 }
 
-function kindOfFailure(failure: Failure): EventKind {
+function eventKindOfFailure(failure: Failure): EventKind {
     return failure.reason === FailureReason.Cancelled ? EventKind.RequestCancelled : EventKind.RequestRefused;
 }
 
 function determineOutcome(
-    run: CallRun | undefined,
+    context: CallContext | undefined,
     milliseconds: number,
     failure: Failure | undefined,
     reply: Answer,
@@ -155,17 +155,17 @@
         if (failure.reason === FailureReason.Cancelled) {
             return CallOutcome.Cancelled;
         }
-        if (run?.exchange.isHeadSent()) {
+        if (context?.exchange.isHeadSent()) {
             return CallOutcome.BrokenOff;
         }
         return failure.verdict === ExecutionVerdict.NotRun ? CallOutcome.Refused : CallOutcome.Failed;
     }
-    if (reply && reply.head.status >= firstErrorStatus) {
+    if (reply && reply.head.status >= minErrorStatus) {
         return CallOutcome.TargetError;
     }
-    if (milliseconds > (run?.route.latencyAimMilliseconds ?? Infinity)) {
+    if (milliseconds > (context?.route.latencyAimMilliseconds ?? Infinity)) {
         return CallOutcome.Late;
     }
-    const isPaused = (run?.exchange.longestPause() ?? 0) > (run?.route.pauseAimMilliseconds ?? Infinity);
+    const isPaused = (context?.exchange.longestPause() ?? 0) > (context?.route.pauseAimMilliseconds ?? Infinity);
     return isPaused ? CallOutcome.Paused : CallOutcome.OnTime;
 }
