--- a/packages/daisyturn/src/request/forwarding/__fixtures__/createOverloadPrompts.ts
+++ b/packages/daisyturn/src/request/forwarding/__fixtures__/createOverloadPrompts.ts
@@ -1,7 +1,7 @@
 import type { Random } from "daisyturn-utils";
 import type { PromptDescription } from "../../../ports/forwardedCall.js";
 
-/** Draws the prompts of an overload: long prompts with shared prefixes and widely varying lengths, and short prompts. */
+/** Draws the prompts of an overload: long ones with shared prefixes and widely varying lengths, and short ones. */
 export interface OverloadPrompts {
     createLong(ownId: string): PromptDescription;
     createShort(ownId: string): PromptDescription;
--- a/packages/daisyturn/src/request/forwarding/__fixtures__/simulateOverload.ts
+++ b/packages/daisyturn/src/request/forwarding/__fixtures__/simulateOverload.ts
@@ -46,8 +46,8 @@
 const stages = [Prefill, Prefill, Prefill, Decode, Decode, Decode, Decode, Decode];
 
 /**
- * Simulates an overload without a network. One process places and refuses the prompts, and each engine prefills exactly as
- * fast as forecast. Callers that have received no event by their abandonment time leave.
+ * Simulates an overload without a network. One process places and refuses the prompts, and each engine prefills exactly
+ * as fast as forecast. Callers that have received no event by their abandonment time leave.
  * @returns the long prompts
  */
 export async function simulateOverload(overload: Overload): Promise<readonly SimulatedPrompt[]> {
--- a/packages/daisyturn/src/request/forwarding/__tests__/overload.test.ts
+++ b/packages/daisyturn/src/request/forwarding/__tests__/overload.test.ts
@@ -1,9 +1,10 @@
 /**
  * Guards against starvation of the longest prompts under overload. The queue grows until new prompts are refused, and
  * stays at that length. Short prompts just fit before their callers leave; the longest, which take a second to prefill,
- * hardly ever do. If a prompt is refused by its own forecast alone, which includes its own prefill, and earlier refusals
- * are ignored, the served share falls from one size decile to the next. That of the largest is then about half of the
- * overall share: sometimes a little more, sometimes less. It also happens with exact forecasts and without failures.
+ * hardly ever do. If a prompt is refused by its own forecast alone, which includes its own prefill, and earlier
+ * refusals are ignored, the served share falls from one size decile to the next. That of the largest is then about half
+ * of the overall share, in some runs a little more and in others less. It also happens with exact forecasts and without
+ * failures.
  */
 import assert from "node:assert/strict";
 import { test } from "node:test";
@@ -20,7 +21,7 @@
 const fetchingOverload = { ...overload, longPerSecond: 200 };
 
 for (const seed of [1, 2, 3, 4]) {
-    test(`under a lasting overload, every size decile is served at least half as often as all, seed ${seed}`, async () => {
+    test(`under lasting overload, every size decile is served at least half as often as all, seed ${seed}`, async () => {
         const prompts = await simulateOverload({ seed, ...overload, switchedOff: new Set([KvFetch]) });
         const all = computeServedShare(prompts);
         const tenths = computeServedShareByTenth(prompts);
@@ -33,7 +34,7 @@
         assert.ok((computeServedShareByTenth(prompts).at(-1) ?? 0) < minRatio * computeServedShare(prompts));
     });
 
-    test(`with fetched prefixes, the largest tenth and the fifth below it are served as often, seed ${seed}`, async () => {
+    test(`with fetched prefixes, so are the largest tenth and the fifth below it, seed ${seed}`, async () => {
         const prompts = await simulateOverload({ seed, ...fetchingOverload });
         const [eighth = 0, ninth = 0, largest = 0] = computeServedShareByTenth(prompts).slice(7);
         const least = Math.min(largest, (eighth + ninth) / 2);
--- a/packages/daisyturn/src/request/forwarding/admitPrompt.ts
+++ b/packages/daisyturn/src/request/forwarding/admitPrompt.ts
@@ -35,7 +35,7 @@
 const plannedAimFraction = 0.85;
 const tooLateMessage = "The answer would begin too late.";
 
-/** Chooses a placement. Refuses the prompt at once if no engine is open or its caller would have left before the answer. */
+/** Chooses a placement. Refuses the prompt at once if no engine is open or its caller would leave before the answer. */
 export async function admitPrompt(
     parts: AdmissionParts,
     context: AdmissionContext,
--- a/packages/daisyturn/src/request/forwarding/requestTrace.ts
+++ b/packages/daisyturn/src/request/forwarding/requestTrace.ts
@@ -1,8 +1,8 @@
 import { type EventFields, type EventKind, type EventLog, hashTextTo32Bits } from "daisyturn-utils";
 
 /**
- * Buffers the decisions about one call until its outcome is known. The trace of a call that failed or was late is always
- * logged; that of an ordinary call only if the call is sampled. So the log of every failed call is complete, and
+ * Buffers the decisions about one call until its outcome is known. The trace of a call that failed or was late is
+ * always logged; that of an ordinary call only if the call is sampled. So the log of every failed call is complete, and
  * successful calls cost almost nothing.
  */
 export interface RequestTrace {
@@ -28,7 +28,7 @@
 /** Options of {@link createRequestTrace}. */
 export interface RequestTraceOptions {
     readonly eventLog: EventLog;
-    /** One in this many ordinary calls is logged, chosen by its identifier, so that all processes choose the same calls. */
+    /** One in this many ordinary calls is logged, chosen by its identifier, so that all processes choose the same. */
     readonly sampledCalls: number;
     readonly callId: string;
     /** Monotonic time, on the clock of `now`. */
--- a/packages/daisyturn/src/request/forwarding/runPromptCall.ts
+++ b/packages/daisyturn/src/request/forwarding/runPromptCall.ts
@@ -28,8 +28,8 @@
 const maxPrefills = 2;
 const minFailureStatus = 300;
 /**
- * Lowest number of the urgencies that are sent; a smaller number goes first. The priorities of routes start here, and as
- * many numbers follow for deferred calls. Targets accept 0 to 9.
+ * Lowest number of the urgencies that are sent; a smaller number goes first. The priorities of routes start here, and
+ * as many numbers follow for deferred calls. Targets accept 0 to 9.
  */
 const minUrgency = 2;
 const priorityCount = 4;
--- a/packages/daisyturn/src/request/forwarding/sendToTarget.ts
+++ b/packages/daisyturn/src/request/forwarding/sendToTarget.ts
@@ -19,7 +19,7 @@
 export interface CallAttempt {
     readonly target: ListedTarget;
     readonly terms: Omit<SendTerms, "targetName" | "remainingMilliseconds">;
-    /** Whether the attempt may be aborted when the target falls silent, because it can be repeated at another target. */
+    /** Whether the attempt may be aborted when the target falls silent, because another target can repeat it. */
     readonly isRepeatable: boolean;
     readonly cost: CallCost;
     /** Receives the chunks of a successful answer as they arrive. If absent, they are collected. */
