--- a/packages/daisyturn-standins/src/measure/claims/measureClaims.ts
+++ b/packages/daisyturn-standins/src/measure/claims/measureClaims.ts
@@ -60,7 +60,7 @@
 const print = (line: string) => process.stdout.write(`${line}\n`);
 async function measureLatency(slowMilliseconds: number): Promise<void> {
     const ways: readonly (readonly [string, (bench: Bench) => RunCall])[] = [
-        ["no claim", () => call => send(call, { mayStart: () => true })],
+        ["no claim", () => call => send(call, { isValid: () => true })],
         [
             "claim, answer before its record",
             ({ claimManager }) => call => claimManager.runOnce(createRequest(call), send),
--- a/packages/daisyturn/src/connection/caller/__fixtures__/createCallerBench.ts
+++ b/packages/daisyturn/src/connection/caller/__fixtures__/createCallerBench.ts
@@ -179,7 +179,7 @@
 /** Keeps no claims: every call is sent. */
 function createPassingClaims(): ClaimManager {
     return {
-        runOnce: (request, send) => send(request.call, { mayStart: () => true }),
+        runOnce: (request, send) => send(request.call, { isValid: () => true }),
         lookUp: () => Promise.resolve(err(notRun(FailureReason.NotFound, "Not kept."))),
     };
 }
--- a/packages/daisyturn/src/connection/caller/__tests__/plainCalls.test.ts
+++ b/packages/daisyturn/src/connection/caller/__tests__/plainCalls.test.ts
@@ -3,7 +3,7 @@
 import { afterEach, describe, test } from "node:test";
 import { err, ok, type Result } from "true-myth/result";
 import { PlainService, type ServiceAnswer, type ServiceCall } from "../../../ports/plainService.js";
-import { type ClaimRequest, ClaimState, standingPermit } from "../../../request/claims/claimManager.js";
+import { type ClaimRequest, ClaimState, unconditionalPermit } from "../../../request/claims/claimManager.js";
 import { openRaw, readToEnd, waitUntil } from "../__fixtures__/callerRequests.js";
 import { type BenchOptions, callerKey, createCallerBench } from "../__fixtures__/createCallerBench.js";
 
@@ -103,7 +103,7 @@
     test("a call whose claim has become too old is not sent, and is told as not run", async () => {
         await open([], {
             claims: {
-                runOnce: (request, send) => send(request.call, { mayStart: () => false }),
+                runOnce: (request, send) => send(request.call, { isValid: () => false }),
                 lookUp: () => Promise.resolve(ok({ state: ClaimState.Claimed })),
             },
         });
@@ -118,7 +118,7 @@
             claims: {
                 runOnce: (request, send) => {
                     claims.push(request);
-                    return send(request.call, standingPermit);
+                    return send(request.call, unconditionalPermit);
                 },
                 lookUp: (...names) => Promise.resolve(ok({ state: ClaimState.Claimed, names })),
             },
--- a/packages/daisyturn/src/connection/caller/serveExchange.ts
+++ b/packages/daisyturn/src/connection/caller/serveExchange.ts
@@ -2,7 +2,7 @@
 import { err, ok, type Result } from "true-myth/result";
 import { buildRefusal } from "../../request/answer/answer.js";
 import type { CallerExchange } from "../../request/callerExchange.js";
-import { claimPathPrefix, handleClaimQuestion } from "../../request/claims/handleClaimQuestion.js";
+import { claimPathPrefix, handleClaimLookup } from "../../request/claims/handleClaimLookup.js";
 import { handleCompletion } from "../../request/completion/handleCompletion.js";
 import { CompletionForm } from "../../request/completion/parseCompletion.js";
 import { handlePlainCall } from "../../request/handlePlainCall.js";
@@ -47,7 +47,7 @@
     "/v1/resume": { method: "POST", handle: handleResume, takesJson: false },
 };
 
-const claimRoute: Route = { method: "GET", handle: handleClaimQuestion, takesJson: false };
+const claimRoute: Route = { method: "GET", handle: handleClaimLookup, takesJson: false };
 
 /** Serves one request by its path and refuses it where that fails. */
 export async function serveExchange(
--- a/packages/daisyturn/src/request/__fixtures__/claimWorld.ts
+++ b/packages/daisyturn/src/request/__fixtures__/claimWorld.ts
@@ -194,7 +194,7 @@
 
     const createSend = (process: ScheduledProcess): SendCall => async (call, permit) => {
         await schedule.send({ process, label: "connection", courses: [{ label: "opens", run: () => undefined }] });
-        if (!permit.mayStart()) {
+        if (!permit.isValid()) {
             return Result.err(noPermit);
         }
         if (settledCalls.has(call.callId)) {
--- a/packages/daisyturn/src/request/__fixtures__/createNaiveClaimManager.ts
+++ b/packages/daisyturn/src/request/__fixtures__/createNaiveClaimManager.ts
@@ -23,7 +23,7 @@
         if (claim) {
             return claim.answer ? Result.ok(claim.answer) : Result.err(failWithOutcomeUnknown());
         }
-        const result = await send(request.call, { mayStart: () => true });
+        const result = await send(request.call, { isValid: () => true });
         if (result.isOk) {
             claims.set(request.idempotencyKey, { body, answer: result.value });
         }
--- a/packages/daisyturn/src/request/claims/__tests__/createClaimManager.test.ts
+++ b/packages/daisyturn/src/request/claims/__tests__/createClaimManager.test.ts
@@ -19,7 +19,7 @@
 }
 
 /** A send that stays under way until the test ends it. */
-function createHeldSend() {
+function createPendingSend() {
     let end: (result: Result<ServiceAnswer, Failure>) => void = () => undefined;
     const result = new Promise<Result<ServiceAnswer, Failure>>(resolve => {
         end = resolve;
@@ -42,15 +42,15 @@
     it("refuses the key with another body, also while the first call runs", async () => {
         const { clock, startManager, send } = createClaimBench();
         const claimManagers = [startManager("p"), startManager("q")];
-        const held = createHeldSend();
-        const running = claimManagers[0]?.runOnce(createClaimRequest(clock), held.send);
+        const pending = createPendingSend();
+        const running = claimManagers[0]?.runOnce(createClaimRequest(clock), pending.send);
         await clock.advance(1);
         for (const claimManager of claimManagers) {
             const other = await claimManager.runOnce(createClaimRequest(clock, { body: "seat 5" }), send);
             assert.equal(failureOf(other).reason, FailureReason.IdempotencyKeyReused);
             assert.equal(failureOf(other).verdict, ExecutionVerdict.NotRun);
         }
-        held.end(Result.ok(firstAnswer));
+        pending.end(Result.ok(firstAnswer));
         await running;
     });
 
@@ -65,12 +65,12 @@
     it("gives a running call's answer to those who ask in the same process and in another", async () => {
         const { clock, startManager, send, ran } = createClaimBench();
         const [p, q] = [startManager("p"), startManager("q")];
-        const held = createHeldSend();
-        const all = [held.send, send].map(each => p.runOnce(createClaimRequest(clock), each));
+        const pending = createPendingSend();
+        const all = [pending.send, send].map(each => p.runOnce(createClaimRequest(clock), each));
         await clock.advance(1);
         all.push(p.runOnce(createClaimRequest(clock), send), q.runOnce(createClaimRequest(clock), send));
         await clock.advance(3_000);
-        held.end(Result.ok(firstAnswer));
+        pending.end(Result.ok(firstAnswer));
         await clock.advance(1);
         assert.deepEqual(await Promise.all(all), Array(4).fill(Result.ok(firstAnswer)));
         assert.equal(ran.length, 0);
@@ -79,20 +79,20 @@
     it("says that a call which runs beyond the asker's deadline is running, not that it did not run", async () => {
         const { clock, startManager, send } = createClaimBench();
         const [p, q] = [startManager("p"), startManager("q")];
-        void p.runOnce(createClaimRequest(clock), createHeldSend().send);
+        void p.runOnce(createClaimRequest(clock), createPendingSend().send);
         await clock.advance(1);
-        const asked = [p, q].map(claimManager =>
+        const requested = [p, q].map(claimManager =>
             claimManager.runOnce(createClaimRequest(clock, { deadline: 2_000 }), send)
         );
         await clock.advance(5_000);
-        for (const failure of (await Promise.all(asked)).map(failureOf)) {
+        for (const failure of (await Promise.all(requested)).map(failureOf)) {
             assert.equal(failure.reason, FailureReason.AlreadyRunning);
             assert.equal(failure.verdict, ExecutionVerdict.MayHaveRun);
             assert.ok(failure.retryAt);
         }
-        const looked = q.lookUp("p", "a", "s", "key/1");
+        const view = q.lookUp("p", "a", "s", "key/1");
         await clock.advance(1_000);
-        assert.deepEqual(await looked, Result.ok({ state: ClaimState.Claimed }));
+        assert.deepEqual(await view, Result.ok({ state: ClaimState.Claimed }));
     });
 
     it("frees the key after a send that did not run", async () => {
@@ -200,10 +200,10 @@
         const delayMilliseconds = defaultClaimLimits.sendWindowMilliseconds;
         table.script({ kind: TableFaultKind.Slow, delayMilliseconds: 400 });
         const p = startManager("p");
-        const held = createHeldSend();
+        const pending = createPendingSend();
         const sendLater: SendCall = async (call, permit) => {
             await clock.sleepUntil(delayMilliseconds);
-            return permit.mayStart() ? held.send(call, permit) : Result.err(refusal);
+            return permit.isValid() ? pending.send(call, permit) : Result.err(refusal);
         };
         const running = p.runOnce(createClaimRequest(clock), sendLater);
         await clock.advance(20_000);
@@ -217,7 +217,7 @@
         const { clock, startManager, ran } = createClaimBench();
         const result = await startManager("p").runOnce(createClaimRequest(clock), (...[, permit]) => {
             clock.jumpWall(defaultClaimLimits.sendWindowMilliseconds);
-            return Promise.resolve(permit.mayStart() ? Result.ok(firstAnswer) : Result.err(refusal));
+            return Promise.resolve(permit.isValid() ? Result.ok(firstAnswer) : Result.err(refusal));
         });
         assert.deepEqual(result, Result.err(refusal));
         assert.equal(ran.length, 0);
@@ -226,20 +226,20 @@
     it("settles the claim of a killed process as unknown, with proof and after the wait only", async () => {
         const { clock, startManager, send, endProcess, networks, ran, readRow } = createClaimBench();
         const p = createFakeIdentity("p");
-        void startManager("p").runOnce(createClaimRequest(clock), createHeldSend().send);
+        void startManager("p").runOnce(createClaimRequest(clock), createPendingSend().send);
         await clock.advance(1);
         networks.isolate("p");
         const q = startManager("q");
-        const ask = async () => {
-            const asked = q.runOnce(createClaimRequest(clock, { deadline: clock.monotonicNow() + 1_000 }), send);
+        const request = async () => {
+            const requested = q.runOnce(createClaimRequest(clock, { deadline: clock.monotonicNow() + 1_000 }), send);
             await clock.advance(1_000);
-            return failureOf(await asked).reason;
+            return failureOf(await requested).reason;
         };
-        assert.equal(await ask(), FailureReason.AlreadyRunning);
+        assert.equal(await request(), FailureReason.AlreadyRunning);
         await clock.advance(defaultClaimLimits.settleWaitMilliseconds);
-        assert.equal(await ask(), FailureReason.AlreadyRunning, "without proof");
+        assert.equal(await request(), FailureReason.AlreadyRunning, "without proof");
         endProcess(p);
-        assert.equal(await ask(), FailureReason.OutcomeUnknown);
+        assert.equal(await request(), FailureReason.OutcomeUnknown);
         const row = await readRow();
         assert.deepEqual([row?.state, row?.settledBy], [ClaimRowState.Unknown, "q"]);
         assert.equal(ran.length, 0);
@@ -247,18 +247,18 @@
 
     it("waits before it settles, also with proof", async () => {
         const { clock, startManager, send, endProcess } = createClaimBench();
-        void startManager("p").runOnce(createClaimRequest(clock), createHeldSend().send);
+        void startManager("p").runOnce(createClaimRequest(clock), createPendingSend().send);
         await clock.advance(1);
         endProcess(createFakeIdentity("p"));
-        const asked = startManager("q").runOnce(createClaimRequest(clock, { deadline: 40_000 }), send);
+        const requested = startManager("q").runOnce(createClaimRequest(clock, { deadline: 40_000 }), send);
         let isAnswered = false;
-        void asked.then(() => {
+        void requested.then(() => {
             isAnswered = true;
         });
         await clock.advance(defaultClaimLimits.settleWaitMilliseconds - 10);
         assert.equal(isAnswered, false);
         await clock.advance(1_000);
-        assert.equal(failureOf(await asked).reason, FailureReason.OutcomeUnknown);
+        assert.equal(failureOf(await requested).reason, FailureReason.OutcomeUnknown);
     });
 
     it("settles at once what its live owner does not know, as after a late copy of an old write", async () => {
@@ -281,14 +281,14 @@
 
     it("records the answer over the Unknown of a process that took the owner for ended", async () => {
         const { clock, startManager, send, endProcess, readRow } = createClaimBench();
-        const held = createHeldSend();
-        const running = startManager("p").runOnce(createClaimRequest(clock), held.send);
+        const pending = createPendingSend();
+        const running = startManager("p").runOnce(createClaimRequest(clock), pending.send);
         await clock.advance(1);
         endProcess(createFakeIdentity("p"));
-        const asked = startManager("q").runOnce(createClaimRequest(clock, { deadline: 40_000 }), send);
+        const requested = startManager("q").runOnce(createClaimRequest(clock, { deadline: 40_000 }), send);
         await clock.advance(20_000);
-        assert.equal(failureOf(await asked).reason, FailureReason.OutcomeUnknown);
-        held.end(Result.ok(firstAnswer));
+        assert.equal(failureOf(await requested).reason, FailureReason.OutcomeUnknown);
+        pending.end(Result.ok(firstAnswer));
         assert.deepEqual(await running, Result.ok(firstAnswer));
         await clock.advance(1_000);
         assert.equal((await readRow())?.state, ClaimRowState.Answered);
--- a/packages/daisyturn/src/request/claims/claimManager.ts
+++ b/packages/daisyturn/src/request/claims/claimManager.ts
@@ -22,11 +22,11 @@
      * To be asked right before the call goes to a target, also before a second target after a NotRun. Once false, it
      * stays false, and a call that was not sent must end as NotRun.
      */
-    mayStart(): boolean;
+    isValid(): boolean;
 }
 
 /** For calls that need no claim. */
-export const standingPermit: SendPermit = { mayStart: () => true };
+export const unconditionalPermit: SendPermit = { isValid: () => true };
 
 /** Sends the call, once. Its failure's verdict decides what the claim becomes. */
 export type SendCall = (call: ServiceCall, permit: SendPermit) => Promise<Result<ServiceAnswer, Failure>>;
--- a/packages/daisyturn/src/request/claims/claimVerdicts.ts
+++ b/packages/daisyturn/src/request/claims/claimVerdicts.ts
@@ -14,7 +14,7 @@
  * The call did not run and never will, but its key may still stand as claimed. Nothing is said of a new try under
  * that key: if this process ends before the key is free, the key will be answered as one whose call may have run.
  */
-export function failWithKeyHeld(retryAt: number): Failure {
+export function failWithKeyStillClaimed(retryAt: number): Failure {
     const message = "The call did not run, but its idempotency key is not free yet. Ask again later with this key, "
         + "or send the call with a new key.";
     return notRun(FailureReason.OutcomeUnknown, message, retryAt);
@@ -47,9 +47,9 @@
 export function describeExamined(examined: ExaminedClaim, retryAt: number): Result<ServiceAnswer, Failure> {
     switch (examined.kind) {
         case ExaminedKind.Answered:
-            return examined.answer ? Result.ok(examined.answer) : Result.err(failWithAnswerNotKept());
+            return examined.answer ? Result.ok(examined.answer) : Result.err(failWithAnswerNotStored());
         case ExaminedKind.AnsweredNotKept:
-            return Result.err(failWithAnswerNotKept());
+            return Result.err(failWithAnswerNotStored());
         case ExaminedKind.MayHaveRun:
             return Result.err(failWithOutcomeUnknown());
         case ExaminedKind.Running:
@@ -78,7 +78,7 @@
     }
 }
 
-function failWithAnswerNotKept(): Failure {
+function failWithAnswerNotStored(): Failure {
     const message = "The call ran and was answered before, but its answer was too large to be kept.";
     return mayHaveRun(FailureReason.BodyTooLarge, message);
 }
--- a/packages/daisyturn/src/request/claims/createClaimAcquirer.ts
+++ b/packages/daisyturn/src/request/claims/createClaimAcquirer.ts
@@ -20,12 +20,17 @@
 import type { ProcessIdentity } from "../../process/peers/index.js";
 import { type StoreClient, StorePriority } from "../../process/store/index.js";
 import type { SendPermit } from "./claimManager.js";
-import { describeExamined, failWithDeadlinePassed, failWithKeyHeld, failWithStoreDown } from "./claimVerdicts.js";
+import {
+    describeExamined,
+    failWithDeadlinePassed,
+    failWithKeyStillClaimed,
+    failWithStoreDown,
+} from "./claimVerdicts.js";
 
 /** How long a caller is asked to wait before it asks again. */
-export const retryAfterMilliseconds = 1_000;
+export const retryDelayMilliseconds = 1_000;
 /** How often the row of a claim is read whose owner does not reply. */
-const pollMilliseconds = 500;
+const pollIntervalMilliseconds = 500;
 
 /** Whether an attempt has got its row. */
 export enum AcquireKind {
@@ -74,7 +79,7 @@
  * Whether a row stands that keeps a write which is still on its way from taking effect: the write demands another
  * version than the row has, and rows of claims are deleted long after any write has arrived.
  */
-function isRowOfAnother(present: Row | undefined, own: OwnClaim): boolean {
+function isRowOfOtherClaim(present: Row | undefined, own: OwnClaim): boolean {
     return present !== undefined && parseClaimRow(present.value).claimId !== own.claimId;
 }
 
@@ -82,15 +87,15 @@
  * Leave to send under a claim. Both clocks are asked, and the earlier end counts: the monotonic clock of a VM may stand
  * still while its host suspends it, and the wall clock may be set back.
  */
-export function createSendPermit(clock: Clock, taken: AcquiredClaim, requestDeadline: number): SendPermit {
-    const lastStart = Math.min(taken.sendDeadline, requestDeadline);
-    return { mayStart: () => clock.monotonicNow() < lastStart && clock.wallNow() < taken.wallSendDeadline };
+export function createSendPermit(clock: Clock, claim: AcquiredClaim, requestDeadline: number): SendPermit {
+    const lastStart = Math.min(claim.sendDeadline, requestDeadline);
+    return { isValid: () => clock.monotonicNow() < lastStart && clock.wallNow() < claim.wallSendDeadline };
 }
 
 /** Creates the taker of one process. */
 export function createClaimAcquirer(options: ClaimAcquirerOptions): ClaimAcquirer {
     const { storeClient, writer, recorder, examiner, clock, eventLog, limits } = options;
-    const retryAt = () => clock.wallNow() + retryAfterMilliseconds;
+    const retryAt = () => clock.wallNow() + retryDelayMilliseconds;
 
     const acquire = async (own: OwnClaim, deadline: number): Promise<AcquiredClaim | ClaimNotAcquired> => {
         const row = createClaimedRow(own, options.self);
@@ -106,12 +111,12 @@
             const answer = await writer.write({ rowKey: own.rowKey, expectedVersion, row, deadline: writeDeadline });
             switch (answer.outcome) {
                 case ClaimWriteOutcome.Committed:
-                    return confirm(row, answer.version ?? absentVersion, sendDeadlines);
+                    return createAcquiredClaim(row, answer.version ?? absentVersion, sendDeadlines);
                 case ClaimWriteOutcome.NotWritten:
-                    return giveUp(own, Result.err(failWithStoreDown(retryAt())));
+                    return abandon(own, Result.err(failWithStoreDown(retryAt())));
                 case ClaimWriteOutcome.Unknown:
-                    if (!isRowOfAnother(answer.present, own)) {
-                        return giveUpUnsettled(own, row, expectedVersion);
+                    if (!isRowOfOtherClaim(answer.present, own)) {
+                        return abandonUnsettled(own, row, expectedVersion);
                     }
                     break;
                 case ClaimWriteOutcome.Conflict:
@@ -119,11 +124,11 @@
             }
             const examined: ExaminedClaim = await awaitEnd(answer.present, own.callHash, deadline);
             if (examined.kind !== ExaminedKind.Free) {
-                return giveUp(own, describeExamined(examined, retryAt()));
+                return abandon(own, describeExamined(examined, retryAt()));
             }
             expectedVersion = examined.version ?? absentVersion;
         }
-        return giveUp(own, Result.err(failWithDeadlinePassed()));
+        return abandon(own, Result.err(failWithDeadlinePassed()));
     };
 
     /** Waits while another runs the call. */
@@ -139,7 +144,7 @@
                 return examined;
             }
             if (!examined.ownerReplied) {
-                await clock.sleepUntil(Math.min(deadline, clock.monotonicNow() + pollMilliseconds));
+                await clock.sleepUntil(Math.min(deadline, clock.monotonicNow() + pollIntervalMilliseconds));
                 const rows = await storeClient.read([current.key], StorePriority.Claim, deadline);
                 current = rows.isOk ? rows.value[0] : current;
             }
@@ -147,24 +152,24 @@
         return { kind: ExaminedKind.Free, version: absentVersion };
     };
 
-    const confirm = (row: ClaimRow, version: number, deadlines: SendDeadlines): AcquiredClaim => {
+    const createAcquiredClaim = (row: ClaimRow, version: number, deadlines: SendDeadlines): AcquiredClaim => {
         eventLog.record(EventKind.ClaimTaken, { request: row.requestId, claim: row.claimId });
         return { kind: AcquireKind.Acquired, row, version, ...deadlines };
     };
 
     /** Ends an attempt none of whose writes can take effect. */
-    const giveUp = (own: OwnClaim, result: Result<ServiceAnswer, Failure>): ClaimNotAcquired => {
+    const abandon = (own: OwnClaim, result: Result<ServiceAnswer, Failure>): ClaimNotAcquired => {
         own.end(ClaimStage.NotSent);
         own.markSettled();
         return { kind: AcquireKind.NotAcquired, result };
     };
 
     /** Ends an attempt that may have its row or get it yet; it won't use it. */
-    const giveUpUnsettled = (own: OwnClaim, row: ClaimRow, expectedVersion: number): ClaimNotAcquired => {
+    const abandonUnsettled = (own: OwnClaim, row: ClaimRow, expectedVersion: number): ClaimNotAcquired => {
         own.end(ClaimStage.NotSent);
         const freeRow = createFreeRow(row, clock.wallNow(), limits);
         void recorder.record(own, expectedVersion, freeRow);
-        return { kind: AcquireKind.NotAcquired, result: Result.err(failWithKeyHeld(retryAt())) };
+        return { kind: AcquireKind.NotAcquired, result: Result.err(failWithKeyStillClaimed(retryAt())) };
     };
 
     return { acquire };
--- a/packages/daisyturn/src/request/claims/createClaimManager.ts
+++ b/packages/daisyturn/src/request/claims/createClaimManager.ts
@@ -31,17 +31,17 @@
 import type { Membership, PeerNetwork, ProcessIdentity } from "../../process/peers/index.js";
 import { type StoreClient, StorePriority } from "../../process/store/index.js";
 import type { ClaimManager, ClaimRequest, SendCall } from "./claimManager.js";
-import { describeExamined, failWithDeadlinePassed, failWithKeyHeld, viewExamined } from "./claimVerdicts.js";
+import { describeExamined, failWithDeadlinePassed, failWithKeyStillClaimed, viewExamined } from "./claimVerdicts.js";
 import {
     type AcquiredClaim,
     AcquireKind,
     createClaimAcquirer,
     createSendPermit,
-    retryAfterMilliseconds,
+    retryDelayMilliseconds,
 } from "./createClaimAcquirer.js";
 
 /** How long a look-up waits for the table service. */
-const lookUpLimitMilliseconds = 2_000;
+const lookUpTimeoutMilliseconds = 2_000;
 
 /** What the keeper works with. */
 export interface ClaimManagerOptions {
@@ -94,7 +94,7 @@
     const writer = createClaimWriter(storeClient, options.ids);
     const recorder = createClaimRecorder({ ...options, writer });
     const examiner = createClaimExaminer({ ...options, ownClaims, writer, limits });
-    const taker = createClaimAcquirer({ ...options, writer, recorder, examiner, limits });
+    const acquirer = createClaimAcquirer({ ...options, writer, recorder, examiner, limits });
     answerInquiries(options.network, options.self, ownClaims, clock);
 
     const runOnce = async (request: ClaimRequest, send: SendCall): Promise<Result<ServiceAnswer, Failure>> => {
@@ -105,29 +105,31 @@
         const rowKey = formatClaimRowKey(request);
         const callHash = hashCall(request.call);
         for (let other = ownClaims.find(rowKey); other; other = ownClaims.find(rowKey)) {
-            const joined = await joinOwnAttempt(other, callHash, request.deadline);
-            if (joined) {
-                return joined;
+            const joinedResult = await joinOwnAttempt(other, callHash, request.deadline);
+            if (joinedResult) {
+                return joinedResult;
             }
         }
         // No await since the row was found free: of two requests at once only one may get here.
         const own = ownClaims.open(rowKey, request.requestId, callHash);
-        const taken = await taker.acquire(own, request.deadline);
-        if (taken.kind === AcquireKind.NotAcquired) {
-            noteReplay(taken.result, request);
-            return taken.result;
+        const claim = await acquirer.acquire(own, request.deadline);
+        if (claim.kind === AcquireKind.NotAcquired) {
+            recordReplay(claim.result, request);
+            return claim.result;
         }
-        return sendClaimed(own, taken, request, send);
+        return sendClaimed(own, claim, request, send);
     };
 
     /** Waits for another request of this process with the same key; undefined once it has made way. */
     const joinOwnAttempt = async (other: OwnClaim, callHash: string, deadline: number) => {
         const examined = await awaitOwnAttempt(other, callHash, deadline);
         if (examined.kind !== ExaminedKind.Free) {
-            return describeExamined(examined, clock.wallNow() + retryAfterMilliseconds);
+            return describeExamined(examined, clock.wallNow() + retryDelayMilliseconds);
         }
         if (!await settlesBefore(other.settled, clock, deadline)) {
-            return Result.err<ServiceAnswer, Failure>(failWithKeyHeld(clock.wallNow() + retryAfterMilliseconds));
+            return Result.err<ServiceAnswer, Failure>(
+                failWithKeyStillClaimed(clock.wallNow() + retryDelayMilliseconds),
+            );
         }
         return undefined;
     };
@@ -140,45 +142,45 @@
         return examineOwnAttempt(own);
     };
 
-    const sendClaimed = async (own: OwnClaim, taken: AcquiredClaim, request: ClaimRequest, send: SendCall) => {
-        const permit = createSendPermit(clock, taken, request.deadline);
-        if (!permit.mayStart()) {
-            return release(own, taken, request, failWithDeadlinePassed());
+    const sendClaimed = async (own: OwnClaim, claim: AcquiredClaim, request: ClaimRequest, send: SendCall) => {
+        const permit = createSendPermit(clock, claim, request.deadline);
+        if (!permit.isValid()) {
+            return release(own, claim, request, failWithDeadlinePassed());
         }
         own.startSending();
-        const result = await send(request.call, permit).catch(describeThrown);
+        const result = await send(request.call, permit).catch(createUnexpectedFailure);
         if (result.isOk) {
             own.end(ClaimStage.Answered, result.value);
-            const row = createAnsweredRow(taken.row, result.value, clock.wallNow(), limits);
-            void recorder.record(own, taken.version, row);
+            const row = createAnsweredRow(claim.row, result.value, clock.wallNow(), limits);
+            void recorder.record(own, claim.version, row);
             return result;
         }
         if (result.error.verdict === ExecutionVerdict.NotRun) {
-            return release(own, taken, request, result.error);
+            return release(own, claim, request, result.error);
         }
         own.end(ClaimStage.MayHaveRun);
-        const row = createUnknownRow(taken.row, clock.wallNow(), limits);
-        void recorder.record(own, taken.version, row);
+        const row = createUnknownRow(claim.row, clock.wallNow(), limits);
+        void recorder.record(own, claim.version, row);
         return result;
     };
 
     /** Frees the key of a call that did not run. The caller is told of a new try only once the key is free. */
-    const release = async (own: OwnClaim, taken: AcquiredClaim, request: ClaimRequest, failure: Failure) => {
+    const release = async (own: OwnClaim, claim: AcquiredClaim, request: ClaimRequest, failure: Failure) => {
         own.end(ClaimStage.NotSent);
-        const row = createFreeRow(taken.row, clock.wallNow(), limits);
-        void recorder.record(own, taken.version, row);
+        const row = createFreeRow(claim.row, clock.wallNow(), limits);
+        void recorder.record(own, claim.version, row);
         const isFree = await settlesBefore(own.settled, clock, request.deadline);
-        const told = isFree ? failure : failWithKeyHeld(clock.wallNow() + retryAfterMilliseconds);
-        return Result.err<ServiceAnswer, Failure>(told);
+        const reported = isFree ? failure : failWithKeyStillClaimed(clock.wallNow() + retryDelayMilliseconds);
+        return Result.err<ServiceAnswer, Failure>(reported);
     };
 
-    const describeThrown = (error: unknown) => {
+    const createUnexpectedFailure = (error: unknown) => {
         eventLog.record(EventKind.Fault, { reason: String(error) });
         const failure = mayHaveRun(FailureReason.Internal, "The call may have run; sending it failed unexpectedly.");
         return Result.err<ServiceAnswer, Failure>(failure);
     };
 
-    const noteReplay = (result: Result<ServiceAnswer, Failure>, request: ClaimRequest) => {
+    const recordReplay = (result: Result<ServiceAnswer, Failure>, request: ClaimRequest) => {
         if (result.isOk) {
             eventLog.record(EventKind.ClaimReplayed, { request: request.requestId });
         }
@@ -190,7 +192,7 @@
         if (own) {
             return Result.ok(viewExamined(examineOwnAttempt(own)));
         }
-        const deadline = clock.monotonicNow() + lookUpLimitMilliseconds;
+        const deadline = clock.monotonicNow() + lookUpTimeoutMilliseconds;
         const rows = await storeClient.read([rowKey], StorePriority.Claim, deadline);
         if (rows.isErr) {
             return Result.err(rows.error);
@@ -201,7 +203,7 @@
     };
 
     const inspect = async (scope: ClaimScope): Promise<Result<ClaimInspection | undefined, Failure>> => {
-        const deadline = clock.monotonicNow() + lookUpLimitMilliseconds;
+        const deadline = clock.monotonicNow() + lookUpTimeoutMilliseconds;
         const rows = await storeClient.read([formatClaimRowKey(scope)], StorePriority.Claim, deadline);
         return rows.map(([present]) => present && inspectRow(parseClaimRow(present.value)));
     };
--- a/packages/daisyturn/src/request/claims/handleClaimQuestion.ts
+++ b/packages/daisyturn/src/request/claims/handleClaimLookup.ts
@@ -10,14 +10,14 @@
 export const claimPathPrefix = "/v1/claims/";
 
 /** Serves `GET /v1/claims/NAME`: tells what is known of the caller's `Idempotency-Key`, and sends nothing. */
-export function handleClaimQuestion(
+export function handleClaimLookup(
     parts: RequestParts,
     exchange: CallerExchange,
 ): Promise<Result<void, Failure>> {
-    return serveUnderPin(parts, exchange, head => answerClaimQuestion(parts, exchange, head));
+    return serveUnderPin(parts, exchange, head => answerClaimLookup(parts, exchange, head));
 }
 
-async function answerClaimQuestion(
+async function answerClaimLookup(
     parts: RequestParts,
     exchange: CallerExchange,
     { account, pin }: RequestHead,
--- a/packages/daisyturn/src/request/forwarding/__tests__/overload.test.ts
+++ b/packages/daisyturn/src/request/forwarding/__tests__/overload.test.ts
@@ -21,7 +21,7 @@
 const fetchingOverload = { ...overload, longPerSecond: 200 };
 
 for (const seed of [1, 2, 3, 4]) {
-    test(`under lasting overload, every size decile is served at least half as often as all, seed ${seed}`, async () => {
+    test(`under overload, each size decile is served at least half as often as all, seed ${seed}`, async () => {
         const prompts = await simulateOverload({ seed, ...overload, switchedOff: new Set([KvFetch]) });
         const all = computeServedShare(prompts);
         const tenths = computeServedShareByTenth(prompts);
--- a/packages/daisyturn/src/request/handlePlainCall.ts
+++ b/packages/daisyturn/src/request/handlePlainCall.ts
@@ -3,7 +3,7 @@
 import type { ServiceAnswer, ServiceCall } from "../ports/plainService.js";
 import type { CallerAccount, Service } from "../version/configurationItems.js";
 import type { CallerExchange } from "./callerExchange.js";
-import { type SendPermit, standingPermit } from "./claims/claimManager.js";
+import { type SendPermit, unconditionalPermit } from "./claims/claimManager.js";
 import { identifyPlainService } from "./identify.js";
 import { type RequestHead, serveUnderPin } from "./requestHead.js";
 import { startRequestLife } from "./requestLife.js";
@@ -145,7 +145,7 @@
     const send = (call: ServiceCall, permit: SendPermit) =>
         sendCall(parts, { requestId, service, call, idempotent, permit, signal });
     if (idempotent || idempotencyKey === undefined) {
-        return send(request.call, standingPermit);
+        return send(request.call, unconditionalPermit);
     }
     return parts.claims.runOnce({
         requestId,
--- a/packages/daisyturn/src/request/sendCall.ts
+++ b/packages/daisyturn/src/request/sendCall.ts
@@ -34,7 +34,7 @@
             const none = notRun(FailureReason.NoTarget, "No target of the service takes work at the moment.");
             return err(history.conclude(none));
         }
-        if (!sent.permit.mayStart()) {
+        if (!sent.permit.isValid()) {
             const tooLate = notRun(FailureReason.DeadlinePassed, "The call's claim is too old for it to be sent.");
             return err(history.conclude(tooLate));
         }
