--- a/packages/daisyturn/src/request/claims/__tests__/createClaimManager.test.ts
+++ b/packages/daisyturn/src/request/claims/__tests__/createClaimManager.test.ts
@@ -18,7 +18,7 @@
     return result.error;
 }
 
-/** A send that stays under way until the test ends it. */
+/** Creates a send that stays pending until the test ends it. */
 function createPendingSend() {
     let end: (result: Result<ServiceAnswer, Failure>) => void = () => undefined;
     const result = new Promise<Result<ServiceAnswer, Failure>>(resolve => {
@@ -39,7 +39,7 @@
         assert.equal(ran.length, 1);
     });
 
-    it("refuses the key with another body, also while the first call runs", async () => {
+    it("refuses the key with another body, even while the first call runs", async () => {
         const { clock, startManager, send } = createClaimBench();
         const claimManagers = [startManager("p"), startManager("q")];
         const pending = createPendingSend();
@@ -54,7 +54,7 @@
         await running;
     });
 
-    it("refuses a key that no row can have", async () => {
+    it("refuses malformed keys", async () => {
         const { clock, startManager, send } = createClaimBench();
         for (const idempotencyKey of ["", "a b", "x".repeat(256), "\ud800"]) {
             const result = await startManager("p").runOnce(createClaimRequest(clock, { idempotencyKey }), send);
@@ -62,7 +62,7 @@
         }
     });
 
-    it("gives a running call's answer to those who ask in the same process and in another", async () => {
+    it("gives the answer of a running call to concurrent requests in the same process and in another", async () => {
         const { clock, startManager, send, ran } = createClaimBench();
         const [p, q] = [startManager("p"), startManager("q")];
         const pending = createPendingSend();
@@ -76,7 +76,7 @@
         assert.equal(ran.length, 0);
     });
 
-    it("says that a call which runs beyond the asker's deadline is running, not that it did not run", async () => {
+    it("reports a call that runs beyond the deadline of a second request as running, not as not run", async () => {
         const { clock, startManager, send } = createClaimBench();
         const [p, q] = [startManager("p"), startManager("q")];
         void p.runOnce(createClaimRequest(clock), createPendingSend().send);
@@ -125,7 +125,7 @@
         assert.equal((await readRow())?.state, ClaimRowState.Unknown);
     });
 
-    it("refuses as not run while the store is down", async () => {
+    it("refuses calls as not run while the store is down", async () => {
         const { clock, table, startManager, send, ran } = createClaimBench();
         table.setStandingFault(TableFaultKind.Down);
         const running = startManager("p").runOnce(createClaimRequest(clock), send);
@@ -137,7 +137,7 @@
         assert.equal(ran.length, 0);
     });
 
-    it("goes on when the answer to the claim's write is lost after the commit", async () => {
+    it("sends the call when the answer to the claim's write is lost after the commit", async () => {
         const { clock, table, startManager, send, ran } = createClaimBench();
         table.script(TableFaultKind.BreakAfterCommit);
         const running = startManager("p").runOnce(createClaimRequest(clock), send);
@@ -165,7 +165,7 @@
         assert.equal(ran.length, 1);
     });
 
-    it("does not say that a new try works before the key is free", async () => {
+    it("does not offer a retry before the key is free", async () => {
         const { clock, table, startManager, createFailingSend, readRow } = createClaimBench();
         const p = startManager("p");
         table.script(TableFaultKind.None);
@@ -195,7 +195,7 @@
         assert.equal((await readRow())?.state, ClaimRowState.Answered);
     });
 
-    it("does not send once the send window has passed, as after a pause of the process", async () => {
+    it("does not send after the end of the send window, for example when the process was paused", async () => {
         const { clock, table, startManager, send, ran, readRow } = createClaimBench();
         const delayMilliseconds = defaultClaimLimits.sendWindowMilliseconds;
         table.script({ kind: TableFaultKind.Slow, delayMilliseconds: 400 });
@@ -213,7 +213,7 @@
         assert.equal(ran.length, 1);
     });
 
-    it("does not send after a pause that stopped the monotonic clock, as the suspension of a VM does", async () => {
+    it("does not send after a VM suspension that stopped the monotonic clock", async () => {
         const { clock, startManager, ran } = createClaimBench();
         const result = await startManager("p").runOnce(createClaimRequest(clock), (...[, permit]) => {
             clock.jumpWall(defaultClaimLimits.sendWindowMilliseconds);
@@ -223,7 +223,7 @@
         assert.equal(ran.length, 0);
     });
 
-    it("settles the claim of a killed process as unknown, with proof and after the wait only", async () => {
+    it("settles the claim of a killed process as unknown, only with proof of its end and after the wait", async () => {
         const { clock, startManager, send, endProcess, networks, ran, readRow } = createClaimBench();
         const p = createFakeIdentity("p");
         void startManager("p").runOnce(createClaimRequest(clock), createPendingSend().send);
@@ -245,7 +245,7 @@
         assert.equal(ran.length, 0);
     });
 
-    it("waits before it settles, also with proof", async () => {
+    it("waits before it settles a claim even with proof that the owner has ended", async () => {
         const { clock, startManager, send, endProcess } = createClaimBench();
         void startManager("p").runOnce(createClaimRequest(clock), createPendingSend().send);
         await clock.advance(1);
@@ -261,7 +261,7 @@
         assert.equal(failureOf(await requested).reason, FailureReason.OutcomeUnknown);
     });
 
-    it("settles at once what its live owner does not know, as after a late copy of an old write", async () => {
+    it("settles at once a claim that its live owner does not know, as after a late copy of an old write", async () => {
         const { clock, table, startManager, send, ran } = createClaimBench();
         startManager("p");
         const request = createClaimRequest(clock);
@@ -279,7 +279,7 @@
         assert.equal(ran.length, 0);
     });
 
-    it("records the answer over the Unknown of a process that took the owner for ended", async () => {
+    it("replaces the Unknown of a process that presumed the owner ended by the answer", async () => {
         const { clock, startManager, send, endProcess, readRow } = createClaimBench();
         const pending = createPendingSend();
         const running = startManager("p").runOnce(createClaimRequest(clock), pending.send);
@@ -294,7 +294,7 @@
         assert.equal((await readRow())?.state, ClaimRowState.Answered);
     });
 
-    it("keeps no answer that is too large, and says so", async () => {
+    it("does not store an answer that is too large, and reports that", async () => {
         const { clock, startManager, send } = createClaimBench();
         const large = { ...firstAnswer, body: "x".repeat(defaultClaimLimits.keptAnswerBytes + 1) };
         const first = await startManager("p").runOnce(
@@ -310,7 +310,7 @@
         assert.deepEqual(await q.lookUp("p", "a", "s", "key/1"), Result.ok({ state: ClaimState.AnsweredNotKept }));
     });
 
-    it("looks up what was answered and what was never asked", async () => {
+    it("looks up answered and absent keys", async () => {
         const { clock, startManager, send } = createClaimBench();
         const p = startManager("p");
         assert.deepEqual(await p.lookUp("p", "a", "s", "key/1"), Result.ok({ state: ClaimState.Absent }));
--- a/packages/daisyturn/src/request/claims/claimManager.ts
+++ b/packages/daisyturn/src/request/claims/claimManager.ts
@@ -2,9 +2,9 @@
 import type { Result } from "true-myth/result";
 import type { ServiceAnswer, ServiceCall } from "../../ports/plainService.js";
 
-/** A non-idempotent call, named by the caller's key. */
+/** A non-idempotent call, identified by the caller's key. */
 export interface ClaimRequest {
-    /** Names the caller's request in logs and in the claim's row. */
+    /** Identifies the caller's request in logs and in the claim's row. */
     readonly requestId: string;
     readonly partner: string;
     readonly account: string;
@@ -16,33 +16,33 @@
     readonly deadline: number;
 }
 
-/** Leave to send a claimed call. */
+/** Permission to send a claimed call. */
 export interface SendPermit {
     /**
-     * To be asked right before the call goes to a target, also before a second target after a NotRun. Once false, it
+     * Must be checked right before each send to a target, including a second target after a NotRun. Once false, it
      * stays false, and a call that was not sent must end as NotRun.
      */
     isValid(): boolean;
 }
 
-/** For calls that need no claim. */
+/** Permit for calls that need no claim. */
 export const unconditionalPermit: SendPermit = { isValid: () => true };
 
-/** Sends the call, once. Its failure's verdict decides what the claim becomes. */
+/** Sends the call once. The verdict of a failure determines the final state of the claim. */
 export type SendCall = (call: ServiceCall, permit: SendPermit) => Promise<Result<ServiceAnswer, Failure>>;
 
-/** What is known of a key. */
+/** State of a key, as reported to callers. */
 export enum ClaimState {
     Absent = "absent",
     Claimed = "claimed",
     Answered = "answered",
-    /** It ran and was answered, but the answer was too large to be kept. */
+    /** The call ran and was answered, but the answer was too large to be stored. */
     AnsweredNotKept = "answered_not_kept",
     /** The call may have run and its answer is lost. */
     Unknown = "unknown",
 }
 
-/** Answer to a caller's question about its key. */
+/** Answer to a caller's lookup of its key. */
 export interface ClaimView {
     readonly state: ClaimState;
     readonly answer?: ServiceAnswer;
@@ -50,7 +50,7 @@
 
 /** Runs non-idempotent calls at most once. */
 export interface ClaimManager {
-    /** Claims, sends, records; or replays the recorded answer. */
+    /** Claims the key, sends the call and records the answer, or replays the recorded answer. */
     runOnce(request: ClaimRequest, send: SendCall): Promise<Result<ServiceAnswer, Failure>>;
     lookUp(partner: string, account: string, service: string, key: string): Promise<Result<ClaimView, Failure>>;
 }
--- a/packages/daisyturn/src/request/claims/createClaimAcquirer.ts
+++ b/packages/daisyturn/src/request/claims/createClaimAcquirer.ts
@@ -27,18 +27,18 @@
     failWithStoreDown,
 } from "./claimVerdicts.js";
 
-/** How long a caller is asked to wait before it asks again. */
+/** Delay that a caller is advised to wait before it retries. */
 export const retryDelayMilliseconds = 1_000;
-/** How often the row of a claim is read whose owner does not reply. */
+/** Interval at which the row of a claim is read again while its owner does not reply. */
 const pollIntervalMilliseconds = 500;
 
-/** Whether an attempt has got its row. */
+/** Whether an attempt has acquired its row. */
 export enum AcquireKind {
     Acquired = "taken",
     NotAcquired = "not_taken",
 }
 
-/** The row is this attempt's. */
+/** The row belongs to this attempt. */
 export interface AcquiredClaim {
     readonly kind: AcquireKind.Acquired;
     readonly row: ClaimRow;
@@ -51,13 +51,13 @@
 
 type SendDeadlines = Pick<AcquiredClaim, "sendDeadline" | "wallSendDeadline">;
 
-/** The attempt is over; the caller gets the result. */
+/** The attempt has ended, and the caller receives the result. */
 export interface ClaimNotAcquired {
     readonly kind: AcquireKind.NotAcquired;
     readonly result: Result<ServiceAnswer, Failure>;
 }
 
-/** What the taking of claims works with. */
+/** Options of {@link createClaimAcquirer}. */
 export interface ClaimAcquirerOptions {
     readonly self: ProcessIdentity;
     readonly storeClient: StoreClient;
@@ -69,30 +69,34 @@
     readonly limits: ClaimLimits;
 }
 
-/** Gets rows for attempts. */
+/** Acquires rows for attempts. */
 export interface ClaimAcquirer {
-    /** Waits for another's running call up to the deadline (monotonic). An attempt that is not taken has ended. */
+    /**
+     * Waits for a running call of another attempt until the deadline (monotonic). If the claim is not acquired, the
+     * attempt has ended.
+     */
     acquire(own: OwnClaim, deadline: number): Promise<AcquiredClaim | ClaimNotAcquired>;
 }
 
 /**
- * Whether a row stands that keeps a write which is still on its way from taking effect: the write demands another
- * version than the row has, and rows of claims are deleted long after any write has arrived.
+ * Whether the row of another claim exists. It prevents a write that is still in flight from taking effect, because the
+ * write requires another version than that of the row, and rows of claims are deleted long after any write has arrived.
  */
 function isRowOfOtherClaim(present: Row | undefined, own: OwnClaim): boolean {
     return present !== undefined && parseClaimRow(present.value).claimId !== own.claimId;
 }
 
 /**
- * Leave to send under a claim. Both clocks are asked, and the earlier end counts: the monotonic clock of a VM may stand
- * still while its host suspends it, and the wall clock may be set back.
+ * Creates the permit to send under a claim. It ends at the earlier of two deadlines, one on the monotonic clock and one
+ * on the wall clock: the monotonic clock of a VM may stop while its host suspends it, and the wall clock may be set
+ * back.
  */
 export function createSendPermit(clock: Clock, claim: AcquiredClaim, requestDeadline: number): SendPermit {
     const lastStart = Math.min(claim.sendDeadline, requestDeadline);
     return { isValid: () => clock.monotonicNow() < lastStart && clock.wallNow() < claim.wallSendDeadline };
 }
 
-/** Creates the taker of one process. */
+/** Creates the claim acquirer of one process. */
 export function createClaimAcquirer(options: ClaimAcquirerOptions): ClaimAcquirer {
     const { storeClient, writer, recorder, examiner, clock, eventLog, limits } = options;
     const retryAt = () => clock.wallNow() + retryDelayMilliseconds;
@@ -101,7 +105,7 @@
         const row = createClaimedRow(own, options.self);
         let expectedVersion: number | undefined = absentVersion;
         while (clock.monotonicNow() < deadline) {
-            // Counted from before the write: whoever sees the row has seen it later than this.
+            // Starts before the write, so that every reader of the row reads it after the start of the send window.
             const sendDeadline = clock.monotonicNow() + limits.sendWindowMilliseconds;
             const sendDeadlines = {
                 sendDeadline,
@@ -131,7 +135,7 @@
         return abandon(own, Result.err(failWithDeadlinePassed()));
     };
 
-    /** Waits while another runs the call. */
+    /** Waits while another attempt runs the call. */
     const awaitEnd = async (
         present: Row | undefined,
         callHash: string,
@@ -157,14 +161,14 @@
         return { kind: AcquireKind.Acquired, row, version, ...deadlines };
     };
 
-    /** Ends an attempt none of whose writes can take effect. */
+    /** Ends an attempt whose writes can no longer take effect. */
     const abandon = (own: OwnClaim, result: Result<ServiceAnswer, Failure>): ClaimNotAcquired => {
         own.end(ClaimStage.NotSent);
         own.markSettled();
         return { kind: AcquireKind.NotAcquired, result };
     };
 
-    /** Ends an attempt that may have its row or get it yet; it won't use it. */
+    /** Ends an attempt whose row may have been written or may still be written, and frees the key in that case. */
     const abandonUnsettled = (own: OwnClaim, row: ClaimRow, expectedVersion: number): ClaimNotAcquired => {
         own.end(ClaimStage.NotSent);
         const freeRow = createFreeRow(row, clock.wallNow(), limits);
--- a/packages/daisyturn/src/request/claims/createClaimManager.ts
+++ b/packages/daisyturn/src/request/claims/createClaimManager.ts
@@ -40,10 +40,10 @@
     retryDelayMilliseconds,
 } from "./createClaimAcquirer.js";
 
-/** How long a look-up waits for the table service. */
+/** Time limit of a lookup at the table service. */
 const lookUpTimeoutMilliseconds = 2_000;
 
-/** What the keeper works with. */
+/** Options of {@link createClaimManager}. */
 export interface ClaimManagerOptions {
     readonly self: ProcessIdentity;
     readonly storeClient: StoreClient;
@@ -53,17 +53,17 @@
     readonly ids: IdSource;
     readonly eventLog: EventLog;
     readonly limits?: Partial<ClaimLimits>;
-    /** Aborted once the process has nothing more to record. */
+    /** Aborted once the process stops recording claims. */
     readonly signal?: AbortSignal;
 }
 
-/** A claim's row without the caller's answer, which is the caller's alone. */
+/** A claim's row with only the status of the answer, because only the caller may read the answer itself. */
 export interface ClaimInspection {
     readonly state: ClaimRowState;
     readonly claimId: string;
     readonly requestId: string;
     readonly owner: ProcessIdentity;
-    /** Whether that run of the owner is proved to have ended. */
+    /** Whether that incarnation of the owner is proved to have ended. */
     readonly hasOwnerEnded: boolean;
     readonly answerStatus?: number;
     readonly settledBy?: string;
@@ -71,21 +71,21 @@
     readonly keepUntil?: number;
 }
 
-/** The keeper of a process, with what the process needs at its end. */
+/** The claim manager of a process, with the operations for its shutdown and for operators. */
 export interface ProcessClaimManager extends ClaimManager, AbandonedClaims {
-    /** Attempts whose rows do not say yet how they ended. */
+    /** Number of attempts whose outcome is not yet recorded in their rows. */
     countUnsettled(): number;
-    /** Waits until the rows of all attempts are settled; false if the deadline (monotonic) passed before. */
+    /** Waits until the rows of all attempts are settled. Returns false if the deadline (monotonic) passed before. */
     drain(deadline: number): Promise<boolean>;
-    /** What operators are shown of a key; undefined if it has no row. */
+    /** Describes the row of a key to operators; undefined if it has no row. */
     inspect(scope: ClaimScope): Promise<Result<ClaimInspection | undefined, Failure>>;
 }
 
 /**
- * Creates the keeper of one process: claim, send once, record.
+ * Creates the claim manager of one process, which claims a key, sends the call once and records the outcome.
  *
- * A key's row goes from one attempt to the next only by the word of the attempt's own process that it sent nothing
- * that ran. Everything else that can be found out of an attempt leaves the key used up.
+ * The row of a key passes from one attempt to the next only if the process of the earlier attempt itself confirms that
+ * nothing it sent has run. After any other finding about an attempt, the key stays used.
  */
 export function createClaimManager(options: ClaimManagerOptions): ProcessClaimManager {
     const { storeClient, clock, eventLog } = options;
@@ -110,7 +110,7 @@
                 return joinedResult;
             }
         }
-        // No await since the row was found free: of two requests at once only one may get here.
+        // There must be no await since the key was found free, so that only one of two concurrent requests gets here.
         const own = ownClaims.open(rowKey, request.requestId, callHash);
         const claim = await acquirer.acquire(own, request.deadline);
         if (claim.kind === AcquireKind.NotAcquired) {
@@ -120,7 +120,7 @@
         return sendClaimed(own, claim, request, send);
     };
 
-    /** Waits for another request of this process with the same key; undefined once it has made way. */
+    /** Waits for another request of this process with the same key. Returns undefined once that has freed the key. */
     const joinOwnAttempt = async (other: OwnClaim, callHash: string, deadline: number) => {
         const examined = await awaitOwnAttempt(other, callHash, deadline);
         if (examined.kind !== ExaminedKind.Free) {
@@ -164,7 +164,7 @@
         return result;
     };
 
-    /** Frees the key of a call that did not run. The caller is told of a new try only once the key is free. */
+    /** Frees the key of a call that did not run. A retry is offered to the caller only once the key is free. */
     const release = async (own: OwnClaim, claim: AcquiredClaim, request: ClaimRequest, failure: Failure) => {
         own.end(ClaimStage.NotSent);
         const row = createFreeRow(claim.row, clock.wallNow(), limits);
--- a/packages/daisyturn/src/request/claims/handleClaimLookup.ts
+++ b/packages/daisyturn/src/request/claims/handleClaimLookup.ts
@@ -6,10 +6,10 @@
 import { type RequestHead, serveUnderPin } from "../requestHead.js";
 import type { RequestParts } from "../requestParts.js";
 
-/** Path under which callers ask what became of a key: the service's name follows. */
+/** Path under which callers look up the state of a key; the name of the service follows. */
 export const claimPathPrefix = "/v1/claims/";
 
-/** Serves `GET /v1/claims/NAME`: tells what is known of the caller's `Idempotency-Key`, and sends nothing. */
+/** Serves `GET /v1/claims/NAME`: reports the state of the caller's `Idempotency-Key`, without sending the call. */
 export function handleClaimLookup(
     parts: RequestParts,
     exchange: CallerExchange,
