--- a/packages/daisyturn/src/request/__fixtures__/claimWorld.ts
+++ b/packages/daisyturn/src/request/__fixtures__/claimWorld.ts
@@ -59,7 +59,7 @@
     const broken: string[] = [];
     let lastVersion = absentVersion;
     let wasCallLost = false;
-    let wasAskedAgain = false;
+    let wasRetried = false;
 
     const findFailed = ({ conditions }: Transaction) =>
         conditions.filter(({ key, expectedVersion }) => (rows.get(key)?.version ?? absentVersion) !== expectedVersion);
@@ -99,7 +99,7 @@
             process,
             label: "write",
             effect,
-            courses: [
+            outcomes: [
                 { label: "commits", run: () => apply(transaction) },
                 { label: "commits, answer slow", run: () => apply(transaction), isSlow: true },
                 { label: "commits, answer lost", run: () => runAndForget(effect) },
@@ -117,7 +117,7 @@
             schedule.send<Result<readonly Row[], Failure>>({
                 process,
                 label: "read",
-                courses: [
+                outcomes: [
                     { label: "answers", run: () => Result.ok(keys.flatMap(key => rows.get(key) ?? [])) },
                     { label: "fails", run: () => Result.err(storeDown) },
                 ],
@@ -143,15 +143,19 @@
         }
 
         private async exchange(target: WorldProcess | undefined, method: PeerMethod, parameters: JsonObject) {
-            const way = [{ label: "arrives", run: () => true }, { label: "is lost", run: () => false }];
-            const arrives = await schedule.send({ process: this.process.scheduled, label: "inquiry", courses: way });
+            const outcomes = [{ label: "arrives", run: () => true }, { label: "is lost", run: () => false }];
+            const arrives = await schedule.send({
+                process: this.process.scheduled,
+                label: "inquiry",
+                outcomes,
+            });
             const handler = target?.scheduled.isLive ? target.handlers.get(method) : undefined;
             if (!arrives || !target || !handler) {
                 return new Promise<undefined>(() => undefined);
             }
             await schedule.awaitRunning(target.scheduled);
             const answer = await handler(this.self, parameters);
-            const isBack = await schedule.send({ process: target.scheduled, label: "reply", courses: way });
+            const isBack = await schedule.send({ process: target.scheduled, label: "reply", outcomes });
             return isBack ? answer : new Promise<undefined>(() => undefined);
         }
 
@@ -175,7 +179,7 @@
             membership: {
                 others: () => [],
                 livePeers: () => [],
-                hasEnded: other => schedule.isGivenUp(other.processId),
+                hasEnded: other => schedule.isPresumedEnded(other.processId),
                 hasMajorityContact: () => true,
                 onChange: () => undefined,
             },
@@ -193,7 +197,7 @@
     };
 
     const createSend = (process: ScheduledProcess): SendCall => async (call, permit) => {
-        await schedule.send({ process, label: "connection", courses: [{ label: "opens", run: () => undefined }] });
+        await schedule.send({ process, label: "connection", outcomes: [{ label: "opens", run: () => undefined }] });
         if (!permit.isValid()) {
             return Result.err(noPermit);
         }
@@ -201,7 +205,7 @@
             broken.push(`${call.callId} was settled by another process and is sent after that`);
         }
         const effect = () => void execute(call);
-        const lose = (then: () => void): Result<ServiceAnswer, Failure> => {
+        const loseAnswer = (then: () => void): Result<ServiceAnswer, Failure> => {
             wasCallLost = true;
             then();
             return Result.err(callLost);
@@ -210,12 +214,12 @@
             process,
             label: "call",
             effect,
-            courses: [
+            outcomes: [
                 { label: "runs", run: () => Result.ok(execute(call)) },
                 { label: "runs, answer slow", run: () => Result.ok(execute(call)), isSlow: true },
                 { label: "is refused", run: () => Result.err(callRefused) },
-                { label: "runs, answer lost", run: () => lose(effect) },
-                { label: "runs late", run: () => lose(() => schedule.doLater(effect)) },
+                { label: "runs, answer lost", run: () => loseAnswer(effect) },
+                { label: "runs late", run: () => loseAnswer(() => schedule.doLater(effect)) },
             ],
         });
     };
@@ -231,34 +235,34 @@
             createSend(process.scheduled),
         )
             .then(
-                result => noteResult(attempt, result),
+                result => recordResult(attempt, result),
                 (error: unknown) => attempt.error = error,
             );
     };
 
-    const noteResult = (attempt: WorldAttempt, result: Result<ServiceAnswer, Failure>) => {
+    const recordResult = (attempt: WorldAttempt, result: Result<ServiceAnswer, Failure>) => {
         attempt.result = result;
-        const isTryPromised = result.isErr && [callRefused, noPermit].includes(result.error);
-        const isHeld = [...rows.values()].map(row => parseClaimRow(row.value))
+        const isRetryOffered = result.isErr && [callRefused, noPermit].includes(result.error);
+        const isStillClaimed = [...rows.values()].map(row => parseClaimRow(row.value))
             .some(row => row.requestId === attempt.callId && row.state === ClaimRowState.Claimed);
-        if (isTryPromised && isHeld) {
+        if (isRetryOffered && isStillClaimed) {
             broken.push(`${attempt.callId} was told to try again while its claim stands`);
         }
     };
 
     const listChoices = (): Choice[] => {
         const events = schedule.listEvents().map((event, index) => ({ ...event, cost: index }));
-        if (wasAskedAgain) {
+        if (wasRetried) {
             return events.slice(0, 1);
         }
         if (events.length === 0) {
-            return [{ label: "a last request, undisturbed", cost: 0, run: askAgain }];
+            return [{ label: "a last request, undisturbed", cost: 0, run: retry }];
         }
         return [...events, ...schedule.listFaults().map(fault => ({ ...fault, cost: 1 }))];
     };
 
-    const askAgain = () => {
-        wasAskedAgain = true;
+    const retry = () => {
+        wasRetried = true;
         ask(start("last"), "seat 4", lastRequestMilliseconds);
     };
 
@@ -269,7 +273,7 @@
         const last = attempts.at(-1)?.result;
         const failure = last?.isErr ? last.error : undefined;
         assert.ok(
-            !failure || isExcused(failure) || failure.reason === FailureReason.IdempotencyKeyReused,
+            !failure || isAllowedUnknown(failure) || failure.reason === FailureReason.IdempotencyKeyReused,
             `the last request was told: ${failure?.message}`,
         );
     };
@@ -284,12 +288,15 @@
             assert.ok(!ran.some(call => call.callId === callId), `${callId} was told that it did not run`);
         }
         else if (result?.error.reason === FailureReason.OutcomeUnknown) {
-            assert.ok(isExcused(result.error), `nothing was lost, but ${callId} was told: ${result.error.message}`);
+            assert.ok(
+                isAllowedUnknown(result.error),
+                `nothing was lost, but ${callId} was told: ${result.error.message}`,
+            );
         }
     };
 
     /** Only a lost call or the end of a process excuses an outcome that is not known. */
-    const isExcused = (failure: Failure) =>
+    const isAllowedUnknown = (failure: Failure) =>
         failure.reason === FailureReason.OutcomeUnknown && failure.verdict === ExecutionVerdict.MayHaveRun
         && (wasCallLost || schedule.wasDisturbed());
 
--- a/packages/daisyturn/src/request/__fixtures__/exploreSchedules.ts
+++ b/packages/daisyturn/src/request/__fixtures__/exploreSchedules.ts
@@ -22,7 +22,7 @@
 export interface ExplorationLimits {
     /** Total cost of departures from the undisturbed way in one run. */
     readonly budget: number;
-    readonly maximumRuns: number;
+    readonly maxRuns: number;
     /** Runs the departures in random order instead of depth first, so that a cut-off search sees all kinds. */
     readonly random?: Random;
 }
@@ -37,7 +37,7 @@
     readonly chosen: ReadonlyMap<string, number>;
 }
 
-const maximumSteps = 2_000;
+const maxSteps = 2_000;
 
 /**
  * Runs a world again and again, each time with another sequence of choices, until all sequences within the budget are
@@ -69,7 +69,7 @@
                 });
             }
             const choice = choices[index];
-            if (!choice || path.length > maximumSteps) {
+            if (!choice || path.length > maxSteps) {
                 throw new Error(`the run does not end or repeat itself: ${labels.slice(-30).join(", ")}`);
             }
             left -= choice.cost;
@@ -85,7 +85,7 @@
         });
     };
 
-    while (open.length > 0 && runs < limits.maximumRuns) {
+    while (open.length > 0 && runs < limits.maxRuns) {
         const at = limits.random ? limits.random.integerBelow(open.length) : open.length - 1;
         const prefix = open[at] ?? [];
         open[at] = open.at(-1) ?? [];
--- a/packages/daisyturn/src/request/__fixtures__/scheduledProcesses.ts
+++ b/packages/daisyturn/src/request/__fixtures__/scheduledProcesses.ts
@@ -9,11 +9,11 @@
     isLive: boolean;
     isPaused: boolean;
     /** What it is told when it resumes. */
-    held: (() => void)[];
+    deferred: (() => void)[];
 }
 
 /** One way in which a message may fare: what it does at the receiver, and what the sender is told. */
-export interface Course<Answer> {
+export interface MessageOutcome<Answer> {
     readonly label: string;
     readonly run: () => Answer;
     /** Whether the sender is told only later, after time has passed. */
@@ -25,7 +25,7 @@
     readonly process: ScheduledProcess;
     readonly label: string;
     /** The undisturbed course first. */
-    readonly courses: readonly Course<Answer>[];
+    readonly outcomes: readonly MessageOutcome<Answer>[];
     /** What it may still do at the receiver after its sender was killed. */
     readonly effect?: () => void;
 }
@@ -56,13 +56,13 @@
     /** Whether a process was killed or given up wrongly. */
     wasDisturbed(): boolean;
     /** Whether the others hold this process for ended. */
-    isGivenUp(processId: string): boolean;
+    isPresumedEnded(processId: string): boolean;
 }
 
 /** Creates a schedule without processes at time 0. */
 export function createScheduledProcesses(): ScheduledProcesses {
     const processes: ScheduledProcess[] = [];
-    const givenUp = new Set<string>();
+    const presumedEnded = new Set<string>();
     let pending: Pending[] = [];
     let sleepers: Sleeper[] = [];
     let late: (() => void)[] = [];
@@ -73,7 +73,7 @@
             processId,
             isLive: true,
             isPaused: false,
-            held: [],
+            deferred: [],
             clock: new ScheduledClock(sleep => addSleeper({ process, ...sleep }), () => now),
         };
         processes.push(process);
@@ -97,18 +97,18 @@
             }
         });
 
-    const deliver = (message: Pending, course: Course<unknown>) => {
+    const deliver = (message: Pending, outcome: MessageOutcome<unknown>) => {
         pending = pending.filter(other => other !== message);
-        const answer = course.run() as never;
-        const tell = () => message.process.isLive && message.resolve(answer);
-        if (course.isSlow) {
-            late.push(tell);
+        const answer = outcome.run() as never;
+        const reply = () => message.process.isLive && message.resolve(answer);
+        if (outcome.isSlow) {
+            late.push(reply);
         }
         else if (message.process.isPaused) {
-            message.process.held.push(tell);
+            message.process.deferred.push(reply);
         }
         else {
-            tell();
+            reply();
         }
     };
 
@@ -125,23 +125,23 @@
 
     const kill = (process: ScheduledProcess) => {
         process.isLive = false;
-        givenUp.add(process.processId);
+        presumedEnded.add(process.processId);
         const own = pending.filter(message => message.process === process);
         late.push(...own.flatMap(message => message.effect ?? []));
         pending = pending.filter(message => message.process !== process);
         sleepers = sleepers.filter(sleeper => sleeper.process !== process);
     };
 
-    const pause = (process: ScheduledProcess, isGivenUp: boolean) => {
+    const pause = (process: ScheduledProcess, isPresumedEnded: boolean) => {
         process.isPaused = true;
-        if (isGivenUp) {
-            givenUp.add(process.processId);
+        if (isPresumedEnded) {
+            presumedEnded.add(process.processId);
         }
     };
 
     const resume = (process: ScheduledProcess) => {
         process.isPaused = false;
-        process.held.splice(0).forEach(tell => tell());
+        process.deferred.splice(0).forEach(reply => reply());
     };
 
     const runLate = (effect: () => void) => {
@@ -153,21 +153,21 @@
         const sleeper = nextSleeper();
         const paused = processes.filter(process => process.isPaused);
         return [
-            ...pending.flatMap(message => listCourses(message).slice(0, 1)),
+            ...pending.flatMap(message => listOutcomes(message).slice(0, 1)),
             ...(sleeper ? [{ label: "time passes", run: () => advance(sleeper) }] : []),
             ...paused.map(process => ({ label: `${process.processId} resumes`, run: () => resume(process) })),
             ...late.map(effect => ({ label: "late effect", run: () => runLate(effect) })),
         ];
     };
 
-    const listCourses = (message: Pending): Event[] =>
-        message.courses.map(course => ({
-            label: `${message.process.processId} ${message.label} ${course.label}`,
-            run: () => deliver(message, course),
+    const listOutcomes = (message: Pending): Event[] =>
+        message.outcomes.map(outcome => ({
+            label: `${message.process.processId} ${message.label} ${outcome.label}`,
+            run: () => deliver(message, outcome),
         }));
 
     const listFaults = (): Event[] => [
-        ...pending.flatMap(message => listCourses(message).slice(1)),
+        ...pending.flatMap(message => listOutcomes(message).slice(1)),
         ...processes.filter(process => process.isLive && !process.isPaused).flatMap(process => [
             { label: `${process.processId} is killed`, run: () => kill(process) },
             { label: `${process.processId} pauses`, run: () => pause(process, false) },
@@ -182,14 +182,14 @@
         listFaults,
         awaitRunning: async process => {
             if (process.isPaused) {
-                await new Promise<void>(resolve => process.held.push(resolve));
+                await new Promise<void>(resolve => process.deferred.push(resolve));
             }
         },
         doLater: effect => late.push(effect),
         now: () => now,
         settle: () => nextTurn(),
-        wasDisturbed: () => givenUp.size > 0,
-        isGivenUp: processId => givenUp.has(processId),
+        wasDisturbed: () => presumedEnded.size > 0,
+        isPresumedEnded: processId => presumedEnded.has(processId),
     };
 }
 
--- a/packages/daisyturn/src/request/__tests__/claimInterleavings.test.ts
+++ b/packages/daisyturn/src/request/__tests__/claimInterleavings.test.ts
@@ -12,26 +12,30 @@
     processIds.map(processId => ({ processId, body: "seat 4" }));
 
 const scenarios = [
-    { name: "two processes", requests: createRequests(["p", "q"]), wholeBudget: 2 },
-    { name: "three processes", requests: createRequests(["p", "q", "r"]), wholeBudget: 1 },
-    { name: "one process twice and another", requests: createRequests(["p", "p", "q"]), wholeBudget: 1 },
-    { name: "two bodies", requests: [...createRequests(["p"]), { processId: "q", body: "seat 5" }], wholeBudget: 1 },
+    { name: "two processes", requests: createRequests(["p", "q"]), exhaustiveBudget: 2 },
+    { name: "three processes", requests: createRequests(["p", "q", "r"]), exhaustiveBudget: 1 },
+    { name: "one process twice and another", requests: createRequests(["p", "p", "q"]), exhaustiveBudget: 1 },
+    {
+        name: "two bodies",
+        requests: [...createRequests(["p"]), { processId: "q", body: "seat 5" }],
+        exhaustiveBudget: 1,
+    },
 ];
 
 describe("interleavings of claims", () => {
-    for (const { name, requests, wholeBudget } of scenarios) {
+    for (const { name, requests, exhaustiveBudget } of scenarios) {
         it(`run a call at most once: ${name}`, async context => {
             const createWorld = () => createClaimWorld(requests);
-            const whole = await exploreSchedules(createWorld, { budget: wholeBudget, maximumRuns: Infinity });
+            const whole = await exploreSchedules(createWorld, { budget: exhaustiveBudget, maxRuns: Infinity });
             assert.ok(whole.isComplete);
             const random = createSeededRandom(1);
             const part = await exploreSchedules(createWorld, {
                 budget: randomBudget,
-                maximumRuns: randomRuns,
+                maxRuns: randomRuns,
                 random,
             });
             context.diagnostic(
-                `all ${whole.runs} runs with ${wholeBudget} departures, ${part.runs} with ${randomBudget}`,
+                `all ${whole.runs} runs with ${exhaustiveBudget} departures, ${part.runs} with ${randomBudget}`,
             );
         });
     }
--- a/packages/daisyturn/src/request/admit.ts
+++ b/packages/daisyturn/src/request/admit.ts
@@ -11,11 +11,11 @@
     request: ModelRequest,
     signal: AbortSignal,
 ): Promise<Result<AdmissionTicket, Failure>> {
-    return parts.admission.admitModelRequest(request.account, describeForRouting(request, []), signal);
+    return parts.admission.admitModelRequest(request.account, buildRoutingRequest(request, []), signal);
 }
 
 /** What routing and admission see of a request. */
-export function describeForRouting(request: ModelRequest, avoid: readonly string[]): RoutingRequest {
+export function buildRoutingRequest(request: ModelRequest, avoid: readonly string[]): RoutingRequest {
     return {
         requestId: request.requestId,
         partner: request.account.partner,
--- a/packages/daisyturn/src/request/answer/answerChannel.ts
+++ b/packages/daisyturn/src/request/answer/answerChannel.ts
@@ -16,7 +16,7 @@
 /** Carries one completion to the caller, streamed or whole. */
 export interface AnswerChannel {
     /** Tells that the following tokens come from this stream. */
-    announce(source: AnswerSource): void;
+    setSource(source: AnswerSource): void;
     /** A promise is returned only if the caller reads too slowly. */
     deliver(tokens: StreamTokens): Promise<void> | undefined;
     finish(end: StreamEnd): void;
@@ -36,68 +36,70 @@
 
 /** Creates a channel that passes each piece on as a server-sent event. */
 export function createStreamedChannel(exchange: CallerExchange, options: StreamedChannelOptions): AnswerChannel {
-    const texts = createCompletionWriter(options.names);
+    const completionWriter = createCompletionWriter(options.names);
     let resumeToken = options.resumeToken;
-    let writer: EventWriter | undefined;
+    let eventWriter: EventWriter | undefined;
 
     /** The header goes out with the first token, so that until then a refusal still has its own status. */
     const write = (event: string) => {
-        if (writer) {
-            return writer.write(event);
+        if (eventWriter) {
+            return eventWriter.write(event);
         }
-        writer = exchange.openEventStream(resumeToken === undefined ? {} : { "X-Resume-Token": resumeToken });
-        return writer.write(`${describeBeginning()}${event}`);
+        eventWriter = exchange.openEventStream(resumeToken === undefined ? {} : { "X-Resume-Token": resumeToken });
+        return eventWriter.write(`${createOpeningEvents()}${event}`);
     };
 
     /** A caller that goes on has the beginning, but not the token of an engine that made the rest anew. */
-    const describeBeginning = () => {
+    const createOpeningEvents = () => {
         if (options.resumeToken === undefined) {
-            return texts.opening(resumeToken);
+            return completionWriter.opening(resumeToken);
         }
-        return resumeToken === undefined || resumeToken === options.resumeToken ? "" : texts.moved(resumeToken);
+        return resumeToken === undefined || resumeToken === options.resumeToken
+            ? ""
+            : completionWriter.resumeTokenEvent(resumeToken);
     };
 
-    const announce = (source: AnswerSource) => {
+    const setSource = (source: AnswerSource) => {
         resumeToken = options.signResumeToken(source);
-        if (writer) {
-            void writer.write(texts.moved(resumeToken));
+        if (eventWriter) {
+            void eventWriter.write(completionWriter.resumeTokenEvent(resumeToken));
         }
     };
 
     const finish = (end: StreamEnd) => {
-        void write(texts.closing(end, options.includeUsage));
-        writer?.end();
+        void write(completionWriter.closing(end, options.includeUsage));
+        eventWriter?.end();
     };
 
     const fail = (failure: Failure): Result<void, Failure> => {
-        if (!writer) {
+        if (!eventWriter) {
             return err(failure);
         }
-        void writer.write(`data: ${JSON.stringify(buildErrorBody(failure))}\n\n`);
-        writer.end();
+        void eventWriter.write(`data: ${JSON.stringify(buildErrorBody(failure))}\n\n`);
+        eventWriter.end();
         return ok(undefined);
     };
 
     return {
-        announce,
-        deliver: tokens => write(texts.tokens(tokens.text, tokens.offset + tokens.tokenCount)),
+        setSource,
+        deliver: tokens => write(completionWriter.tokens(tokens.text, tokens.offset + tokens.tokenCount)),
         finish,
         fail,
     };
 }
 
 /** Creates a channel that answers only once the answer is whole. */
-export function createWholeChannel(exchange: CallerExchange, names: CompletionNames): AnswerChannel {
-    const texts = createCompletionWriter(names);
+export function createBufferedChannel(exchange: CallerExchange, names: CompletionNames): AnswerChannel {
+    const completionWriter = createCompletionWriter(names);
     let text = "";
     return {
-        announce: () => undefined,
+        setSource: () => undefined,
         deliver: tokens => {
             text += tokens.text;
             return undefined;
         },
         finish: end => {
-            exchange.answer({ status: 200, contentType: "application/json", body: texts.whole(text, end) });
+            exchange.answer({ status: 200, contentType: "application/json", body: completionWriter.whole(text, end) });
         },
         fail: failure => err(failure),
     };
--- a/packages/daisyturn/src/request/answer/answerRun.ts
+++ b/packages/daisyturn/src/request/answer/answerContext.ts
@@ -3,7 +3,7 @@
 import type { AnswerProgress } from "./answerProgress.js";
 
 /** A model request while its answer is being made. */
-export interface AnswerRun {
+export interface AnswerContext {
     readonly request: ModelRequest;
     readonly channel: AnswerChannel;
     readonly progress: AnswerProgress;
--- a/packages/daisyturn/src/request/answer/relay.ts
+++ b/packages/daisyturn/src/request/answer/relayEvents.ts
@@ -10,7 +10,7 @@
  * Relays an engine's events, checking that no token is missing, doubled or out of order and that the end mark agrees
  * with what was delivered. A stream without a proper end is a failure: it is never passed on as a short answer.
  */
-export async function relay(
+export async function relayEvents(
     events: AsyncIterable<StreamEvent>,
     progress: AnswerProgress,
     sink: TokenSink,
--- a/packages/daisyturn/src/request/answer/followStream.ts
+++ b/packages/daisyturn/src/request/answer/relayStream.ts
@@ -3,10 +3,10 @@
 import type { Engine, StreamEnd, StreamEvent } from "../../ports/engine.js";
 import type { RequestParts } from "../requestParts.js";
 import type { AnswerProgress } from "./answerProgress.js";
-import { relay, type TokenSink } from "./relay.js";
+import { relayEvents, type TokenSink } from "./relayEvents.js";
 
 /** A stream at an engine, and where its tokens go. */
-export interface FollowedStream {
+export interface RelayedStream {
     readonly requestId: string;
     readonly engine: Engine;
     readonly streamId: string;
@@ -19,32 +19,33 @@
 }
 
 /** Resumptions of one stream without a single new token in between. */
-const maxVainResumptions = 2;
+const maxResumptionsWithoutProgress = 2;
 /** Resumptions of one stream in all. */
 const maxResumptions = 8;
 /** Longest wait for the engine to take up a broken stream again. */
-const resumeLimitMilliseconds = 2_000;
+const resumeTimeoutMilliseconds = 2_000;
 /** Limit of a cancellation, which nobody waits for. */
-const cancelLimitMilliseconds = 5_000;
+const cancelTimeoutMilliseconds = 5_000;
 
 /**
  * Relays a stream to its end mark. Where the connection breaks, it is resumed at the same engine, which has gone on.
  * A stream that can't be brought to its end is cancelled at the engine.
  */
-export async function followStream(parts: RequestParts, stream: FollowedStream): Promise<Result<StreamEnd, Failure>> {
+export async function relayStream(parts: RequestParts, stream: RelayedStream): Promise<Result<StreamEnd, Failure>> {
     const { progress, signal } = stream;
     let source: AttachedStream = stream.source;
-    let vainResumptions = 0;
+    let resumptionsWithoutProgress = 0;
     for (let resumptions = 0;; resumptions++) {
         const startOffset = progress.offset;
-        const end = await relay(source.events, progress, stream.sink, signal);
+        const end = await relayEvents(source.events, progress, stream.sink, signal);
         source.detach();
         if (end.isOk) {
             return end;
         }
-        vainResumptions = progress.offset > startOffset ? 0 : vainResumptions + 1;
-        const isHopeless = vainResumptions > maxVainResumptions || resumptions >= maxResumptions;
-        const resumed = signal.aborted || isHopeless ? undefined : await resume(parts, stream);
+        resumptionsWithoutProgress = progress.offset > startOffset ? 0 : resumptionsWithoutProgress + 1;
+        const hasReachedLimit = resumptionsWithoutProgress > maxResumptionsWithoutProgress
+            || resumptions >= maxResumptions;
+        const resumed = signal.aborted || hasReachedLimit ? undefined : await resume(parts, stream);
         if (!resumed?.isOk) {
             if (!signal.aborted || !stream.isGenerated || resumptions > 0) {
                 cancelStream(parts, stream.engine, stream.streamId);
@@ -57,7 +58,7 @@
 
 /** Cancels work that nobody waits for any more; whether that succeeds changes nothing for the caller. */
 export function cancelStream(parts: RequestParts, engine: Engine, streamId: string): void {
-    void engine.cancel(streamId, parts.clock.monotonicNow() + cancelLimitMilliseconds);
+    void engine.cancel(streamId, parts.clock.monotonicNow() + cancelTimeoutMilliseconds);
 }
 
 /** A stream that was taken up again. */
@@ -77,17 +78,17 @@
 ): Promise<Result<AttachedStream, Failure>> {
     const attachment = new AbortController();
     const opened = new AbortController();
-    const follow = () => attachment.abort();
-    const detach = () => signal.removeEventListener("abort", follow);
-    const limitOpening = async () => {
-        await parts.clock.sleepUntil(parts.clock.monotonicNow() + resumeLimitMilliseconds, opened.signal);
+    const abortAttachment = () => attachment.abort();
+    const detach = () => signal.removeEventListener("abort", abortAttachment);
+    const abortAfterTimeout = async () => {
+        await parts.clock.sleepUntil(parts.clock.monotonicNow() + resumeTimeoutMilliseconds, opened.signal);
         if (!opened.signal.aborted) {
             attachment.abort();
         }
     };
 
-    signal.addEventListener("abort", follow, { once: true });
-    void limitOpening();
+    signal.addEventListener("abort", abortAttachment, { once: true });
+    void abortAfterTimeout();
     const events = await engine.resume(streamId, offset, attachment.signal);
     opened.abort();
     if (events.isErr) {
@@ -98,7 +99,7 @@
     return ok({ events: events.value, detach });
 }
 
-async function resume(parts: RequestParts, stream: FollowedStream): Promise<Result<AttachedStream, Failure>> {
+async function resume(parts: RequestParts, stream: RelayedStream): Promise<Result<AttachedStream, Failure>> {
     const { engine, streamId, progress, signal } = stream;
     const resumed = await attachStream(parts, engine, streamId, progress.offset, signal);
     parts.eventLog.record(EventKind.RequestResumed, {
--- a/packages/daisyturn/src/request/claims/handleClaimLookup.ts
+++ b/packages/daisyturn/src/request/claims/handleClaimLookup.ts
@@ -3,7 +3,7 @@
 import type { CallerExchange } from "../callerExchange.js";
 import { readIdempotencyKey } from "../handlePlainCall.js";
 import { identifyPlainService } from "../identify.js";
-import { type RequestHead, serveUnderPin } from "../requestHead.js";
+import { type RequestHead, serveWithPinnedVersion } from "../requestHead.js";
 import type { RequestParts } from "../requestParts.js";
 
 /** Path under which callers look up the state of a key; the name of the service follows. */
@@ -14,7 +14,7 @@
     parts: RequestParts,
     exchange: CallerExchange,
 ): Promise<Result<void, Failure>> {
-    return serveUnderPin(parts, exchange, head => answerClaimLookup(parts, exchange, head));
+    return serveWithPinnedVersion(parts, exchange, head => answerClaimLookup(parts, exchange, head));
 }
 
 async function answerClaimLookup(
--- a/packages/daisyturn/src/request/completion/__tests__/parseCompletion.test.ts
+++ b/packages/daisyturn/src/request/completion/__tests__/parseCompletion.test.ts
@@ -2,7 +2,7 @@
 import fc from "fast-check";
 import assert from "node:assert/strict";
 import { describe, test } from "node:test";
-import { absurdDeadlineDistanceMilliseconds, parseDeadline } from "../../parseDeadline.js";
+import { maxDeadlineDistanceMilliseconds, parseDeadline } from "../../parseDeadline.js";
 import { CompletionForm, parseCompletion } from "../parseCompletion.js";
 
 const secret = "7c1e-very-private";
@@ -58,7 +58,7 @@
             fc.property(header, text => {
                 const parsed = parseDeadline(text, now);
                 if (parsed.isOk) {
-                    assert.ok(parsed.value! > now && parsed.value! <= now + absurdDeadlineDistanceMilliseconds);
+                    assert.ok(parsed.value! > now && parsed.value! <= now + maxDeadlineDistanceMilliseconds);
                 }
             }),
             { seed: 13, numRuns: 1_000 },
--- a/packages/daisyturn/src/request/completion/completionText.ts
+++ b/packages/daisyturn/src/request/completion/completionText.ts
@@ -6,7 +6,7 @@
     /** The first event of a stream, with the token for resuming it. */
     opening(resumeToken?: string): string;
     /** An event without text that carries a new token, since the rest comes from another stream. */
-    moved(resumeToken: string): string;
+    resumeTokenEvent(resumeToken: string): string;
     /** An event that carries tokens; `offset` counts the tokens up to its end. */
     tokens(text: string, offset: number): string;
     /** The events that end a stream. */
@@ -48,15 +48,15 @@
     const opening = (resumeToken?: string) =>
         emptyEvent(chat ? "\"delta\":{\"role\":\"assistant\",\"content\":\"\"}" : emptyChoice, resumeToken);
 
-    const moved = (resumeToken: string) => emptyEvent(emptyChoice, resumeToken);
+    const resumeTokenEvent = (resumeToken: string) => emptyEvent(emptyChoice, resumeToken);
 
     const tokens = (text: string, offset: number) => `id: ${offset}\n${tokenHead}${JSON.stringify(text)}${tokenTail}`;
 
     const closing = (end: StreamEnd, includeUsage: boolean) => {
         const last = `data: ${chunkHead}"choices":[{"index":0,${emptyChoice},"finish_reason":"${
-            finishWord(end)
+            formatFinishReason(end)
         }"}]}\n\n`;
-        const usage = includeUsage ? `data: ${chunkHead}"choices":[],"usage":${usageText(end)}}\n\n` : "";
+        const usage = includeUsage ? `data: ${chunkHead}"choices":[],"usage":${formatUsage(end)}}\n\n` : "";
         return `${last}${usage}${doneEvent}`;
     };
 
@@ -66,17 +66,17 @@
             ? `"message":{"role":"assistant","content":${content},"refusal":null},"logprobs":null`
             : `"text":${content},"logprobs":null`;
         return `${head(chat ? "chat.completion" : "text_completion")}"choices":[{"index":0,${choice},`
-            + `"finish_reason":"${finishWord(end)}"}],"usage":${usageText(end)}}`;
+            + `"finish_reason":"${formatFinishReason(end)}"}],"usage":${formatUsage(end)}}`;
     };
 
-    return { opening, moved, tokens, closing, whole };
+    return { opening, resumeTokenEvent, tokens, closing, whole };
 }
 
-function finishWord(end: StreamEnd): string {
+function formatFinishReason(end: StreamEnd): string {
     return end.finishReason === FinishReason.Length ? "length" : "stop";
 }
 
-function usageText(end: StreamEnd): string {
+function formatUsage(end: StreamEnd): string {
     return JSON.stringify({
         prompt_tokens: end.promptTokens,
         completion_tokens: end.outputTokens,
--- a/packages/daisyturn/src/request/completion/handleCompletion.ts
+++ b/packages/daisyturn/src/request/completion/handleCompletion.ts
@@ -1,10 +1,10 @@
 import type { Failure } from "daisyturn-utils";
 import { err, type Result } from "true-myth/result";
 import type { CallerExchange } from "../callerExchange.js";
-import { identifyRequest, type RequestHead, serveUnderPin } from "../requestHead.js";
+import { identifyRequest, type RequestHead, serveWithPinnedVersion } from "../requestHead.js";
 import type { RequestParts } from "../requestParts.js";
 import { continueAnswer } from "../resumption/continueAnswer.js";
-import { readResumeHeaders } from "../resumption/resumeDemand.js";
+import { readResumeHeaders } from "../resumption/resumeHeaders.js";
 import { type CompletionForm, parseCompletion } from "./parseCompletion.js";
 import { serveModelRequest } from "./serveModelRequest.js";
 
@@ -14,7 +14,7 @@
     exchange: CallerExchange,
     form: CompletionForm,
 ): Promise<Result<void, Failure>> {
-    return serveUnderPin(parts, exchange, head => serveCompletion(parts, exchange, form, head));
+    return serveWithPinnedVersion(parts, exchange, head => serveCompletion(parts, exchange, form, head));
 }
 
 async function serveCompletion(
@@ -23,9 +23,9 @@
     form: CompletionForm,
     head: RequestHead,
 ): Promise<Result<void, Failure>> {
-    const demand = readResumeHeaders(parts, exchange, head.account);
-    if (demand.isErr) {
-        return err(demand.error);
+    const resumeHeaders = readResumeHeaders(parts, exchange, head.account);
+    if (resumeHeaders.isErr) {
+        return err(resumeHeaders.error);
     }
     const text = await exchange.readBody();
     const request = text
@@ -34,7 +34,7 @@
     if (request.isErr) {
         return err(request.error);
     }
-    return demand.value
-        ? continueAnswer(parts, exchange, { ...demand.value, request: request.value, deadline: head.deadline })
+    return resumeHeaders.value
+        ? continueAnswer(parts, exchange, { ...resumeHeaders.value, request: request.value, deadline: head.deadline })
         : serveModelRequest(parts, exchange, request.value);
 }
--- a/packages/daisyturn/src/request/completion/parseCompletion.ts
+++ b/packages/daisyturn/src/request/completion/parseCompletion.ts
@@ -154,11 +154,11 @@
         return undefined;
     }
     const body = json as Record<string, unknown>;
-    return unsupportedParameters.find(name => !isWithoutEffect(body[name]));
+    return unsupportedParameters.find(name => !hasNoEffect(body[name]));
 }
 
 /** Whether a parameter's value asks for nothing beside the usual: absent, off, empty, or plain text as the format. */
-function isWithoutEffect(value: unknown): boolean {
+function hasNoEffect(value: unknown): boolean {
     if (typeof value !== "object" || !value) {
         return !value;
     }
--- a/packages/daisyturn/src/request/completion/serveModelRequest.ts
+++ b/packages/daisyturn/src/request/completion/serveModelRequest.ts
@@ -5,16 +5,16 @@
 import {
     type AnswerChannel,
     type AnswerSource,
+    createBufferedChannel,
     createStreamedChannel,
-    createWholeChannel,
 } from "../answer/answerChannel.js";
+import type { AnswerContext } from "../answer/answerContext.js";
 import { createProgress } from "../answer/answerProgress.js";
-import type { AnswerRun } from "../answer/answerRun.js";
 import { produceAnswer } from "../answer/produceAnswer.js";
 import type { CallerExchange } from "../callerExchange.js";
-import { startRequestLife } from "../requestLife.js";
+import { startRequestLifetime } from "../requestLifetime.js";
 import type { RequestParts } from "../requestParts.js";
-import { adviseRetry } from "../retryPolicy.js";
+import { addRetryTime } from "../retryPolicy.js";
 import { hashModelRequest, type ModelRequest } from "./modelRequest.js";
 
 /** Time, in milliseconds, for which an answer may be resumed after its deadline: late is better than lost. */
@@ -26,7 +26,7 @@
     exchange: CallerExchange,
     request: ModelRequest,
 ): Promise<Result<void, Failure>> {
-    const life = startRequestLife(parts.clock, exchange.signal, request.totalDeadline);
+    const lifetime = startRequestLifetime(parts.clock, exchange.signal, request.totalDeadline);
     try {
         const channel = createChannel(parts, exchange, request);
         const end = await admitAndProduce(parts, {
@@ -34,18 +34,21 @@
             channel,
             progress: createProgress(),
             avoid: new Set(),
-            signal: life.signal,
+            signal: lifetime.signal,
         });
-        return concludeAnswer(parts, channel, request.requestId, end);
+        return finishAnswer(parts, channel, request.requestId, end);
     }
     finally {
-        life.end();
+        lifetime.end();
     }
 }
 
 /** Runs a request from admission to the end mark, from its present progress on. */
-export async function admitAndProduce(parts: RequestParts, run: AnswerRun): Promise<Result<StreamEnd, Failure>> {
-    const { request, signal } = run;
+export async function admitAndProduce(
+    parts: RequestParts,
+    context: AnswerContext,
+): Promise<Result<StreamEnd, Failure>> {
+    const { request, signal } = context;
     recordAccepted(parts, request);
     const ticket = await admit(parts, request, signal);
     if (ticket.isErr) {
@@ -53,7 +56,7 @@
     }
     parts.retryBudget.recordRequest();
     try {
-        return await produceAnswer(parts, run);
+        return await produceAnswer(parts, context);
     }
     finally {
         ticket.value.release();
@@ -61,20 +64,20 @@
 }
 
 /** Ends the channel with the answer's end mark or its failure. */
-export function concludeAnswer(
+export function finishAnswer(
     parts: RequestParts,
     channel: AnswerChannel,
     requestId: string,
     end: Result<StreamEnd, Failure>,
 ): Result<void, Failure> {
     if (end.isErr) {
-        const failure = adviseRetry(end.error, parts.clock, true);
-        const told = channel.fail(failure);
-        if (told.isOk) {
+        const failure = addRetryTime(end.error, parts.clock, true);
+        const reported = channel.fail(failure);
+        if (reported.isOk) {
             const { reason, verdict } = failure;
             parts.eventLog.record(EventKind.RequestFailed, { request: requestId, reason, verdict });
         }
-        return told;
+        return reported;
     }
     channel.finish(end.value);
     parts.eventLog.record(EventKind.RequestAnswered, { request: requestId, tokens: end.value.outputTokens });
@@ -94,7 +97,7 @@
             includeUsage: request.body.includeUsage,
             signResumeToken: createTokenSigner(parts, request),
         })
-        : createWholeChannel(exchange, names);
+        : createBufferedChannel(exchange, names);
 }
 
 /** Signs the tokens of one request's streams. */
--- a/packages/daisyturn/src/request/dispatch.ts
+++ b/packages/daisyturn/src/request/dispatch.ts
@@ -9,8 +9,8 @@
     StreamEventKind,
 } from "../ports/engine.js";
 import type { Placement } from "../process/routing/index.js";
-import type { AnswerRun } from "./answer/answerRun.js";
-import { cancelStream } from "./answer/followStream.js";
+import type { AnswerContext } from "./answer/answerContext.js";
+import { cancelStream } from "./answer/relayStream.js";
 import type { RequestParts } from "./requestParts.js";
 
 /** A stream that an engine has accepted. */
@@ -39,47 +39,49 @@
  */
 export async function dispatch(
     parts: RequestParts,
-    run: AnswerRun,
+    context: AnswerContext,
     placement: Placement,
 ): Promise<Result<DispatchedStream, Failure>> {
     const { prefillEngine, engine } = placement;
     if (prefillEngine === undefined || prefillEngine === engine) {
-        return dispatchPart(parts, run, placement, engine, GeneratePart.Whole);
+        return dispatchPart(parts, context, placement, engine, GeneratePart.Whole);
     }
-    const prefilled = await prefill(parts, run, placement, prefillEngine);
+    const prefilled = await prefill(parts, context, placement, prefillEngine);
     if (prefilled.isErr) {
-        run.avoid.add(prefillEngine);
-        return run.signal.aborted ? err(prefilled.error) : dispatchWholeInstead(parts, run, placement, prefilled.error);
+        context.avoid.add(prefillEngine);
+        return context.signal.aborted
+            ? err(prefilled.error)
+            : dispatchWholeInstead(parts, context, placement, prefilled.error);
     }
     const { kvHandle, streamId } = prefilled.value;
-    const decoded = await dispatchPart(parts, run, placement, engine, GeneratePart.Decode, kvHandle);
+    const decoded = await dispatchPart(parts, context, placement, engine, GeneratePart.Decode, kvHandle);
     if (decoded.isOk) {
         return decoded;
     }
     cancelStream(parts, prefilled.value.engine, streamId);
-    return run.signal.aborted ? decoded : dispatchWholeInstead(parts, run, placement, decoded.error);
+    return context.signal.aborted ? decoded : dispatchWholeInstead(parts, context, placement, decoded.error);
 }
 
 /** Asks the decode engine for the whole, after the parts could not be run apart. */
 export function dispatchWholeInstead(
     parts: RequestParts,
-    run: AnswerRun,
+    context: AnswerContext,
     placement: Placement,
     cause: Failure,
 ): Promise<Result<DispatchedStream, Failure>> {
     parts.eventLog.record(EventKind.RequestRetried, {
-        request: run.request.requestId,
+        request: context.request.requestId,
         engine: placement.engine,
         reason: cause.reason,
         part: GeneratePart.Whole,
     });
-    return dispatchPart(parts, run, placement, placement.engine, GeneratePart.Whole);
+    return dispatchPart(parts, context, placement, placement.engine, GeneratePart.Whole);
 }
 
 /** Sends one part. Nothing may be awaited between the gate's answer and the send. */
 async function dispatchPart(
     parts: RequestParts,
-    run: AnswerRun,
+    context: AnswerContext,
     placement: Placement,
     engineName: string,
     part: GeneratePart,
@@ -89,7 +91,7 @@
     if (!engine || !parts.gate.isOpen(engineName)) {
         return err(notRun(FailureReason.NoTarget, "The chosen engine has just stopped taking new work."));
     }
-    const { request, progress } = run;
+    const { request, progress } = context;
     const streamId = parts.ids.next("str");
     const leave = parts.gate.enter(engineName);
     placement.recordStream(engineName, streamId);
@@ -113,7 +115,7 @@
         kvHandle,
         sampling: request.body.sampling,
         ...(progress.offset > 0 && { startOffset: progress.offset, precedingText: progress.text }),
-    }, run.signal);
+    }, context.signal);
     if (events.isErr) {
         leave();
         return err(events.error);
@@ -124,11 +126,11 @@
 /** Runs the prefill part to its end and takes the handle of its KV cache. */
 async function prefill(
     parts: RequestParts,
-    run: AnswerRun,
+    context: AnswerContext,
     placement: Placement,
     engineName: string,
 ): Promise<Result<PrefilledPrompt, Failure>> {
-    const stream = await dispatchPart(parts, run, placement, engineName, GeneratePart.Prefill);
+    const stream = await dispatchPart(parts, context, placement, engineName, GeneratePart.Prefill);
     if (stream.isErr) {
         return err(stream.error);
     }
--- a/packages/daisyturn/src/request/forwarding/callContext.ts
+++ b/packages/daisyturn/src/request/forwarding/callContext.ts
@@ -2,7 +2,7 @@
 import type { ForwardExchange } from "../../connection/forwarding/forwardExchange.js";
 import type { ForwardedCall } from "../../ports/forwardedCall.js";
 import { CallKind, type ForwardRoute, type ForwardService } from "../../version/forwarding/forwardingConfiguration.js";
-import { createFailureHistory, type FailureHistory, isWorthAnotherTarget, maySendAgain } from "../retryPolicy.js";
+import { createFailureHistory, type FailureHistory, isSafeToRetry, isTransientFailure } from "../retryPolicy.js";
 import type { ForwardingParts } from "./forwardingParts.js";
 import type { RequestTrace } from "./requestTrace.js";
 
@@ -60,8 +60,8 @@
 ): boolean {
     context.history.record(failure);
     const hasTime = context.deadline - parts.clock.monotonicNow() > minRetryMilliseconds;
-    const isWorthwhile = isWorthAnotherTarget(failure) && context.history.attempts < maxTotalAttempts;
-    const isAllowed = maySendAgain(failure, isRepeatable(context.route));
+    const isWorthwhile = isTransientFailure(failure) && context.history.attempts < maxTotalAttempts;
+    const isAllowed = isSafeToRetry(failure, isRepeatable(context.route));
     if (context.signal.aborted || !hasTime || !isWorthwhile || !isAllowed) {
         return false;
     }
--- a/packages/daisyturn/src/request/forwarding/serveForwardedCall.ts
+++ b/packages/daisyturn/src/request/forwarding/serveForwardedCall.ts
@@ -4,7 +4,7 @@
 import type { ForwardedCall } from "../../ports/forwardedCall.js";
 import { CallOutcome, measureSize } from "../../process/forwarding/index.js";
 import { chooseService } from "../../version/forwarding/createRouteTable.js";
-import { startRequestLife } from "../requestLife.js";
+import { startRequestLifetime } from "../requestLifetime.js";
 import { type CallContext, createCallContext } from "./callContext.js";
 import type { ForwardingParts } from "./forwardingParts.js";
 import { refuseCall } from "./refuseCall.js";
@@ -73,7 +73,7 @@
     const pauseAim = table.shortestPauseAim(serviceName);
     const deadline = Math.min(call.deadline, call.arrivedAt + route.timeoutMilliseconds);
     const wallDeadline = parts.clock.wallNow() + deadline - parts.clock.monotonicNow();
-    const life = startRequestLife(parts.clock, exchange.signal, wallDeadline);
+    const lifetime = startRequestLifetime(parts.clock, exchange.signal, wallDeadline);
     trace.record(EventKind.RequestAccepted, {
         route: route.name,
         service: serviceName,
@@ -87,8 +87,17 @@
         size: call.prompt && measureSize(call.prompt),
     });
     return ok({
-        context: createCallContext({ call, route, service, pauseAim, exchange, signal: life.signal, deadline, trace }),
-        end: life.end,
+        context: createCallContext({
+            call,
+            route,
+            service,
+            pauseAim,
+            exchange,
+            signal: lifetime.signal,
+            deadline,
+            trace,
+        }),
+        end: lifetime.end,
     });
 }
 
--- a/packages/daisyturn/src/request/handlePlainCall.ts
+++ b/packages/daisyturn/src/request/handlePlainCall.ts
@@ -5,14 +5,14 @@
 import type { CallerExchange } from "./callerExchange.js";
 import { type SendPermit, unconditionalPermit } from "./claims/claimManager.js";
 import { identifyPlainService } from "./identify.js";
-import { type RequestHead, serveUnderPin } from "./requestHead.js";
-import { startRequestLife } from "./requestLife.js";
+import { type RequestHead, serveWithPinnedVersion } from "./requestHead.js";
+import { startRequestLifetime } from "./requestLifetime.js";
 import type { RequestParts } from "./requestParts.js";
-import { adviseRetry } from "./retryPolicy.js";
+import { addRetryTime } from "./retryPolicy.js";
 import { sendCall } from "./sendCall.js";
 import { isIdempotentCall, type ServicePath, splitServicePath } from "./servicePath.js";
 
-const defaultCallLimitMilliseconds = 10_000;
+const defaultCallTimeoutMilliseconds = 10_000;
 const idempotencyKeyPattern = /^[\x21-\x7e]{1,255}$/;
 /** Stands in for a caller's signal where the call goes on without the caller. */
 const neverAborted = new AbortController().signal;
@@ -28,7 +28,7 @@
 
 /** Serves one call of a plain service from its path to its answer. */
 export function handlePlainCall(parts: RequestParts, exchange: CallerExchange): Promise<Result<void, Failure>> {
-    return serveUnderPin(parts, exchange, head => servePlainCall(parts, exchange, head));
+    return serveWithPinnedVersion(parts, exchange, head => servePlainCall(parts, exchange, head));
 }
 
 async function servePlainCall(
@@ -100,7 +100,7 @@
     path: ServicePath,
     body: string,
 ): ServiceCall {
-    const limit = head.arrivedAt + (service.callLimitMilliseconds ?? defaultCallLimitMilliseconds);
+    const limit = head.arrivedAt + (service.callLimitMilliseconds ?? defaultCallTimeoutMilliseconds);
     return {
         callId: parts.ids.next("call"),
         method: exchange.method,
@@ -121,20 +121,20 @@
     }
     // A call that is not idempotent can't be undone by leaving it; its answer is still worth recording.
     const callerSignal = request.idempotent ? exchange.signal : neverAborted;
-    const life = startRequestLife(parts.clock, callerSignal, request.call.deadline);
+    const lifetime = startRequestLifetime(parts.clock, callerSignal, request.call.deadline);
     try {
-        const answer = await runOnceOrMore(parts, exchange, request, life.signal);
+        const answer = await sendOrRunOnce(parts, exchange, request, lifetime.signal);
         const isRepeatable = request.idempotent || request.idempotencyKey !== undefined;
         return answer.isOk
             ? ok(exchange.answer(answer.value))
-            : err(adviseRetry(answer.error, parts.clock, isRepeatable));
+            : err(addRetryTime(answer.error, parts.clock, isRepeatable));
     }
     finally {
-        life.end();
+        lifetime.end();
     }
 }
 
-function runOnceOrMore(
+function sendOrRunOnce(
     parts: RequestParts,
     exchange: CallerExchange,
     request: PlainRequest,
--- a/packages/daisyturn/src/request/parseDeadline.ts
+++ b/packages/daisyturn/src/request/parseDeadline.ts
@@ -2,7 +2,7 @@
 import { err, ok, type Result } from "true-myth/result";
 
 /** A deadline further away than this, before or after now, is taken for a mistake in the caller's clock or unit. */
-export const absurdDeadlineDistanceMilliseconds = 24 * 60 * 60 * 1000;
+export const maxDeadlineDistanceMilliseconds = 24 * 60 * 60 * 1000;
 
 const millisecondsPattern = /^\d{1,16}$/;
 const timestampPattern = /^\d{4}-\d\d-\d\d[Tt]\d\d:\d\d:\d\d(\.\d{1,9})?([Zz]|[+-]\d\d:\d\d)$/;
@@ -20,7 +20,7 @@
     if (deadline === undefined || !Number.isSafeInteger(deadline)) {
         return err(refuse("X-Deadline must be milliseconds since the epoch or an RFC 3339 timestamp."));
     }
-    if (Math.abs(deadline - now) > absurdDeadlineDistanceMilliseconds) {
+    if (Math.abs(deadline - now) > maxDeadlineDistanceMilliseconds) {
         return err(refuse("X-Deadline is more than a day away; it counts milliseconds since the epoch."));
     }
     if (deadline <= now) {
--- a/packages/daisyturn/src/request/place.ts
+++ b/packages/daisyturn/src/request/place.ts
@@ -1,7 +1,7 @@
 import type { Failure } from "daisyturn-utils";
 import type { Result } from "true-myth/result";
 import type { Placement } from "../process/routing/index.js";
-import { describeForRouting } from "./admit.js";
+import { buildRoutingRequest } from "./admit.js";
 import type { ModelRequest } from "./completion/modelRequest.js";
 import type { RequestParts } from "./requestParts.js";
 
@@ -11,5 +11,5 @@
     request: ModelRequest,
     avoid: readonly string[],
 ): Result<Placement, Failure> {
-    return parts.router.place(describeForRouting(request, avoid));
+    return parts.router.place(buildRoutingRequest(request, avoid));
 }
--- a/packages/daisyturn/src/request/requestHead.ts
+++ b/packages/daisyturn/src/request/requestHead.ts
@@ -22,7 +22,7 @@
 }
 
 /** Serves a request whose head can be read, under the version in force, which stays pinned until it has ended. */
-export async function serveUnderPin(
+export async function serveWithPinnedVersion(
     parts: RequestParts,
     exchange: CallerExchange,
     serve: (head: RequestHead) => Promise<Result<void, Failure>>,
--- a/packages/daisyturn/src/request/requestLife.ts
+++ b/packages/daisyturn/src/request/requestLifetime.ts
@@ -1,7 +1,7 @@
 import { type Clock, FailureReason, mayHaveRun } from "daisyturn-utils";
 
 /** The time a request has: ends with the caller, the process or the deadline, whichever comes first. */
-export interface RequestLife {
+export interface RequestLifetime {
     /** Aborted with a Failure as its reason. */
     readonly signal: AbortSignal;
     /** Stops the watch; to be called once when the request has ended. */
@@ -16,29 +16,29 @@
  * @param callerSignal aborted with a Failure once the caller has gone or the process stops
  * @param deadline wall-clock time in milliseconds
  */
-export function startRequestLife(clock: Clock, callerSignal: AbortSignal, deadline: number): RequestLife {
-    const life = new AbortController();
+export function startRequestLifetime(clock: Clock, callerSignal: AbortSignal, deadline: number): RequestLifetime {
+    const lifetime = new AbortController();
     const ended = new AbortController();
-    const follow = () => life.abort(callerSignal.reason);
+    const abortWithCaller = () => lifetime.abort(callerSignal.reason);
 
     const watchDeadline = async () => {
         await clock.sleepUntil(clock.monotonicNow() + deadline - clock.wallNow(), ended.signal);
         if (!ended.signal.aborted) {
-            life.abort(
+            lifetime.abort(
                 mayHaveRun(FailureReason.DeadlinePassed, "The deadline has passed before the answer was whole."),
             );
         }
     };
 
-    callerSignal.addEventListener("abort", follow, { once: true });
+    callerSignal.addEventListener("abort", abortWithCaller, { once: true });
     if (callerSignal.aborted) {
-        follow();
+        abortWithCaller();
     }
     void watchDeadline();
     return {
-        signal: life.signal,
+        signal: lifetime.signal,
         end: () => {
-            callerSignal.removeEventListener("abort", follow);
+            callerSignal.removeEventListener("abort", abortWithCaller);
             ended.abort(endedReason);
         },
     };
--- a/packages/daisyturn/src/request/resumption/__tests__/resumeToken.test.ts
+++ b/packages/daisyturn/src/request/resumption/__tests__/resumeToken.test.ts
@@ -32,8 +32,11 @@
         expiresAt: clock.wallNow() + 1_000,
     };
     const token = createResumeTokens(["old"], clock).sign(ticket);
-    const verify = (keys: readonly string[], asker = account) =>
-        createResumeTokens(keys, clock).verify(token, asker).match({ Ok: () => "ok", Err: failure => failure.reason });
+    const verify = (keys: readonly string[], requestingAccount = account) =>
+        createResumeTokens(keys, clock).verify(token, requestingAccount).match({
+            Ok: () => "ok",
+            Err: failure => failure.reason,
+        });
 
     assert.equal(verify(["new", "old"]), "ok");
     assert.equal(verify(["new"]), FailureReason.BadRequest);
--- a/packages/daisyturn/src/request/resumption/continueAnswer.ts
+++ b/packages/daisyturn/src/request/resumption/continueAnswer.ts
@@ -3,13 +3,13 @@
 import type { Sampling, StreamEnd } from "../../ports/engine.js";
 import { type AnswerChannel, createStreamedChannel } from "../answer/answerChannel.js";
 import type { AnswerProgress } from "../answer/answerProgress.js";
-import { attachStream, followStream } from "../answer/followStream.js";
+import { attachStream, relayStream } from "../answer/relayStream.js";
 import type { CallerExchange } from "../callerExchange.js";
 import { hashModelRequest } from "../completion/modelRequest.js";
-import { admitAndProduce, concludeAnswer, createTokenSigner } from "../completion/serveModelRequest.js";
-import { startRequestLife } from "../requestLife.js";
+import { admitAndProduce, createTokenSigner, finishAnswer } from "../completion/serveModelRequest.js";
+import { startRequestLifetime } from "../requestLifetime.js";
 import type { RequestParts } from "../requestParts.js";
-import type { ResumeRequest } from "./resumeDemand.js";
+import type { ResumeRequest } from "./resumeHeaders.js";
 
 /** Goes on with an answer: from the engine that has it, else by having it made again from the caller's offset on. */
 export async function continueAnswer(
@@ -21,21 +21,21 @@
     if (request && hashModelRequest(request) !== ticket.requestHash) {
         return err(notRun(FailureReason.BadRequest, "The resume token belongs to another request."));
     }
-    const life = startRequestLife(parts.clock, exchange.signal, resumption.deadline ?? ticket.expiresAt);
+    const lifetime = startRequestLifetime(parts.clock, exchange.signal, resumption.deadline ?? ticket.expiresAt);
     try {
         const channel = createResumedChannel(parts, exchange, resumption);
         const progress: AnswerProgress = {
             offset: resumption.offset,
             text: resumption.offset === 0 ? "" : resumption.receivedText,
         };
-        const attached = await followAttached(parts, exchange, resumption, channel, progress, life.signal);
-        const end = attached.isErr && !life.signal.aborted
-            ? await regenerate(parts, resumption, channel, progress, attached.error, life.signal)
+        const attached = await relayAttached(parts, exchange, resumption, channel, progress, lifetime.signal);
+        const end = attached.isErr && !lifetime.signal.aborted
+            ? await regenerate(parts, resumption, channel, progress, attached.error, lifetime.signal)
             : attached;
-        return concludeAnswer(parts, channel, exchange.requestId, end);
+        return finishAnswer(parts, channel, exchange.requestId, end);
     }
     finally {
-        life.end();
+        lifetime.end();
     }
 }
 
@@ -55,7 +55,7 @@
 }
 
 /** Attaching is not new work, so a closed gate is no hindrance: a drained engine still ends its streams. */
-async function followAttached(
+async function relayAttached(
     parts: RequestParts,
     exchange: CallerExchange,
     resumption: ResumeRequest,
@@ -75,7 +75,7 @@
         if (source.isErr) {
             return err(source.error);
         }
-        return await followStream(parts, {
+        return await relayStream(parts, {
             requestId: exchange.requestId,
             engine,
             streamId: ticket.streamId,
--- a/packages/daisyturn/src/request/resumption/handleResume.ts
+++ b/packages/daisyturn/src/request/resumption/handleResume.ts
@@ -4,10 +4,10 @@
 import type { CallerExchange } from "../callerExchange.js";
 import type { ModelRequest } from "../completion/modelRequest.js";
 import { type CompletionForm, describeSchemaError, parseJson, readCompletion } from "../completion/parseCompletion.js";
-import { identifyRequest, type RequestHead, serveUnderPin } from "../requestHead.js";
+import { identifyRequest, type RequestHead, serveWithPinnedVersion } from "../requestHead.js";
 import type { RequestParts } from "../requestParts.js";
 import { continueAnswer } from "./continueAnswer.js";
-import { readResumeHeaders } from "./resumeDemand.js";
+import { readResumeHeaders } from "./resumeHeaders.js";
 
 const bodySchema = z.object({
     request: z.unknown(),
@@ -18,7 +18,7 @@
 
 /** Serves `POST /v1/resume`, whose body may hold the original request and the text received so far. */
 export function handleResume(parts: RequestParts, exchange: CallerExchange): Promise<Result<void, Failure>> {
-    return serveUnderPin(parts, exchange, head => serveResumption(parts, exchange, head));
+    return serveWithPinnedVersion(parts, exchange, head => serveResumption(parts, exchange, head));
 }
 
 async function serveResumption(
@@ -26,25 +26,25 @@
     exchange: CallerExchange,
     head: RequestHead,
 ): Promise<Result<void, Failure>> {
-    const demand = readResumeHeaders(parts, exchange, head.account);
-    if (demand.isErr) {
-        return err(demand.error);
+    const resumeHeaders = readResumeHeaders(parts, exchange, head.account);
+    if (resumeHeaders.isErr) {
+        return err(resumeHeaders.error);
     }
-    if (!demand.value) {
+    if (!resumeHeaders.value) {
         return err(notRun(FailureReason.BadRequest, "The X-Resume-Token header is missing."));
     }
-    const { ticket } = demand.value;
+    const { ticket } = resumeHeaders.value;
     const text = await exchange.readBody();
     const body = text.andThen(readResumeBody);
     if (body.isErr) {
         return err(body.error);
     }
-    const request = readOriginal(head, ticket.form, body.value);
+    const request = readOriginalRequest(head, ticket.form, body.value);
     if (request.isErr) {
         return err(request.error);
     }
     return continueAnswer(parts, exchange, {
-        ...demand.value,
+        ...resumeHeaders.value,
         request: request.value,
         receivedText: body.value.received_text,
         deadline: head.deadline,
@@ -63,7 +63,7 @@
     return parsed.success ? ok(parsed.data) : err(describeSchemaError(parsed.error));
 }
 
-function readOriginal(
+function readOriginalRequest(
     head: RequestHead,
     form: CompletionForm,
     body: ResumeBody,
--- a/packages/daisyturn/src/request/resumption/resumeDemand.ts
+++ b/packages/daisyturn/src/request/resumption/resumeHeaders.ts
@@ -7,7 +7,7 @@
 import type { ResumeTicket } from "./resumeToken.js";
 
 /** What a caller shows who goes on with an answer. */
-export interface ResumeDemand {
+export interface ResumeHeaders {
     readonly token: string;
     readonly ticket: ResumeTicket;
     /** Tokens that the caller has. */
@@ -15,7 +15,7 @@
 }
 
 /** A demand with what helps if the engine has lost the stream. */
-export interface ResumeRequest extends ResumeDemand {
+export interface ResumeRequest extends ResumeHeaders {
     /** The original request, sent again. */
     readonly request?: ModelRequest;
     /** Text of the tokens that the caller has. */
@@ -31,7 +31,7 @@
     parts: RequestParts,
     exchange: CallerExchange,
     account: CallerAccount,
-): Result<ResumeDemand | undefined, Failure> {
+): Result<ResumeHeaders | undefined, Failure> {
     const token = exchange.header("x-resume-token");
     if (token === undefined) {
         return ok(undefined);
--- a/packages/daisyturn/src/request/retryPolicy.ts
+++ b/packages/daisyturn/src/request/retryPolicy.ts
@@ -19,12 +19,12 @@
 ]);
 
 /** Whether another target may succeed where one failed. */
-export function isWorthAnotherTarget(failure: Failure): boolean {
+export function isTransientFailure(failure: Failure): boolean {
     return transientReasons.has(failure.reason);
 }
 
 /** Whether a call may be sent again after a failure. */
-export function maySendAgain(failure: Failure, idempotent: boolean): boolean {
+export function isSafeToRetry(failure: Failure, idempotent: boolean): boolean {
     return idempotent || failure.verdict === ExecutionVerdict.NotRun;
 }
 
@@ -56,8 +56,8 @@
  * Adds the time of a retry where one makes sense and nobody has named it: after a passing trouble, if a repeated
  * request can do no harm.
  */
-export function adviseRetry(failure: Failure, clock: Clock, idempotent: boolean): Failure {
-    if (failure.retryAt !== undefined || !isWorthAnotherTarget(failure) || !maySendAgain(failure, idempotent)) {
+export function addRetryTime(failure: Failure, clock: Clock, idempotent: boolean): Failure {
+    if (failure.retryAt !== undefined || !isTransientFailure(failure) || !isSafeToRetry(failure, idempotent)) {
         return failure;
     }
     const build = failure.verdict === ExecutionVerdict.NotRun ? notRun : mayHaveRun;
--- a/packages/daisyturn/src/request/sendCall.ts
+++ b/packages/daisyturn/src/request/sendCall.ts
@@ -4,7 +4,7 @@
 import type { Service } from "../version/configurationItems.js";
 import type { SendPermit } from "./claims/claimManager.js";
 import type { RequestParts } from "./requestParts.js";
-import { createFailureHistory, isWorthAnotherTarget, maxAttempts, maySendAgain } from "./retryPolicy.js";
+import { createFailureHistory, isSafeToRetry, isTransientFailure, maxAttempts } from "./retryPolicy.js";
 
 /** A call and what decides whether it may be sent again. */
 export interface SentCall {
@@ -16,8 +16,8 @@
     readonly signal: AbortSignal;
 }
 
-const lowestAnswerStatus = 200;
-const highestAnswerStatus = 599;
+const minFinalStatus = 200;
+const maxFinalStatus = 599;
 
 /**
  * Sends a call to one target after the other until one answers. After a failure that leaves open whether the call ran,
@@ -45,8 +45,8 @@
         const failure = answer.error;
         history.record(failure);
         failed.add(targetName);
-        const mayRetry = !sent.signal.aborted && maySendAgain(failure, sent.idempotent)
-            && isWorthAnotherTarget(failure) && history.attempts < maxAttempts;
+        const mayRetry = !sent.signal.aborted && isSafeToRetry(failure, sent.idempotent)
+            && isTransientFailure(failure) && history.attempts < maxAttempts;
         if (!mayRetry || !parts.retryBudget.tryAcquire()) {
             return err(history.conclude(failure));
         }
@@ -80,7 +80,7 @@
 
 /** An answer that could not be passed on as it is counts as a failure of the target. */
 function checkAnswer(answer: ServiceAnswer): Result<ServiceAnswer, Failure> {
-    const isFinal = answer.status >= lowestAnswerStatus && answer.status <= highestAnswerStatus;
+    const isFinal = answer.status >= minFinalStatus && answer.status <= maxFinalStatus;
     return isFinal
         ? ok(answer)
         : err(mayHaveRun(FailureReason.TargetFailed, "The service answered with a status that is not final."));
