--- a/packages/daisyturn/src/request/answer/answer.ts
+++ b/packages/daisyturn/src/request/answer/answer.ts
@@ -3,7 +3,7 @@
 
 const millisecondsPerSecond = 1000;
 
-/** HTTP status of each reason. */
+/** HTTP status of each failure reason. */
 const statusByReason: Readonly<Record<FailureReason, number>> = {
     [FailureReason.BadRequest]: 400,
     [FailureReason.Unauthenticated]: 401,
@@ -31,24 +31,24 @@
     [FailureReason.DeadlinePassed]: 504,
 };
 
-/** The status that tells a caller of a failure. */
+/** Returns the HTTP status with which a failure is reported to a caller. */
 export function statusOfFailure(reason: FailureReason): number {
     return statusByReason[reason];
 }
 
-/** The `error` object of a refusal, in the form of the OpenAI HTTP API with the verdict added. */
+/** Error body in the format of the OpenAI HTTP API, with the verdict added. */
 export interface ErrorBody {
     readonly error: {
         readonly message: string;
         readonly type: string;
         readonly code: FailureReason;
         readonly verdict: string;
-        /** Wall-clock time in milliseconds from which a retry makes sense. */
+        /** Earliest wall-clock time for a retry, in milliseconds. */
         readonly retry_at?: number;
     };
 }
 
-/** Describes a failure to the caller. */
+/** Builds the error body of a failure. */
 export function buildErrorBody(failure: Failure): ErrorBody {
     return {
         error: {
@@ -61,7 +61,7 @@
     };
 }
 
-/** The whole answer that refuses a request. */
+/** Builds the complete answer that refuses a request. */
 export function buildRefusal(failure: Failure, clock: Clock): CallerAnswer {
     return {
         status: statusByReason[failure.reason],
@@ -71,7 +71,7 @@
     };
 }
 
-/** `X-Should-Retry` is read by the public clients, which otherwise go by the status alone. */
+/** Adds `X-Should-Retry`, because the public clients otherwise decide by the status alone. */
 function buildRetryHeaders(failure: Failure, clock: Clock): AnswerHeaders {
     if (failure.retryAt === undefined) {
         return { "X-Should-Retry": "false" };
--- a/packages/daisyturn/src/request/answer/answerChannel.ts
+++ b/packages/daisyturn/src/request/answer/answerChannel.ts
@@ -5,42 +5,42 @@
 import { type CompletionNames, createCompletionWriter } from "../completion/completionText.js";
 import { buildErrorBody } from "./answer.js";
 
-/** Where an answer comes from at the moment. */
+/** The engine stream that currently provides an answer. */
 export interface AnswerSource {
     readonly engine: string;
     readonly streamId: string;
-    /** Tokens delivered before this stream began. */
+    /** Number of tokens delivered before this stream started. */
     readonly offset: number;
 }
 
-/** Carries one completion to the caller, streamed or whole. */
+/** Sends one completion to the caller, streamed or as one answer. */
 export interface AnswerChannel {
-    /** Tells that the following tokens come from this stream. */
+    /** Sets the stream that provides the following tokens. */
     setSource(source: AnswerSource): void;
-    /** A promise is returned only if the caller reads too slowly. */
+    /** Sends tokens. Returns a promise only if the caller reads too slowly. */
     deliver(tokens: StreamTokens): Promise<void> | undefined;
     finish(end: StreamEnd): void;
-    /** Tells the failure inside a stream that has begun; otherwise hands it back for a refusal. */
+    /** Sends the failure as an event if the stream has started; otherwise returns it, so that the request is refused. */
     fail(failure: Failure): Result<void, Failure>;
 }
 
-/** What a streamed answer is made with. */
+/** Options of {@link createStreamedChannel}. */
 export interface StreamedChannelOptions {
     readonly names: CompletionNames;
     readonly includeUsage: boolean;
-    /** Makes the token with which the caller can go on elsewhere. */
+    /** Creates the token with which the caller can resume the answer at any entry process. */
     readonly signResumeToken: (source: AnswerSource) => string;
-    /** Set where the caller goes on with an answer and has its beginning. */
+    /** The caller's token, if it resumes an answer whose beginning it already has. */
     readonly resumeToken?: string;
 }
 
-/** Creates a channel that passes each piece on as a server-sent event. */
+/** Creates a channel that sends tokens as server-sent events when they arrive. */
 export function createStreamedChannel(exchange: CallerExchange, options: StreamedChannelOptions): AnswerChannel {
     const completionWriter = createCompletionWriter(options.names);
     let resumeToken = options.resumeToken;
     let eventWriter: EventWriter | undefined;
 
-    /** The header goes out with the first token, so that until then a refusal still has its own status. */
+    /** Sends the header with the first event, so that a refusal before it still has its own status. */
     const write = (event: string) => {
         if (eventWriter) {
             return eventWriter.write(event);
@@ -49,7 +49,7 @@
         return eventWriter.write(`${createOpeningEvents()}${event}`);
     };
 
-    /** A caller that goes on has the beginning, but not the token of an engine that made the rest anew. */
+    /** A caller that resumes has the first event, but needs a new token if another engine generates the rest. */
     const createOpeningEvents = () => {
         if (options.resumeToken === undefined) {
             return completionWriter.opening(resumeToken);
@@ -88,7 +88,7 @@
     };
 }
 
-/** Creates a channel that answers only once the answer is whole. */
+/** Creates a channel that sends the answer once it is complete. */
 export function createBufferedChannel(exchange: CallerExchange, names: CompletionNames): AnswerChannel {
     const completionWriter = createCompletionWriter(names);
     let text = "";
--- a/packages/daisyturn/src/request/answer/answerContext.ts
+++ b/packages/daisyturn/src/request/answer/answerContext.ts
@@ -2,13 +2,13 @@
 import type { AnswerChannel } from "./answerChannel.js";
 import type { AnswerProgress } from "./answerProgress.js";
 
-/** A model request while its answer is being made. */
+/** A model request whose answer is being generated. */
 export interface AnswerContext {
     readonly request: ModelRequest;
     readonly channel: AnswerChannel;
     readonly progress: AnswerProgress;
     /** Engines that failed this request. */
     readonly avoid: Set<string>;
-    /** Aborted, with a Failure as its reason, when the answer is not wanted any more. */
+    /** Aborted, with a Failure as its reason, when the answer is no longer needed. */
     readonly signal: AbortSignal;
 }
--- a/packages/daisyturn/src/request/answer/answerProgress.ts
+++ b/packages/daisyturn/src/request/answer/answerProgress.ts
@@ -1,19 +1,19 @@
 import type { StreamTokens } from "../../ports/engine.js";
 
-/** How far an answer has come, over all engines that worked on it. */
+/** Progress of an answer, over all engines that generated parts of it. */
 export interface AnswerProgress {
-    /** Tokens delivered. */
+    /** Number of tokens delivered. */
     offset: number;
-    /** Their text; undefined where this process has not seen the beginning. */
+    /** Text of these tokens; undefined if this process does not have the beginning of the answer. */
     text: string | undefined;
 }
 
-/** The progress of an answer of which nothing was delivered. */
+/** Creates the progress of an answer that has no tokens yet. */
 export function createProgress(): AnswerProgress {
     return { offset: 0, text: "" };
 }
 
-/** Adds tokens that were delivered. */
+/** Adds delivered tokens to the progress. */
 export function addTokens(progress: AnswerProgress, tokens: StreamTokens): void {
     progress.offset += tokens.tokenCount;
     if (progress.text !== undefined) {
--- a/packages/daisyturn/src/request/answer/produceAnswer.ts
+++ b/packages/daisyturn/src/request/answer/produceAnswer.ts
@@ -10,8 +10,9 @@
 import { relayStream } from "./relayStream.js";
 
 /**
- * Brings an answer to its end mark: one engine after the other, each going on where the last one broke off, within
- * the deadline and the process's retry budget. Generating text is idempotent, so any failure of a target allows it.
+ * Produces an answer up to its end mark. After a failure, another engine continues where the last one broke off, within
+ * the deadline and the process's retry budget. Text generation is idempotent, so a retry is allowed after any failure
+ * of a target.
  */
 export async function produceAnswer(parts: RequestParts, context: AnswerContext): Promise<Result<StreamEnd, Failure>> {
     const history = createFailureHistory();
--- a/packages/daisyturn/src/request/answer/relayEvents.ts
+++ b/packages/daisyturn/src/request/answer/relayEvents.ts
@@ -3,12 +3,13 @@
 import { type StreamEnd, type StreamEvent, StreamEventKind, type StreamTokens } from "../../ports/engine.js";
 import { addTokens, type AnswerProgress } from "./answerProgress.js";
 
-/** Takes tokens in order. A promise holds the stream back until it resolves. */
+/** Receives tokens in order. If it returns a promise, the stream waits until that resolves. */
 export type TokenSink = (tokens: StreamTokens) => Promise<void> | undefined;
 
 /**
- * Relays an engine's events, checking that no token is missing, doubled or out of order and that the end mark agrees
- * with what was delivered. A stream without a proper end is a failure: it is never passed on as a short answer.
+ * Relays an engine's events and checks that no token is missing, duplicated or out of order and that the end mark
+ * agrees with the delivered tokens. A stream without a valid end mark is a failure; it is never presented as a short
+ * answer.
  */
 export async function relayEvents(
     events: AsyncIterable<StreamEvent>,
--- a/packages/daisyturn/src/request/answer/relayStream.ts
+++ b/packages/daisyturn/src/request/answer/relayStream.ts
@@ -5,7 +5,7 @@
 import type { AnswerProgress } from "./answerProgress.js";
 import { relayEvents, type TokenSink } from "./relayEvents.js";
 
-/** A stream at an engine, and where its tokens go. */
+/** A stream of an engine, and the sink of its tokens. */
 export interface RelayedStream {
     readonly requestId: string;
     readonly engine: Engine;
@@ -14,22 +14,22 @@
     readonly progress: AnswerProgress;
     readonly sink: TokenSink;
     readonly signal: AbortSignal;
-    /** Whether the events come from `generate`, whose signal cancels the work; those of `resume` have to be cancelled. */
+    /** Whether the stream comes from `generate`, whose signal cancels the work. One from `resume` must be cancelled. */
     readonly isGenerated: boolean;
 }
 
-/** Resumptions of one stream without a single new token in between. */
+/** Limit of consecutive resumptions of one stream without a new token. */
 const maxResumptionsWithoutProgress = 2;
-/** Resumptions of one stream in all. */
+/** Limit of all resumptions of one stream. */
 const maxResumptions = 8;
-/** Longest wait for the engine to take up a broken stream again. */
+/** Time limit for an engine to resume a broken stream. */
 const resumeTimeoutMilliseconds = 2_000;
-/** Limit of a cancellation, which nobody waits for. */
+/** Time limit of a cancellation, whose result is not awaited. */
 const cancelTimeoutMilliseconds = 5_000;
 
 /**
- * Relays a stream to its end mark. Where the connection breaks, it is resumed at the same engine, which has gone on.
- * A stream that can't be brought to its end is cancelled at the engine.
+ * Relays a stream to its end mark. If the connection breaks, the stream is resumed at the same engine, which has
+ * continued to generate. A stream that cannot be completed is cancelled at the engine.
  */
 export async function relayStream(parts: RequestParts, stream: RelayedStream): Promise<Result<StreamEnd, Failure>> {
     const { progress, signal } = stream;
@@ -56,19 +56,19 @@
     }
 }
 
-/** Cancels work that nobody waits for any more; whether that succeeds changes nothing for the caller. */
+/** Cancels work whose result is no longer needed. A failed cancellation has no effect on the caller. */
 export function cancelStream(parts: RequestParts, engine: Engine, streamId: string): void {
     void engine.cancel(streamId, parts.clock.monotonicNow() + cancelTimeoutMilliseconds);
 }
 
-/** A stream that was taken up again. */
+/** A stream of events that was attached to a request. */
 export interface AttachedStream {
     readonly events: AsyncIterable<StreamEvent>;
-    /** Lets go of the request's signal; to be called once when the stream is not read any more. */
+    /** Removes the listener from the request's signal. Must be called once, when the stream is no longer read. */
     detach(): void;
 }
 
-/** Attaches to a stream again, waiting for the engine only for a bounded time. */
+/** Attaches to an existing stream of an engine, within a time limit. */
 export async function attachStream(
     parts: RequestParts,
     engine: Engine,
--- a/packages/daisyturn/src/request/completion/__tests__/parseCompletion.test.ts
+++ b/packages/daisyturn/src/request/completion/__tests__/parseCompletion.test.ts
@@ -9,7 +9,7 @@
 const now = 1_700_000_000_000;
 
 describe("parsing a completion", () => {
-    test("any text gives a body or a refusal that does not repeat it", () => {
+    test("any text gives a body or a refusal that does not contain the text", () => {
         const fields = fc.constantFrom("model", "messages", "prompt", "stream", "n", "stop", "max_tokens", "tools");
         const value = fc.oneof(fc.jsonValue(), fc.constant(secret), fc.constant([{ role: "user", content: secret }]));
         const text = fc.oneof(
@@ -29,7 +29,7 @@
         );
     });
 
-    test("conversations with a common beginning give prompts with a common beginning", () => {
+    test("conversations with a common beginning give prompts with a common prefix", () => {
         const role = fc.constantFrom("system", "user", "assistant");
         const message = fc.record({ role, content: fc.string() });
         fc.assert(
@@ -43,7 +43,7 @@
         );
     });
 
-    test("what is asked of sampling reaches the engine, and nothing else does", () => {
+    test("only the requested sampling parameters are passed to the engine", () => {
         const sampling = "\"temperature\":0,\"top_p\":null,\"seed\":4,\"stop\":\"x\"";
         const body = `{"model":"m","prompt":"p",${sampling},"user":"u","tools":[]}`;
         const parsed = parseCompletion(CompletionForm.Text, body).unwrapOr(undefined);
@@ -52,7 +52,7 @@
 });
 
 describe("parsing a deadline", () => {
-    test("gives a time within a day ahead or a refusal", () => {
+    test("gives a time within the next day or a refusal", () => {
         const header = fc.oneof(fc.string(), fc.integer().map(String), fc.date().map(date => String(date.getTime())));
         fc.assert(
             fc.property(header, text => {
--- a/packages/daisyturn/src/request/completion/completionText.ts
+++ b/packages/daisyturn/src/request/completion/completionText.ts
@@ -1,21 +1,21 @@
 import { FinishReason, type StreamEnd } from "../../ports/engine.js";
 import { CompletionForm } from "./parseCompletion.js";
 
-/** Writes the JSON texts of one completion. The parts that don't change are built once, since one text goes out per event. */
+/** Writes the JSON of one completion. Constant parts are built once, because a text is written for each event. */
 export interface CompletionWriter {
-    /** The first event of a stream, with the token for resuming it. */
+    /** The first event of a stream, with its resume token. */
     opening(resumeToken?: string): string;
-    /** An event without text that carries a new token, since the rest comes from another stream. */
+    /** An event without text that carries a new resume token, because the rest comes from another stream. */
     resumeTokenEvent(resumeToken: string): string;
-    /** An event that carries tokens; `offset` counts the tokens up to its end. */
+    /** An event that carries tokens; `offset` is the number of tokens up to and including it. */
     tokens(text: string, offset: number): string;
-    /** The events that end a stream. */
+    /** The last events of a stream. */
     closing(end: StreamEnd, includeUsage: boolean): string;
     /** The body of an answer that is not streamed. */
     whole(text: string, end: StreamEnd): string;
 }
 
-/** What names a completion. */
+/** Identifying fields of a completion. */
 export interface CompletionNames {
     readonly form: CompletionForm;
     readonly requestId: string;
@@ -27,7 +27,7 @@
 const millisecondsPerSecond = 1000;
 const doneEvent = "data: [DONE]\n\n";
 
-/** Creates the writer for one completion. */
+/** Creates the writer of one completion. */
 export function createCompletionWriter(names: CompletionNames): CompletionWriter {
     const chat = names.form === CompletionForm.Chat;
     const head = (object: string) =>
--- a/packages/daisyturn/src/request/completion/handleCompletion.ts
+++ b/packages/daisyturn/src/request/completion/handleCompletion.ts
@@ -8,7 +8,7 @@
 import { type CompletionForm, parseCompletion } from "./parseCompletion.js";
 import { serveModelRequest } from "./serveModelRequest.js";
 
-/** Serves one completion from its header to its answer. With a resume token, goes on with an answer begun before. */
+/** Serves one completion request. With a resume token, continues an answer that was started before. */
 export function handleCompletion(
     parts: RequestParts,
     exchange: CallerExchange,
--- a/packages/daisyturn/src/request/completion/modelRequest.ts
+++ b/packages/daisyturn/src/request/completion/modelRequest.ts
@@ -4,7 +4,7 @@
 import type { CompletionBody } from "./parseCompletion.js";
 import { estimateTokenCount, hashPromptBlocks, promptBlockCharacters } from "./promptBlocks.js";
 
-/** A model request after identification; everything later steps need, under the version it was accepted in. */
+/** An identified model request. Later steps need nothing else of the configuration version that it was accepted in. */
 export interface ModelRequest {
     readonly requestId: string;
     readonly account: CallerAccount;
@@ -20,7 +20,7 @@
     readonly totalDeadline: number;
 }
 
-/** What a model request is built from. */
+/** Input of {@link buildModelRequest}. */
 export interface ModelRequestSource {
     readonly requestId: string;
     readonly account: CallerAccount;
@@ -33,7 +33,7 @@
     readonly deadline: number | undefined;
 }
 
-/** Turns the profile's limits into deadlines; the caller may shorten them but not lengthen. */
+/** Builds a model request. Its deadlines follow from the limits of the profile; the caller can only shorten them. */
 export function buildModelRequest(source: ModelRequestSource): ModelRequest {
     const { profile, body, arrivedAt } = source;
     return {
@@ -52,8 +52,8 @@
 }
 
 /**
- * Fingerprint of what was asked. The prompt's block hashes are at hand, so only its last part is hashed again; they
- * are not cryptographic, but a caller who makes two requests collide only spoils its own answer.
+ * Computes a fingerprint of a request. The block hashes of the prompt are already known, so only the text after them is
+ * hashed. They are not cryptographic, but a caller that causes a collision only damages its own answer.
  */
 export function hashModelRequest(request: ModelRequest): string {
     const { form, serviceName, prompt, sampling, maxOutputTokens } = request.body;
--- a/packages/daisyturn/src/request/completion/parseCompletion.ts
+++ b/packages/daisyturn/src/request/completion/parseCompletion.ts
@@ -3,21 +3,21 @@
 import { z } from "zod";
 import type { Sampling } from "../../ports/engine.js";
 
-/** The two forms of the OpenAI HTTP API that are served. */
+/** The supported forms of completions in the OpenAI HTTP API. */
 export enum CompletionForm {
     Chat = "chat",
     Text = "text",
 }
 
-/** What a caller asks of a model, independent of the form it came in. */
+/** The parameters of a completion, independent of the form of the request. */
 export interface CompletionBody {
     readonly form: CompletionForm;
-    /** Name of the partner's service; the API's `model`. */
+    /** Name of the partner's service; `model` in the API. */
     readonly serviceName: string;
     readonly prompt: string;
     readonly maxOutputTokens?: number;
     readonly stream: boolean;
-    /** Whether a stream ends with a chunk that tells the usage. */
+    /** Whether a stream ends with a chunk that contains the usage. */
     readonly includeUsage: boolean;
     readonly sampling?: Sampling;
 }
@@ -25,7 +25,7 @@
 const maxStopTexts = 4;
 const maxTemperature = 2;
 
-/** Parameters that would change the answer and can't be honoured: refused rather than ignored. */
+/** Parameters that would change the answer and are not supported. They are refused instead of ignored. */
 const unsupportedParameters = [
     "audio",
     "best_of",
@@ -67,12 +67,12 @@
 type CommonBody = z.infer<typeof commonSchema>;
 type ChatMessage = z.infer<typeof messageSchema>;
 
-/** Reads the JSON body of a completion. Messages name the field and never repeat the caller's text. */
+/** Parses the JSON body of a completion. Error messages name the field and never contain the caller's text. */
 export function parseCompletion(form: CompletionForm, body: string): Result<CompletionBody, Failure> {
     return parseJson(body).andThen(json => readCompletion(form, json));
 }
 
-/** Reads a completion that was parsed as JSON. */
+/** Validates a completion that was parsed as JSON. */
 export function readCompletion(form: CompletionForm, json: unknown): Result<CompletionBody, Failure> {
     const unsupported = findUnsupportedParameter(json);
     if (unsupported !== undefined) {
@@ -81,7 +81,7 @@
     return form === CompletionForm.Chat ? readChat(json) : readText(json);
 }
 
-/** Parses JSON text; the failure never repeats the caller's text. */
+/** Parses JSON text. The failure never contains the caller's text. */
 export function parseJson(body: string): Result<unknown, Failure> {
     try {
         return ok(JSON.parse(body) as unknown);
@@ -91,7 +91,7 @@
     }
 }
 
-/** Turns zod's complaint into a failure that names the first wrong field. */
+/** Converts a zod error into a failure that names the first invalid field. */
 export function describeSchemaError(error: z.ZodError): Failure {
     const path = error.issues[0]?.path.join(".") ?? "";
     return refuse(path === "" ? "The body must be a JSON object." : `The field ${path} is missing or wrong.`);
@@ -137,8 +137,8 @@
 }
 
 /**
- * Renders a conversation as the text that the engine completes. Equal beginnings of conversations give equal
- * beginnings of text, which the prefix cache depends on.
+ * Renders a conversation as the text that the engine completes. Conversations with a common beginning give texts with a
+ * common prefix, which the prefix cache relies on.
  */
 function renderChatPrompt(messages: readonly ChatMessage[]): string {
     const turns = messages.map(message => `<|${message.role}|>\n${readContent(message.content)}\n`);
@@ -157,7 +157,7 @@
     return unsupportedParameters.find(name => !hasNoEffect(body[name]));
 }
 
-/** Whether a parameter's value asks for nothing beside the usual: absent, off, empty, or plain text as the format. */
+/** Whether the value of a parameter has no effect: absent, off, empty, or plain text as the format. */
 function hasNoEffect(value: unknown): boolean {
     if (typeof value !== "object" || !value) {
         return !value;
--- a/packages/daisyturn/src/request/completion/promptBlocks.ts
+++ b/packages/daisyturn/src/request/completion/promptBlocks.ts
@@ -1,20 +1,20 @@
 import createHasher from "xxhash-wasm";
 
-/** Characters of prompt text that make one block of the prefix cache. */
+/** Number of characters of prompt text in one block of the prefix cache. */
 export const promptBlockCharacters = 256;
-/** Characters that make one token on average in the served languages; used where only text is at hand. */
+/** Average number of characters per token in the served languages; used where only the text is known. */
 export const charactersPerToken = 4;
 
 const hasher = await createHasher();
 
-/** Estimated tokens of a text. */
+/** Estimates the number of tokens in a text. */
 export function estimateTokenCount(text: string): number {
     return Math.ceil(text.length / charactersPerToken);
 }
 
 /**
- * Hashes of the prompt's whole blocks, each chained to the one before: equal hashes mean equal prefixes.
- * A last block that is not full is left out.
+ * Hashes the full blocks of a prompt. Each hash is chained to the previous one, so that equal hashes mean equal
+ * prefixes. An incomplete last block is omitted.
  */
 export function hashPromptBlocks(prompt: string): string[] {
     const blockCount = Math.floor(prompt.length / promptBlockCharacters);
--- a/packages/daisyturn/src/request/completion/serveModelRequest.ts
+++ b/packages/daisyturn/src/request/completion/serveModelRequest.ts
@@ -17,10 +17,10 @@
 import { addRetryTime } from "../retryPolicy.js";
 import { hashModelRequest, type ModelRequest } from "./modelRequest.js";
 
-/** Time, in milliseconds, for which an answer may be resumed after its deadline: late is better than lost. */
+/** Time after the deadline within which an answer may still be resumed, since a late answer is better than none. */
 export const resumeGraceMilliseconds = 60_000;
 
-/** Serves an identified request: admits it, produces its answer and passes it on. */
+/** Serves an identified request: admits it, produces its answer and sends it to the caller. */
 export async function serveModelRequest(
     parts: RequestParts,
     exchange: CallerExchange,
@@ -43,7 +43,7 @@
     }
 }
 
-/** Runs a request from admission to the end mark, from its present progress on. */
+/** Runs a request from admission to the end mark, starting at its current progress. */
 export async function admitAndProduce(
     parts: RequestParts,
     context: AnswerContext,
@@ -63,7 +63,7 @@
     }
 }
 
-/** Ends the channel with the answer's end mark or its failure. */
+/** Ends the channel with the end mark or the failure of the answer. */
 export function finishAnswer(
     parts: RequestParts,
     channel: AnswerChannel,
@@ -100,7 +100,7 @@
         : createBufferedChannel(exchange, names);
 }
 
-/** Signs the tokens of one request's streams. */
+/** Creates the signer of resume tokens for the streams of one request. */
 export function createTokenSigner(parts: RequestParts, request: ModelRequest): (source: AnswerSource) => string {
     const requestHash = hashModelRequest(request);
     return source =>
