--- a/packages/daisyturn/src/request/__fixtures__/claimWorld.ts
+++ b/packages/daisyturn/src/request/__fixtures__/claimWorld.ts
@@ -14,7 +14,7 @@
 import type { Choice, ExploredWorld } from "./exploreSchedules.js";
 import { createScheduledProcesses, type ScheduledProcess } from "./scheduledProcesses.js";
 
-/** One call that a caller makes in the world. */
+/** A call that a caller makes in the simulated system. */
 export interface WorldRequest {
     readonly processId: string;
     readonly body: string;
@@ -46,8 +46,8 @@
 const refused: TransactionAnswer = { outcome: TransactionOutcome.Rejected, cause: RejectionCause.NotSent };
 
 /**
- * Claim keepers of several processes around one table and one plain service. Every message between them is delivered,
- * delayed, lost or done late as the explorer chooses, and processes are killed, paused and wrongly given up.
+ * Creates claim managers of several processes with one table and one plain service. The explorer chooses for each
+ * message whether it is delivered, delayed, lost or takes effect late. It kills, pauses and falsely suspects processes.
  */
 export function createClaimWorld(requests: readonly WorldRequest[]): ExploredWorld {
     const schedule = createScheduledProcesses();
@@ -89,7 +89,7 @@
 
     const commit = (process: ScheduledProcess, transaction: Transaction, deadline: number) => {
         const effect = () => void apply(transaction);
-        // The store client tells what stood in the way of its last try while an earlier one may yet arrive.
+        // The store client reports the conflicts of its last attempt, while an earlier one may still arrive.
         const runAndForget = (then: () => void): TransactionAnswer => {
             const conflicts = findConflicts(transaction);
             then();
@@ -202,7 +202,7 @@
             return Result.err(noPermit);
         }
         if (settledCalls.has(call.callId)) {
-            broken.push(`${call.callId} was settled by another process and is sent after that`);
+            broken.push(`${call.callId} is sent after another process settled it`);
         }
         const effect = () => void execute(call);
         const loseAnswer = (then: () => void): Result<ServiceAnswer, Failure> => {
@@ -246,7 +246,7 @@
         const isStillClaimed = [...rows.values()].map(row => parseClaimRow(row.value))
             .some(row => row.requestId === attempt.callId && row.state === ClaimRowState.Claimed);
         if (isRetryOffered && isStillClaimed) {
-            broken.push(`${attempt.callId} was told to try again while its claim stands`);
+            broken.push(`${attempt.callId} was offered a retry while its key is still claimed`);
         }
     };
 
@@ -274,28 +274,28 @@
         const failure = last?.isErr ? last.error : undefined;
         assert.ok(
             !failure || isAllowedUnknown(failure) || failure.reason === FailureReason.IdempotencyKeyReused,
-            `the last request was told: ${failure?.message}`,
+            `the last request failed: ${failure?.message}`,
         );
     };
 
     const checkAttempt = ({ callId, process, result, error }: WorldAttempt) => {
         assert.ifError(error);
-        assert.ok(result || !process.scheduled.isLive, "a caller was not answered");
+        assert.ok(result || !process.scheduled.isLive, "a caller received no answer");
         if (result?.isOk) {
-            assert.equal(result.value.body, `run of ${ran[0]?.callId}`, "an answer is not that of the run");
+            assert.equal(result.value.body, `run of ${ran[0]?.callId}`, "an answer does not belong to the run");
         }
         else if (result?.error.verdict === ExecutionVerdict.NotRun) {
-            assert.ok(!ran.some(call => call.callId === callId), `${callId} was told that it did not run`);
+            assert.ok(!ran.some(call => call.callId === callId), `${callId} ran but was reported as not run`);
         }
         else if (result?.error.reason === FailureReason.OutcomeUnknown) {
             assert.ok(
                 isAllowedUnknown(result.error),
-                `nothing was lost, but ${callId} was told: ${result.error.message}`,
+                `nothing was lost, but ${callId} failed: ${result.error.message}`,
             );
         }
     };
 
-    /** Only a lost call or the end of a process excuses an outcome that is not known. */
+    /** An unknown outcome is allowed only after a lost call or the actual or presumed end of a process. */
     const isAllowedUnknown = (failure: Failure) =>
         failure.reason === FailureReason.OutcomeUnknown && failure.verdict === ExecutionVerdict.MayHaveRun
         && (wasCallLost || schedule.wasDisturbed());
--- a/packages/daisyturn/src/request/__fixtures__/createClaimBench.ts
+++ b/packages/daisyturn/src/request/__fixtures__/createClaimBench.ts
@@ -17,12 +17,12 @@
 import type { ClaimRequest, SendCall } from "../claims/claimManager.js";
 import { createClaimManager, type ProcessClaimManager } from "../claims/createClaimManager.js";
 
-/** What the fake service answers to the first call that it runs. */
+/** Answer of the fake service to the first call that it runs. */
 export const firstAnswer: ServiceAnswer = { status: 201, contentType: "text/plain", body: "run 1" };
 
 const benchKey = "key/1";
 
-/** A request of the bench's only account; parts that matter to a test are given. */
+/** Creates a request of the bench's only account. A test gives the parts that matter to it. */
 export function createClaimRequest(clock: FakeClock, given: Partial<ClaimRequest & ServiceCall> = {}): ClaimRequest {
     const call: ServiceCall = {
         callId: given.callId ?? "req-1",
@@ -42,7 +42,7 @@
     };
 }
 
-/** Several keepers over one table service in memory and one fake service that counts what it runs. */
+/** Creates claim managers over one in-memory table service and one fake service that counts the calls it runs. */
 export function createClaimBench() {
     const clock = new FakeClock();
     const memoryTable = createMemoryTableService();
@@ -76,13 +76,13 @@
         });
     };
 
-    /** Runs the call; it answers with the number of calls run. */
+    /** Runs the call, and answers with the number of calls run so far. */
     const send: SendCall = call => {
         ran.push(call);
         return Promise.resolve(Result.ok({ ...firstAnswer, body: `run ${ran.length}` }));
     };
 
-    /** A send that fails, having run the call before or not. */
+    /** Creates a send that fails, after running the call or without. */
     const createFailingSend = (failure: Failure, runs: boolean): SendCall => call => {
         if (runs) {
             ran.push(call);
@@ -90,7 +90,7 @@
         return Promise.resolve(Result.err(failure));
     };
 
-    /** Tells every membership that this run has ended and takes it off the network. */
+    /** Marks this incarnation as ended in every membership and removes it from the network. */
     const endProcess = (identity: ProcessIdentity) => {
         ended.add(identity.incarnation);
         networks.remove(identity.processId);
@@ -103,7 +103,7 @@
         return row && parseClaimRow(row.value);
     };
 
-    /** The pruner of a process, with a keeper of its own. */
+    /** Starts the pruner of a process, with its own claim manager. */
     const startPruner = (processId: string, ownClock: Clock = clock) =>
         createClaimPruner({
             storeClient: connectStore(),
--- a/packages/daisyturn/src/request/__fixtures__/createNaiveClaimManager.ts
+++ b/packages/daisyturn/src/request/__fixtures__/createNaiveClaimManager.ts
@@ -10,7 +10,7 @@
     readonly answer?: ServiceAnswer;
 }
 
-/** At most once in one process that never fails: a map and no store. What the real keeper is compared with. */
+/** Reference for the claim manager: runs calls at most once in a single process that never fails, without a store. */
 export function createNaiveClaimManager() {
     const claims = new Map<string, NaiveClaim>();
 
--- a/packages/daisyturn/src/request/__fixtures__/exploreSchedules.ts
+++ b/packages/daisyturn/src/request/__fixtures__/exploreSchedules.ts
@@ -1,48 +1,48 @@
 import type { Random } from "daisyturn-utils";
 
-/** One thing that may happen next in a world under test. */
+/** A possible next step of the system under test. */
 export interface Choice {
     readonly label: string;
-    /** What it costs of the budget: how far it departs from the undisturbed order. */
+    /** Cost of the step in the budget: its distance from the default order. */
     readonly cost: number;
     readonly run: () => void;
 }
 
-/** A world whose every step is chosen from outside. */
+/** A system under test in which the explorer chooses every step. */
 export interface ExploredWorld {
-    /** What may happen next; the first is the undisturbed way. Empty at the end. */
+    /** Lists the possible next steps, the default first. Empty at the end of a run. */
     listChoices(): readonly Choice[];
-    /** Lets all woken code run to its next wait. */
+    /** Runs all pending code up to its next wait. */
     settle(): Promise<void>;
-    /** Throws if the world breaks its promises; called once at the end. */
+    /** Throws if an invariant is violated; called once at the end of a run. */
     check(): Promise<void>;
 }
 
-/** How far to look. */
+/** Limits of an exploration. */
 export interface ExplorationLimits {
-    /** Total cost of departures from the undisturbed way in one run. */
+    /** Maximum total cost of the departures from the default order in one run. */
     readonly budget: number;
     readonly maxRuns: number;
-    /** Runs the departures in random order instead of depth first, so that a cut-off search sees all kinds. */
+    /** Explores departures in random order instead of depth first, so that a limited search covers all kinds. */
     readonly random?: Random;
 }
 
-/** What was looked at. */
+/** Result of an exploration. */
 export interface Exploration {
     readonly runs: number;
     readonly steps: number;
-    /** False if the search was cut off by `maximumRuns`. */
+    /** False if the search was cut off by `maxRuns`. */
     readonly isComplete: boolean;
-    /** Labels chosen at least once, with their number. */
+    /** Labels that were chosen at least once, with the number of times. */
     readonly chosen: ReadonlyMap<string, number>;
 }
 
 const maxSteps = 2_000;
 
 /**
- * Runs a world again and again, each time with another sequence of choices, until all sequences within the budget are
- * done. Source: Emmi, Qadeer, Rakamarić, "Delay-bounded scheduling", POPL 2011; the faults are priced like delays.
- * A broken promise is thrown with the sequence that led to it.
+ * Runs a system repeatedly, each time with another sequence of choices, until all sequences within the budget have been
+ * run. Source: Emmi, Qadeer, Rakamarić, "Delay-bounded scheduling", POPL 2011; faults cost as much as delays.
+ * A violated invariant is thrown with the sequence that led to it.
  */
 export async function exploreSchedules(
     createWorld: () => ExploredWorld,
@@ -70,7 +70,7 @@
             }
             const choice = choices[index];
             if (!choice || path.length > maxSteps) {
-                throw new Error(`the run does not end or repeat itself: ${labels.slice(-30).join(", ")}`);
+                throw new Error(`the run does not end or is not reproducible: ${labels.slice(-30).join(", ")}`);
             }
             left -= choice.cost;
             path.push(index);
--- a/packages/daisyturn/src/request/__fixtures__/scheduledProcesses.ts
+++ b/packages/daisyturn/src/request/__fixtures__/scheduledProcesses.ts
@@ -2,21 +2,21 @@
 import { setImmediate as nextTurn } from "node:timers/promises";
 import type { Choice } from "./exploreSchedules.js";
 
-/** A process whose messages and timers wait for the explorer. */
+/** A process whose messages and timers are scheduled by the explorer. */
 export interface ScheduledProcess {
     readonly processId: string;
     readonly clock: Clock;
     isLive: boolean;
     isPaused: boolean;
-    /** What it is told when it resumes. */
+    /** Callbacks that run when the process resumes after a pause. */
     deferred: (() => void)[];
 }
 
-/** One way in which a message may fare: what it does at the receiver, and what the sender is told. */
+/** One possible outcome of a message: its effect at the receiver, and the answer to the sender. */
 export interface MessageOutcome<Answer> {
     readonly label: string;
     readonly run: () => Answer;
-    /** Whether the sender is told only later, after time has passed. */
+    /** Whether the sender receives the answer only after time has passed. */
     readonly isSlow?: boolean;
 }
 
@@ -24,9 +24,9 @@
 export interface Message<Answer> {
     readonly process: ScheduledProcess;
     readonly label: string;
-    /** The undisturbed course first. */
+    /** The default outcome is the first. */
     readonly outcomes: readonly MessageOutcome<Answer>[];
-    /** What it may still do at the receiver after its sender was killed. */
+    /** Effect that it may still have at the receiver after its sender was killed. */
     readonly effect?: () => void;
 }
 
@@ -39,23 +39,23 @@
 type Pending = Message<unknown> & { readonly resolve: (answer: never) => void; };
 type Event = Omit<Choice, "cost">;
 
-/** Messages, timers, pauses and deaths of several processes, one step at a time. */
+/** Schedules messages, timers, pauses and ends of several processes, one step at a time. */
 export interface ScheduledProcesses {
     start(processId: string): ScheduledProcess;
     send<Answer>(message: Message<Answer>): Promise<Answer>;
     /** Waits until the process is not paused. */
     awaitRunning(process: ScheduledProcess): Promise<void>;
-    /** Does something late: when time has passed, or earlier if the explorer pays for it. */
+    /** Runs an effect late: after time has passed, or earlier at a cost in the explorer's budget. */
     doLater(effect: () => void): void;
     now(): number;
-    /** What comes by itself: messages in their order, then time, the ends of pauses and what is late. */
+    /** Lists events without faults: messages in their order, then timers, ends of pauses and late effects. */
     listEvents(): readonly Event[];
-    /** What goes wrong: other courses of messages, and what becomes of processes. */
+    /** Lists faults: the other outcomes of messages, and kills and pauses of processes. */
     listFaults(): readonly Event[];
     settle(): Promise<void>;
-    /** Whether a process was killed or given up wrongly. */
+    /** Whether a process was killed or is falsely presumed ended. */
     wasDisturbed(): boolean;
-    /** Whether the others hold this process for ended. */
+    /** Whether the other processes presume this process ended. */
     isPresumedEnded(processId: string): boolean;
 }
 
@@ -91,7 +91,7 @@
 
     const send = <Answer>(message: Message<Answer>) =>
         new Promise<Answer>(resolve => {
-            // What a killed process still computes reaches nobody.
+            // Messages of a killed process are discarded.
             if (message.process.isLive) {
                 pending.push({ ...message, resolve });
             }
@@ -171,7 +171,7 @@
         ...processes.filter(process => process.isLive && !process.isPaused).flatMap(process => [
             { label: `${process.processId} is killed`, run: () => kill(process) },
             { label: `${process.processId} pauses`, run: () => pause(process, false) },
-            { label: `${process.processId} pauses, given up`, run: () => pause(process, true) },
+            { label: `${process.processId} pauses, presumed ended`, run: () => pause(process, true) },
         ]),
     ];
 
--- a/packages/daisyturn/src/request/__tests__/claimDifferential.test.ts
+++ b/packages/daisyturn/src/request/__tests__/claimDifferential.test.ts
@@ -19,11 +19,11 @@
     key: fc.constantFrom("k", "l", "k/l"),
     body: fc.constantFrom("seat 4", "seat 5"),
     outcome: fc.constantFrom(...Object.values(SendOutcome)),
-    // Faults that the store client settles: they must change nothing that a caller sees.
+    // Faults that the store client handles. They must not change any answer to a caller.
     fault: fc.constantFrom(TableFaultKind.None, TableFaultKind.BreakAfterCommit, TableFaultKind.BreakBeforeCommit),
 });
 
-/** A send that ends as told and numbers its answers. */
+/** Creates sends with given outcomes that number their answers. */
 function createSend() {
     let sends = 0;
     const create = (outcome: SendOutcome): SendCall => call => {
@@ -40,7 +40,7 @@
     return { create, countSends: () => sends };
 }
 
-it("several processes over one table answer as one process that never fails", async () => {
+it("several processes over one table answer like a single process that never fails", async () => {
     await fc.assert(
         fc.asyncProperty(fc.array(callArbitrary, { minLength: 1, maxLength: 12 }), async calls => {
             const bench = createClaimBench();
--- a/packages/daisyturn/src/request/__tests__/claimInterleavings.test.ts
+++ b/packages/daisyturn/src/request/__tests__/claimInterleavings.test.ts
@@ -4,7 +4,7 @@
 import { createClaimWorld, type WorldRequest } from "../__fixtures__/claimWorld.js";
 import { exploreSchedules } from "../__fixtures__/exploreSchedules.js";
 
-/** Raised by hand for a longer search. */
+/** Set to higher values for a longer search. */
 const randomRuns = Number(process.env["DAISYTURN_EXPLORED_RUNS"] ?? 1_000);
 const randomBudget = Number(process.env["DAISYTURN_EXPLORED_BUDGET"] ?? 3);
 
@@ -24,7 +24,7 @@
 
 describe("interleavings of claims", () => {
     for (const { name, requests, exhaustiveBudget } of scenarios) {
-        it(`run a call at most once: ${name}`, async context => {
+        it(`runs a call at most once: ${name}`, async context => {
             const createWorld = () => createClaimWorld(requests);
             const whole = await exploreSchedules(createWorld, { budget: exhaustiveBudget, maxRuns: Infinity });
             assert.ok(whole.isComplete);
--- a/packages/daisyturn/src/request/admit.ts
+++ b/packages/daisyturn/src/request/admit.ts
@@ -5,7 +5,7 @@
 import type { ModelRequest } from "./completion/modelRequest.js";
 import type { RequestParts } from "./requestParts.js";
 
-/** Asks for leave to run; may wait for the partner's turn. */
+/** Admits a request; may wait until it is the partner's turn. */
 export function admit(
     parts: RequestParts,
     request: ModelRequest,
@@ -14,7 +14,7 @@
     return parts.admission.admitModelRequest(request.account, buildRoutingRequest(request, []), signal);
 }
 
-/** What routing and admission see of a request. */
+/** Builds the description of a request for routing and admission. */
 export function buildRoutingRequest(request: ModelRequest, avoid: readonly string[]): RoutingRequest {
     return {
         requestId: request.requestId,
--- a/packages/daisyturn/src/request/answer/answerChannel.ts
+++ b/packages/daisyturn/src/request/answer/answerChannel.ts
@@ -20,7 +20,7 @@
     /** Sends tokens. Returns a promise only if the caller reads too slowly. */
     deliver(tokens: StreamTokens): Promise<void> | undefined;
     finish(end: StreamEnd): void;
-    /** Sends the failure as an event if the stream has started; otherwise returns it, so that the request is refused. */
+    /** Sends the failure as an event if the stream has started; otherwise returns it, to refuse the request. */
     fail(failure: Failure): Result<void, Failure>;
 }
 
--- a/packages/daisyturn/src/request/callerExchange.ts
+++ b/packages/daisyturn/src/request/callerExchange.ts
@@ -12,7 +12,7 @@
     readonly headers?: AnswerHeaders;
 }
 
-/** The caller's end of a stream of server-sent events. */
+/** Writes a stream of server-sent events to the caller. */
 export interface EventWriter {
     /**
      * Writes one event. A promise is returned only if the caller reads too slowly; it resolves once the caller has
@@ -22,7 +22,7 @@
     end(): void;
 }
 
-/** One request of a caller and the way to answer it, whatever carries it. */
+/** One request of a caller and the means to answer it, independent of the transport. */
 export interface CallerExchange {
     readonly requestId: string;
     readonly method: string;
@@ -30,11 +30,11 @@
     readonly path: string;
     /** Query with its leading question mark, or empty. */
     readonly query: string;
-    /** Aborted, with a Failure as its reason, once the caller has gone or the process stops. */
+    /** Aborted, with a Failure as its reason, once the caller has disconnected or the process stops. */
     readonly signal: AbortSignal;
-    /** Value of a header field that may stand only once; names in lower case. */
+    /** Value of a header field that may occur only once; names are in lower case. */
     header(name: string): string | undefined;
-    /** Reads the whole body as UTF-8 text. */
+    /** Reads the complete body as UTF-8 text. */
     readBody(): Promise<Result<string, Failure>>;
     answer(answer: CallerAnswer): void;
     openEventStream(headers: AnswerHeaders): EventWriter;
--- a/packages/daisyturn/src/request/dispatch.ts
+++ b/packages/daisyturn/src/request/dispatch.ts
@@ -23,19 +23,19 @@
     leave(): void;
 }
 
-/** A prefill that is done, and the stream that holds its KV cache. */
+/** A completed prefill, and the stream that retains its KV cache. */
 interface PrefilledPrompt {
     readonly engine: Engine;
     readonly streamId: string;
     readonly kvHandle: KvHandle;
 }
 
-/** The end mark of a prefill part that can be imported. */
+/** The end mark of a prefill whose KV cache can be imported. */
 type PrefillEnd = StreamEnd & { readonly kvHandle: KvHandle; };
 
 /**
- * Sends the request where the placement says, checking right before each part whether new work may go there. If
- * prefill and decode are apart and one of them fails, the decode engine is asked for the whole.
+ * Sends the request to the engines of the placement and checks right before each part whether the engine accepts new
+ * work. If prefill and decode are at two engines and one of them fails, the decode engine runs the whole request.
  */
 export async function dispatch(
     parts: RequestParts,
@@ -62,7 +62,7 @@
     return context.signal.aborted ? decoded : dispatchWholeInstead(parts, context, placement, decoded.error);
 }
 
-/** Asks the decode engine for the whole, after the parts could not be run apart. */
+/** Sends the whole request to the decode engine, after separate prefill and decode have failed. */
 export function dispatchWholeInstead(
     parts: RequestParts,
     context: AnswerContext,
@@ -78,7 +78,7 @@
     return dispatchPart(parts, context, placement, placement.engine, GeneratePart.Whole);
 }
 
-/** Sends one part. Nothing may be awaited between the gate's answer and the send. */
+/** Sends one part. There must be no await between the check of the gate and the send. */
 async function dispatchPart(
     parts: RequestParts,
     context: AnswerContext,
@@ -123,7 +123,7 @@
     return ok({ engine, streamId, part, events: events.value, leave });
 }
 
-/** Runs the prefill part to its end and takes the handle of its KV cache. */
+/** Runs the prefill part to its end and returns the handle of its KV cache. */
 async function prefill(
     parts: RequestParts,
     context: AnswerContext,
--- a/packages/daisyturn/src/request/handlePlainCall.ts
+++ b/packages/daisyturn/src/request/handlePlainCall.ts
@@ -14,10 +14,10 @@
 
 const defaultCallTimeoutMilliseconds = 10_000;
 const idempotencyKeyPattern = /^[\x21-\x7e]{1,255}$/;
-/** Stands in for a caller's signal where the call goes on without the caller. */
+/** Replaces the caller's signal for a call that continues after the caller has disconnected. */
 const neverAborted = new AbortController().signal;
 
-/** A call that was read and identified. */
+/** A call that has been read and identified. */
 interface PlainRequest {
     readonly account: CallerAccount;
     readonly service: Service;
@@ -26,7 +26,7 @@
     readonly idempotencyKey?: string;
 }
 
-/** Serves one call of a plain service from its path to its answer. */
+/** Serves one call of a plain service. */
 export function handlePlainCall(parts: RequestParts, exchange: CallerExchange): Promise<Result<void, Failure>> {
     return serveWithPinnedVersion(parts, exchange, head => servePlainCall(parts, exchange, head));
 }
@@ -119,7 +119,7 @@
     if (exchange.signal.aborted) {
         return err(notRun(FailureReason.Cancelled, "The caller has gone before the call was sent."));
     }
-    // A call that is not idempotent can't be undone by leaving it; its answer is still worth recording.
+    // A non-idempotent call cannot be undone by a disconnect of the caller, and its answer must still be recorded.
     const callerSignal = request.idempotent ? exchange.signal : neverAborted;
     const lifetime = startRequestLifetime(parts.clock, callerSignal, request.call.deadline);
     try {
--- a/packages/daisyturn/src/request/identify.ts
+++ b/packages/daisyturn/src/request/identify.ts
@@ -5,13 +5,13 @@
 
 const bearerPattern = /^Bearer +([\x21-\x7e]{1,512})$/i;
 
-/** A service that answers with a model, and the profile it runs under. */
+/** A model service and its profile. */
 export interface ModelService {
     readonly service: Service;
     readonly profile: Profile;
 }
 
-/** Finds the account whose key the caller gave. Keys are known only by their hashes. */
+/** Finds the account of the caller's key. Only hashes of keys are stored. */
 export function identifyAccount(
     version: ConfigurationVersion,
     authorization: string | undefined,
--- a/packages/daisyturn/src/request/parseDeadline.ts
+++ b/packages/daisyturn/src/request/parseDeadline.ts
@@ -1,14 +1,14 @@
 import { type Failure, FailureReason, notRun } from "daisyturn-utils";
 import { err, ok, type Result } from "true-myth/result";
 
-/** A deadline further away than this, before or after now, is taken for a mistake in the caller's clock or unit. */
+/** A deadline further in the past or future is treated as an error in the caller's clock or unit. */
 export const maxDeadlineDistanceMilliseconds = 24 * 60 * 60 * 1000;
 
 const millisecondsPattern = /^\d{1,16}$/;
 const timestampPattern = /^\d{4}-\d\d-\d\d[Tt]\d\d:\d\d:\d\d(\.\d{1,9})?([Zz]|[+-]\d\d:\d\d)$/;
 
 /**
- * Reads the `X-Deadline` header: milliseconds since the epoch or an RFC 3339 timestamp.
+ * Parses the `X-Deadline` header: milliseconds since the epoch or an RFC 3339 timestamp.
  * @param now wall-clock time in milliseconds
  * @returns wall-clock time in milliseconds; undefined if the header is absent
  */
--- a/packages/daisyturn/src/request/place.ts
+++ b/packages/daisyturn/src/request/place.ts
@@ -5,7 +5,7 @@
 import type { ModelRequest } from "./completion/modelRequest.js";
 import type { RequestParts } from "./requestParts.js";
 
-/** Chooses the engines, passing over those that failed this request before. */
+/** Chooses the engines for a request, and avoids those that have failed it before. */
 export function place(
     parts: RequestParts,
     request: ModelRequest,
--- a/packages/daisyturn/src/request/requestHead.ts
+++ b/packages/daisyturn/src/request/requestHead.ts
@@ -9,19 +9,19 @@
 import { parseDeadline } from "./parseDeadline.js";
 import type { RequestParts } from "./requestParts.js";
 
-/** What is known of a request before its body. */
+/** Data of a request that is known before its body is read. */
 export interface RequestHead {
     readonly requestId: string;
     /** Wall-clock times in milliseconds. */
     readonly arrivedAt: number;
     /** The caller's own deadline. */
     readonly deadline: number | undefined;
-    /** The version in force on arrival, which the request keeps, and the items of it that it runs under. */
+    /** The version that is active on arrival and applies to the whole request, and the items of it that are used. */
     readonly pin: VersionPin;
     readonly account: CallerAccount;
 }
 
-/** Serves a request whose head can be read, under the version in force, which stays pinned until it has ended. */
+/** Reads the head of a request and serves it under the active version, which is pinned until the request has ended. */
 export async function serveWithPinnedVersion(
     parts: RequestParts,
     exchange: CallerExchange,
@@ -37,7 +37,7 @@
     }
 }
 
-/** Finds the service that the body names and puts the model request together. */
+/** Finds the service that the body names and builds the model request. */
 export function identifyRequest(head: RequestHead, body: CompletionBody): Result<ModelRequest, Failure> {
     const { pin, account } = head;
     return identifyModelService(pin.version, account, body.serviceName).map(({ service, profile }) => {
@@ -46,7 +46,7 @@
     });
 }
 
-/** Reads what every request's header holds: who asks, and until when the answer is worth something. */
+/** Reads the headers that all requests have in common: the account and the deadline. */
 function readRequestHead(
     parts: RequestParts,
     exchange: CallerExchange,
--- a/packages/daisyturn/src/request/requestLifetime.ts
+++ b/packages/daisyturn/src/request/requestLifetime.ts
@@ -1,19 +1,19 @@
 import { type Clock, FailureReason, mayHaveRun } from "daisyturn-utils";
 
-/** The time a request has: ends with the caller, the process or the deadline, whichever comes first. */
+/** Lifetime of a request. It ends when the caller disconnects, the process stops or the deadline passes. */
 export interface RequestLifetime {
     /** Aborted with a Failure as its reason. */
     readonly signal: AbortSignal;
-    /** Stops the watch; to be called once when the request has ended. */
+    /** Stops watching the caller and the deadline. Must be called once, when the request has ended. */
     end(): void;
 }
 
-/** Given to `abort`, which else builds an error with its stack. */
+/** Passed to `abort`, which otherwise creates an error with a stack trace. */
 const endedReason = "ended";
 
 /**
- * Starts the life of a request.
- * @param callerSignal aborted with a Failure once the caller has gone or the process stops
+ * Starts the lifetime of a request.
+ * @param callerSignal aborted with a Failure once the caller has disconnected or the process stops
  * @param deadline wall-clock time in milliseconds
  */
 export function startRequestLifetime(clock: Clock, callerSignal: AbortSignal, deadline: number): RequestLifetime {
--- a/packages/daisyturn/src/request/requestParts.ts
+++ b/packages/daisyturn/src/request/requestParts.ts
@@ -6,7 +6,7 @@
 import type { ClaimManager } from "./claims/claimManager.js";
 import type { ResumeTokens } from "./resumption/resumeToken.js";
 
-/** The parts of the process that a caller's request passes through. */
+/** The parts of the process that serving a caller's request uses. */
 export interface ProcessParts {
     readonly configurationManager: Pick<FleetConfigurationManager, "pin">;
     readonly router: Router;
@@ -19,7 +19,7 @@
     readonly eventLog: EventLog;
 }
 
-/** All that the steps of a request use. */
+/** All parts that the steps of a request use. */
 export interface RequestParts extends ProcessParts {
     readonly retryBudget: RetryBudget;
     readonly resumeTokens: ResumeTokens;
--- a/packages/daisyturn/src/request/resumption/__tests__/resumeToken.test.ts
+++ b/packages/daisyturn/src/request/resumption/__tests__/resumeToken.test.ts
@@ -15,7 +15,7 @@
     concurrentRequests: 1,
 };
 
-test("a token is good until it expires, for its own account, under the keys of today", async () => {
+test("a token is valid until it expires, only for its own account and while its key is configured", async () => {
     const clock = new FakeClock();
     const ticket = {
         partner: account.partner,
--- a/packages/daisyturn/src/request/resumption/continueAnswer.ts
+++ b/packages/daisyturn/src/request/resumption/continueAnswer.ts
@@ -11,7 +11,7 @@
 import type { RequestParts } from "../requestParts.js";
 import type { ResumeRequest } from "./resumeHeaders.js";
 
-/** Goes on with an answer: from the engine that has it, else by having it made again from the caller's offset on. */
+/** Continues an answer from the engine that has its stream, or generates the rest again from the caller's offset. */
 export async function continueAnswer(
     parts: RequestParts,
     exchange: CallerExchange,
@@ -54,7 +54,7 @@
     });
 }
 
-/** Attaching is not new work, so a closed gate is no hindrance: a drained engine still ends its streams. */
+/** Attaches to the stream even if the gate is closed, since a drained engine still completes its streams. */
 async function relayAttached(
     parts: RequestParts,
     exchange: CallerExchange,
@@ -91,7 +91,10 @@
     }
 }
 
-/** Another engine may only go on where it is sure to make the same text, or is given the text to go on from. */
+/**
+ * Generates the rest at another engine. This requires that sampling is deterministic, so that the text is the same, or
+ * that the caller has sent the text received so far.
+ */
 function regenerate(
     parts: RequestParts,
     resumption: ResumeRequest,
--- a/packages/daisyturn/src/request/resumption/handleResume.ts
+++ b/packages/daisyturn/src/request/resumption/handleResume.ts
@@ -16,7 +16,7 @@
 
 type ResumeBody = z.infer<typeof bodySchema>;
 
-/** Serves `POST /v1/resume`, whose body may hold the original request and the text received so far. */
+/** Serves `POST /v1/resume`, whose body may contain the original request and the text received so far. */
 export function handleResume(parts: RequestParts, exchange: CallerExchange): Promise<Result<void, Failure>> {
     return serveWithPinnedVersion(parts, exchange, head => serveResumption(parts, exchange, head));
 }
--- a/packages/daisyturn/src/request/resumption/resumeHeaders.ts
+++ b/packages/daisyturn/src/request/resumption/resumeHeaders.ts
@@ -6,19 +6,19 @@
 import type { RequestParts } from "../requestParts.js";
 import type { ResumeTicket } from "./resumeToken.js";
 
-/** What a caller shows who goes on with an answer. */
+/** Headers of a request that resumes an answer. */
 export interface ResumeHeaders {
     readonly token: string;
     readonly ticket: ResumeTicket;
-    /** Tokens that the caller has. */
+    /** Number of tokens that the caller has received. */
     readonly offset: number;
 }
 
-/** A demand with what helps if the engine has lost the stream. */
+/** A resumption, with the data that allows another engine to generate the rest if the stream is lost. */
 export interface ResumeRequest extends ResumeHeaders {
-    /** The original request, sent again. */
+    /** The original request, if the caller sent it again. */
     readonly request?: ModelRequest;
-    /** Text of the tokens that the caller has. */
+    /** Text of the tokens that the caller has received. */
     readonly receivedText?: string;
     /** Wall-clock time in milliseconds. */
     readonly deadline?: number;
@@ -26,7 +26,7 @@
 
 const offsetPattern = /^\d{1,9}$/;
 
-/** Reads the headers of a resumption; undefined if there is no token. */
+/** Reads the headers of a resumption. Returns undefined if there is no token. */
 export function readResumeHeaders(
     parts: RequestParts,
     exchange: CallerExchange,
--- a/packages/daisyturn/src/request/resumption/resumeToken.ts
+++ b/packages/daisyturn/src/request/resumption/resumeToken.ts
@@ -8,30 +8,30 @@
 const ticketSchema = z.object({
     partner: z.string(),
     account: z.string(),
-    /** Id under which the answer was begun; its chunks keep it. */
+    /** Id of the request that started the answer; all chunks of the answer carry it. */
     requestId: z.string(),
     form: z.enum(CompletionForm),
     serviceName: z.string(),
     includeUsage: z.boolean(),
-    /** Wall-clock time, in milliseconds, at which the answer was begun. */
+    /** Wall-clock time, in milliseconds, at which the answer was started. */
     createdAt: z.number(),
-    /** Fingerprint of what was asked, so that another request is not continued by mistake. */
+    /** Fingerprint of the request, so that the answer is not continued for another request. */
     requestHash: z.string(),
     engine: z.string(),
     streamId: z.string(),
-    /** Tokens delivered when this stream was begun; it holds nothing before them. */
+    /** Number of tokens delivered before this stream started; the stream does not contain them. */
     offset: z.int().min(0),
     /** Wall-clock time, in milliseconds, from which the ticket is refused. */
     expiresAt: z.number(),
 });
 
-/** What another entry process needs to go on with an answer. */
+/** The data that another entry process needs to continue an answer. */
 export type ResumeTicket = z.infer<typeof ticketSchema>;
 
-/** Turns tickets into signed text and back. */
+/** Signs tickets as tokens and verifies tokens. */
 export interface ResumeTokens {
     sign(ticket: ResumeTicket): string;
-    /** Refuses what is not signed by the fleet, has expired or belongs to another account. */
+    /** Refuses a token that was not signed by the fleet, has expired or belongs to another account. */
     verify(token: string, account: CallerAccount): Result<ResumeTicket, Failure>;
 }
 
@@ -39,9 +39,9 @@
 const tokenPattern = /^([\w-]+)\.([\w-]+)$/;
 
 /**
- * Creates the signer of one process. All entry processes share the keys.
- * @param keys the first signs; a second one, older or newer, is accepted too, so that keys can be changed one process
- * at a time
+ * Creates the resume tokens of one process. All entry processes share the keys.
+ * @param keys the first key signs; tokens signed with any other, older or newer, are also accepted, so that keys can be
+ * rotated one process at a time
  */
 export function createResumeTokens(keys: readonly string[], clock: Clock): ResumeTokens {
     const signingKey = keys[0];
--- a/packages/daisyturn/src/request/retryPolicy.ts
+++ b/packages/daisyturn/src/request/retryPolicy.ts
@@ -1,12 +1,12 @@
 import { type Clock, ExecutionVerdict, type Failure, FailureReason, mayHaveRun, notRun } from "daisyturn-utils";
 
-/** Attempts of one request, the first included. */
+/** Maximum number of attempts of one request, including the first. */
 export const maxAttempts = 5;
 
-/** When to ask again if nobody has said anything better. */
+/** Retry delay for failures that specify none. */
 const defaultRetryDelayMilliseconds = 1_000;
 
-/** Reasons that lie with the target or the moment, so that another target or another moment may do better. */
+/** Reasons that depend on the target or the time, so that another target or a later attempt may succeed. */
 const transientReasons: ReadonlySet<FailureReason> = new Set([
     FailureReason.Overloaded,
     FailureReason.NoTarget,
@@ -18,21 +18,21 @@
     FailureReason.PeerUnavailable,
 ]);
 
-/** Whether another target may succeed where one failed. */
+/** Whether another target or a later attempt may succeed. */
 export function isTransientFailure(failure: Failure): boolean {
     return transientReasons.has(failure.reason);
 }
 
-/** Whether a call may be sent again after a failure. */
+/** Whether a call may be sent again after a failure, because it is idempotent or has certainly not run. */
 export function isSafeToRetry(failure: Failure, idempotent: boolean): boolean {
     return idempotent || failure.verdict === ExecutionVerdict.NotRun;
 }
 
-/** Failures of one request's attempts, from which its final answer is made. */
+/** Failures of the attempts of one request, from which its final failure is created. */
 export interface FailureHistory {
     record(failure: Failure): void;
     readonly attempts: number;
-    /** The final failure: it may have run if any attempt may have. */
+    /** Creates the final failure. Its verdict is MayHaveRun if any attempt may have run. */
     conclude(last: Failure): Failure;
 }
 
@@ -53,8 +53,7 @@
 }
 
 /**
- * Adds the time of a retry where one makes sense and nobody has named it: after a passing trouble, if a repeated
- * request can do no harm.
+ * Adds a retry time to a failure that has none, if it is transient and a repeated request is safe.
  */
 export function addRetryTime(failure: Failure, clock: Clock, idempotent: boolean): Failure {
     if (failure.retryAt !== undefined || !isTransientFailure(failure) || !isSafeToRetry(failure, idempotent)) {
--- a/packages/daisyturn/src/request/sendCall.ts
+++ b/packages/daisyturn/src/request/sendCall.ts
@@ -6,7 +6,7 @@
 import type { RequestParts } from "./requestParts.js";
 import { createFailureHistory, isSafeToRetry, isTransientFailure, maxAttempts } from "./retryPolicy.js";
 
-/** A call and what decides whether it may be sent again. */
+/** A call to be sent, and the conditions for sending it again. */
 export interface SentCall {
     readonly requestId: string;
     readonly service: Service;
@@ -20,8 +20,8 @@
 const maxFinalStatus = 599;
 
 /**
- * Sends a call to one target after the other until one answers. After a failure that leaves open whether the call ran,
- * only an idempotent call is sent again.
+ * Sends a call to one target after the other until one answers. After a failure with an unknown outcome, only an
+ * idempotent call is sent again.
  */
 export async function sendCall(parts: RequestParts, sent: SentCall): Promise<Result<ServiceAnswer, Failure>> {
     const history = createFailureHistory();
@@ -55,7 +55,7 @@
     }
 }
 
-/** Nothing may be awaited between the gate's answer, asked by the choice, and the send. */
+/** Sends the call once. There must be no await between the check of the gate by `chooseTarget` and the send. */
 async function sendOnce(
     parts: RequestParts,
     sent: SentCall,
@@ -78,7 +78,7 @@
     }
 }
 
-/** An answer that could not be passed on as it is counts as a failure of the target. */
+/** Treats an answer that cannot be sent to the caller unchanged as a failure of the target. */
 function checkAnswer(answer: ServiceAnswer): Result<ServiceAnswer, Failure> {
     const isFinal = answer.status >= minFinalStatus && answer.status <= maxFinalStatus;
     return isFinal
@@ -86,7 +86,7 @@
         : err(mayHaveRun(FailureReason.TargetFailed, "The service answered with a status that is not final."));
 }
 
-/** The open target with the fewest calls of this process; those that failed come last. */
+/** Chooses the open target with the fewest calls of this process. Targets that failed are chosen last. */
 function chooseTarget(parts: RequestParts, service: Service, failed: ReadonlySet<string>): string | undefined {
     const open = (service.targets ?? []).filter(name => parts.gate.isOpen(name));
     const untried = open.filter(name => !failed.has(name));
--- a/packages/daisyturn/src/request/servicePath.ts
+++ b/packages/daisyturn/src/request/servicePath.ts
@@ -2,19 +2,19 @@
 import { err, ok, type Result } from "true-myth/result";
 import type { Service, ServiceRoute } from "../version/configurationItems.js";
 
-/** Path under which plain services stand. */
+/** Path under which plain services are served. */
 export const servicePathPrefix = "/services/";
 
-/** A path under the prefix, split. */
+/** Parts of a path under the prefix. */
 export interface ServicePath {
     readonly serviceName: string;
-    /** What follows the name, with a leading slash. */
+    /** The rest after the name, with a leading slash. */
     readonly path: string;
 }
 
 /**
- * Parts of a path that a target may read otherwise than this process, and so take the call for one of another route:
- * dot segments, empty segments, backslashes, encoded slashes and dots, and parameters after a semicolon.
+ * Parts of a path that a target may interpret differently than this process, so that it runs the call under another
+ * route: dot segments, empty segments, backslashes, encoded slashes and dots, and parameters after a semicolon.
  */
 const ambiguousPattern = /\/\.{1,2}(\/|$)|\/\/|\\|;|%(2e|2f|5c|3b|00)/i;
 
@@ -32,7 +32,7 @@
     );
 }
 
-/** Whether a call may be repeated: only if the route with the longest matching prefix says so. */
+/** Whether a call is idempotent according to the route with the longest matching prefix. */
 export function isIdempotentCall(service: Service, method: string, path: string): boolean {
     const routes = (service.routes ?? []).filter(route => route.method === method && isUnder(path, route.pathPrefix));
     const longest = routes.reduce<ServiceRoute | undefined>(
@@ -42,7 +42,7 @@
     return longest?.idempotent ?? false;
 }
 
-/** A prefix ends at a slash: `/quotes` does not cover `/quotes-confirm`. */
+/** A prefix matches whole segments only: `/quotes` does not match `/quotes-confirm`. */
 function isUnder(path: string, prefix: string): boolean {
     return path === prefix || path.startsWith(prefix.endsWith("/") ? prefix : `${prefix}/`);
 }
