--- a/packages/daisyturn/src/process/forwarding/limits/__tests__/createOverloadGuard.test.ts
+++ b/packages/daisyturn/src/process/forwarding/limits/__tests__/createOverloadGuard.test.ts
@@ -3,7 +3,7 @@
 import { test } from "node:test";
 import { createOverloadGuard } from "../createOverloadGuard.js";
 
-/** A clock on which each sleep ends as late as the test says. */
+/** A clock on which each sleep ends `late` milliseconds after its deadline. */
 class LateClock extends Clock {
     late = 0;
     now = 0;
@@ -22,11 +22,11 @@
     }
 }
 
-function createGuard(clock: Clock, eventLog: MemoryEventLog, takeUtilization = () => 0.3) {
-    return createOverloadGuard({ clock, random: createSeededRandom(1), eventLog, takeUtilization });
+function createGuard(clock: Clock, eventLog: MemoryEventLog, sampleUtilization = () => 0.3) {
+    return createOverloadGuard({ clock, random: createSeededRandom(1), eventLog, sampleUtilization });
 }
 
-test("refusals grow with the lag and fade with it, and a lasting lag sends new connections elsewhere", async () => {
+test("refusals increase and decrease with the lag, and a lasting lag counts as a persistent overload", async () => {
     const clock = new LateClock();
     const eventLog = new MemoryEventLog();
     const guard = createGuard(clock, eventLog);
@@ -49,17 +49,17 @@
     await turns(6);
     const most = refusedOf1000();
     assert.ok(most > 850 && most < 950, `${most}`);
-    assert.equal(guard.isOverwhelmed(), true);
+    assert.equal(guard.isPersistentlyOverloaded(), true);
     clock.late = 1;
     await turns(60);
     assert.equal(refusedOf1000(), 0);
-    assert.equal(guard.isOverwhelmed(), false);
+    assert.equal(guard.isPersistentlyOverloaded(), false);
     assert.deepEqual(eventLog.events.map(event => event.kind), [EventKind.Overloaded, EventKind.BackInService]);
     stop.abort();
     await running;
 });
 
-test("calls are refused within a turn that is long already, before any timer could fire", async () => {
+test("calls are refused within a long turn of the event loop before any timer can fire", async () => {
     const clock = new LateClock();
     const guard = createGuard(clock, new MemoryEventLog());
     const stop = new AbortController();
@@ -72,7 +72,7 @@
     await running;
 });
 
-test("an event loop that is never idle refuses more and more, and fewer again once it has idle time", async () => {
+test("refusals increase while the event loop is never idle and decrease once it has idle time", async () => {
     const clock = new LateClock();
     let utilization = 1;
     const guard = createGuard(clock, new MemoryEventLog(), () => utilization);
@@ -89,16 +89,16 @@
     assert.ok(early > 50 && early < 500, `${early}`);
     await turns(40);
     assert.ok(refusedOf1000() > 850);
-    assert.equal(guard.isOverwhelmed(), true);
+    assert.equal(guard.isPersistentlyOverloaded(), true);
     utilization = 0.6;
     await turns(80);
     assert.equal(refusedOf1000(), 0);
-    assert.equal(guard.isOverwhelmed(), false);
+    assert.equal(guard.isPersistentlyOverloaded(), false);
     stop.abort();
     await running;
 });
 
-test("a process without calls sets no timer, and measures again from the next call on", async () => {
+test("a process without calls sets no timer and resumes measuring with the next call", async () => {
     const clock = new FakeClock();
     let timers = 0;
     class CountingClock extends Clock {
--- a/packages/daisyturn/src/process/forwarding/stages/__tests__/createRecentPeak.test.ts
+++ b/packages/daisyturn/src/process/forwarding/stages/__tests__/createRecentPeak.test.ts
@@ -3,18 +3,18 @@
 import { test } from "node:test";
 import { createRecentPeak } from "../createRecentPeak.js";
 
-test("tells the most of the last while, and forgets what is older", async () => {
+test("returns the maximum within the window and ignores older values", async () => {
     const clock = new FakeClock();
     const peak = createRecentPeak(clock, 1_000);
-    assert.equal(peak.most(), 0);
-    peak.note(5);
+    assert.equal(peak.max(), 0);
+    peak.record(5);
     await clock.advance(600);
-    peak.note(2);
+    peak.record(2);
     await clock.advance(200);
-    peak.note(3);
-    assert.equal(peak.most(), 5);
+    peak.record(3);
+    assert.equal(peak.max(), 5);
     await clock.advance(300);
-    assert.equal(peak.most(), 3);
+    assert.equal(peak.max(), 3);
     await clock.advance(1_000);
-    assert.equal(peak.most(), 0);
+    assert.equal(peak.max(), 0);
 });
