--- a/packages/daisyturn/src/request/__fixtures__/claimWorld.ts
+++ b/packages/daisyturn/src/request/__fixtures__/claimWorld.ts
@@ -103,7 +103,7 @@
                 { label: "commits", run: () => apply(transaction) },
                 { label: "commits, answer slow", run: () => apply(transaction), isSlow: true },
                 { label: "commits, answer lost", run: () => runAndForget(effect) },
-                { label: "is done late", run: () => runAndForget(() => schedule.doLater(effect)) },
+                { label: "takes effect late", run: () => runAndForget(() => schedule.doLater(effect)) },
                 { label: "is lost", run: () => unknown },
                 { label: "is refused", run: () => refused },
             ],
--- a/packages/daisyturn/src/request/forwarding/runPromptCall.ts
+++ b/packages/daisyturn/src/request/forwarding/runPromptCall.ts
@@ -37,7 +37,7 @@
 const maxWaitFraction = 0.25;
 /** A release that takes longer is abandoned; the KV cache then expires at the engine. */
 const releaseTimeoutMilliseconds = 500;
-const releaseTimeout = notRun(FailureReason.DeadlinePassed, "The engine did not free the KV cache in time.");
+const releaseTimeoutFailure = notRun(FailureReason.DeadlinePassed, "The engine did not free the KV cache in time.");
 
 /**
  * Answers a prompt with prefill and decode at two engines or at one, whichever is sooner. After a failure, continues at
@@ -231,7 +231,7 @@
 /** Frees a KV cache that no engine will fetch. If that fails, the cache expires on its own. */
 function releaseKv(parts: ForwardingParts, context: CallContext, source: KvSource): void {
     const controller = new AbortController();
-    const timer = setTimeout(() => controller.abort(releaseTimeout), releaseTimeoutMilliseconds);
+    const timer = setTimeout(() => controller.abort(releaseTimeoutFailure), releaseTimeoutMilliseconds);
     const sink = { onHead: () => undefined, onChunk: () => undefined };
     const send = {
         head: parts.protocol.encodeKvRelease(source.handle),
