--- a/packages/daisyturn/src/request/answer/answerChannel.ts
+++ b/packages/daisyturn/src/request/answer/answerChannel.ts
@@ -5,99 +5,101 @@
 import { type CompletionNames, createCompletionWriter } from "../completion/completionText.js";
 import { buildErrorBody } from "./answer.js";
 
-/** Where an answer comes from at the moment. */
+/** The engine stream that currently provides an answer. */
 export interface AnswerSource {
     readonly engine: string;
     readonly streamId: string;
-    /** Tokens delivered before this stream began. */
+    /** Number of tokens delivered before this stream started. */
     readonly offset: number;
 }
 
-/** Carries one completion to the caller, streamed or whole. */
+/** Sends one completion to the caller, streamed or as one answer. */
 export interface AnswerChannel {
-    /** Tells that the following tokens come from this stream. */
-    announce(source: AnswerSource): void;
-    /** A promise is returned only if the caller reads too slowly. */
+    /** Sets the stream that provides the following tokens. */
+    setSource(source: AnswerSource): void;
+    /** Sends tokens. Returns a promise only if the caller reads too slowly. */
     deliver(tokens: StreamTokens): Promise<void> | undefined;
     finish(end: StreamEnd): void;
-    /** Tells the failure inside a stream that has begun; otherwise hands it back for a refusal. */
+    /** Sends the failure as an event if the stream has started; otherwise returns it, to refuse the request. */
     fail(failure: Failure): Result<void, Failure>;
 }
 
-/** What a streamed answer is made with. */
+/** Options of {@link createStreamedChannel}. */
 export interface StreamedChannelOptions {
     readonly names: CompletionNames;
     readonly includeUsage: boolean;
-    /** Makes the token with which the caller can go on elsewhere. */
+    /** Creates the token with which the caller can resume the answer at any entry process. */
     readonly signResumeToken: (source: AnswerSource) => string;
-    /** Set where the caller goes on with an answer and has its beginning. */
+    /** The caller's token, if it resumes an answer whose beginning it already has. */
     readonly resumeToken?: string;
 }
 
-/** Creates a channel that passes each piece on as a server-sent event. */
+/** Creates a channel that sends tokens as server-sent events when they arrive. */
 export function createStreamedChannel(exchange: CallerExchange, options: StreamedChannelOptions): AnswerChannel {
-    const texts = createCompletionWriter(options.names);
+    const completionWriter = createCompletionWriter(options.names);
     let resumeToken = options.resumeToken;
-    let writer: EventWriter | undefined;
+    let eventWriter: EventWriter | undefined;
 
-    /** The header goes out with the first token, so that until then a refusal still has its own status. */
+    /** Sends the header with the first event, so that a refusal before it still has its own status. */
     const write = (event: string) => {
-        if (writer) {
-            return writer.write(event);
+        if (eventWriter) {
+            return eventWriter.write(event);
         }
-        writer = exchange.openEventStream(resumeToken === undefined ? {} : { "X-Resume-Token": resumeToken });
-        return writer.write(`${describeBeginning()}${event}`);
+        eventWriter = exchange.openEventStream(resumeToken === undefined ? {} : { "X-Resume-Token": resumeToken });
+        return eventWriter.write(`${createOpeningEvents()}${event}`);
     };
 
-    /** A caller that goes on has the beginning, but not the token of an engine that made the rest anew. */
-    const describeBeginning = () => {
+    /** A caller that resumes has the first event, but needs a new token if another engine generates the rest. */
+    const createOpeningEvents = () => {
         if (options.resumeToken === undefined) {
-            return texts.opening(resumeToken);
+            return completionWriter.opening(resumeToken);
         }
-        return resumeToken === undefined || resumeToken === options.resumeToken ? "" : texts.moved(resumeToken);
+        return resumeToken === undefined || resumeToken === options.resumeToken
+            ? ""
+            : completionWriter.resumeTokenEvent(resumeToken);
     };
 
-    const announce = (source: AnswerSource) => {
+    const setSource = (source: AnswerSource) => {
         resumeToken = options.signResumeToken(source);
-        if (writer) {
-            void writer.write(texts.moved(resumeToken));
+        if (eventWriter) {
+            void eventWriter.write(completionWriter.resumeTokenEvent(resumeToken));
         }
     };
 
     const finish = (end: StreamEnd) => {
-        void write(texts.closing(end, options.includeUsage));
-        writer?.end();
+        void write(completionWriter.closing(end, options.includeUsage));
+        eventWriter?.end();
     };
 
     const fail = (failure: Failure): Result<void, Failure> => {
-        if (!writer) {
+        if (!eventWriter) {
             return err(failure);
         }
-        void writer.write(`data: ${JSON.stringify(buildErrorBody(failure))}\n\n`);
-        writer.end();
+        void eventWriter.write(`data: ${JSON.stringify(buildErrorBody(failure))}\n\n`);
+        eventWriter.end();
         return ok(undefined);
     };
 
     return {
-        announce,
-        deliver: tokens => write(texts.tokens(tokens.text, tokens.offset + tokens.tokenCount)),
+        setSource,
+        deliver: tokens => write(completionWriter.tokens(tokens.text, tokens.offset + tokens.tokenCount)),
         finish,
         fail,
     };
 }
 
-/** Creates a channel that answers only once the answer is whole. */
-export function createWholeChannel(exchange: CallerExchange, names: CompletionNames): AnswerChannel {
-    const texts = createCompletionWriter(names);
+/** Creates a channel that sends the answer once it is complete. */
+export function createBufferedChannel(exchange: CallerExchange, names: CompletionNames): AnswerChannel {
+    const completionWriter = createCompletionWriter(names);
     let text = "";
     return {
-        announce: () => undefined,
+        setSource: () => undefined,
         deliver: tokens => {
             text += tokens.text;
             return undefined;
         },
         finish: end => {
-            exchange.answer({ status: 200, contentType: "application/json", body: texts.whole(text, end) });
+            exchange.answer({ status: 200, contentType: "application/json", body: completionWriter.whole(text, end) });
         },
         fail: failure => err(failure),
     };
--- a/packages/daisyturn/src/request/answer/followStream.ts
+++ b/packages/daisyturn/src/request/answer/relayStream.ts
@@ -3,10 +3,10 @@
 import type { Engine, StreamEnd, StreamEvent } from "../../ports/engine.js";
 import type { RequestParts } from "../requestParts.js";
 import type { AnswerProgress } from "./answerProgress.js";
-import { relay, type TokenSink } from "./relay.js";
+import { relayEvents, type TokenSink } from "./relayEvents.js";
 
-/** A stream at an engine, and where its tokens go. */
-export interface FollowedStream {
+/** A stream of an engine, and the sink of its tokens. */
+export interface RelayedStream {
     readonly requestId: string;
     readonly engine: Engine;
     readonly streamId: string;
@@ -14,37 +14,38 @@
     readonly progress: AnswerProgress;
     readonly sink: TokenSink;
     readonly signal: AbortSignal;
-    /** Whether the events come from `generate`, whose signal cancels the work; those of `resume` have to be cancelled. */
+    /** Whether the stream comes from `generate`, whose signal cancels the work. One from `resume` must be cancelled. */
     readonly isGenerated: boolean;
 }
 
-/** Resumptions of one stream without a single new token in between. */
-const maxVainResumptions = 2;
-/** Resumptions of one stream in all. */
+/** Limit of consecutive resumptions of one stream without a new token. */
+const maxResumptionsWithoutProgress = 2;
+/** Limit of all resumptions of one stream. */
 const maxResumptions = 8;
-/** Longest wait for the engine to take up a broken stream again. */
-const resumeLimitMilliseconds = 2_000;
-/** Limit of a cancellation, which nobody waits for. */
-const cancelLimitMilliseconds = 5_000;
+/** Time limit for an engine to resume a broken stream. */
+const resumeTimeoutMilliseconds = 2_000;
+/** Time limit of a cancellation, whose result is not awaited. */
+const cancelTimeoutMilliseconds = 5_000;
 
 /**
- * Relays a stream to its end mark. Where the connection breaks, it is resumed at the same engine, which has gone on.
- * A stream that can't be brought to its end is cancelled at the engine.
+ * Relays a stream to its end mark. If the connection breaks, the stream is resumed at the same engine, which has
+ * continued to generate. A stream that cannot be completed is cancelled at the engine.
  */
-export async function followStream(parts: RequestParts, stream: FollowedStream): Promise<Result<StreamEnd, Failure>> {
+export async function relayStream(parts: RequestParts, stream: RelayedStream): Promise<Result<StreamEnd, Failure>> {
     const { progress, signal } = stream;
     let source: AttachedStream = stream.source;
-    let vainResumptions = 0;
+    let resumptionsWithoutProgress = 0;
     for (let resumptions = 0;; resumptions++) {
         const startOffset = progress.offset;
-        const end = await relay(source.events, progress, stream.sink, signal);
+        const end = await relayEvents(source.events, progress, stream.sink, signal);
         source.detach();
         if (end.isOk) {
             return end;
         }
-        vainResumptions = progress.offset > startOffset ? 0 : vainResumptions + 1;
-        const isHopeless = vainResumptions > maxVainResumptions || resumptions >= maxResumptions;
-        const resumed = signal.aborted || isHopeless ? undefined : await resume(parts, stream);
+        resumptionsWithoutProgress = progress.offset > startOffset ? 0 : resumptionsWithoutProgress + 1;
+        const hasReachedLimit = resumptionsWithoutProgress > maxResumptionsWithoutProgress
+            || resumptions >= maxResumptions;
+        const resumed = signal.aborted || hasReachedLimit ? undefined : await resume(parts, stream);
         if (!resumed?.isOk) {
             if (!signal.aborted || !stream.isGenerated || resumptions > 0) {
                 cancelStream(parts, stream.engine, stream.streamId);
@@ -55,19 +56,19 @@
     }
 }
 
-/** Cancels work that nobody waits for any more; whether that succeeds changes nothing for the caller. */
+/** Cancels work whose result is no longer needed. A failed cancellation has no effect on the caller. */
 export function cancelStream(parts: RequestParts, engine: Engine, streamId: string): void {
-    void engine.cancel(streamId, parts.clock.monotonicNow() + cancelLimitMilliseconds);
+    void engine.cancel(streamId, parts.clock.monotonicNow() + cancelTimeoutMilliseconds);
 }
 
-/** A stream that was taken up again. */
+/** A stream of events that was attached to a request. */
 export interface AttachedStream {
     readonly events: AsyncIterable<StreamEvent>;
-    /** Lets go of the request's signal; to be called once when the stream is not read any more. */
+    /** Removes the listener from the request's signal. Must be called once, when the stream is no longer read. */
     detach(): void;
 }
 
-/** Attaches to a stream again, waiting for the engine only for a bounded time. */
+/** Attaches to an existing stream of an engine, within a time limit. */
 export async function attachStream(
     parts: RequestParts,
     engine: Engine,
@@ -77,17 +78,17 @@
 ): Promise<Result<AttachedStream, Failure>> {
     const attachment = new AbortController();
     const opened = new AbortController();
-    const follow = () => attachment.abort();
-    const detach = () => signal.removeEventListener("abort", follow);
-    const limitOpening = async () => {
-        await parts.clock.sleepUntil(parts.clock.monotonicNow() + resumeLimitMilliseconds, opened.signal);
+    const abortAttachment = () => attachment.abort();
+    const detach = () => signal.removeEventListener("abort", abortAttachment);
+    const abortAfterTimeout = async () => {
+        await parts.clock.sleepUntil(parts.clock.monotonicNow() + resumeTimeoutMilliseconds, opened.signal);
         if (!opened.signal.aborted) {
             attachment.abort();
         }
     };
 
-    signal.addEventListener("abort", follow, { once: true });
-    void limitOpening();
+    signal.addEventListener("abort", abortAttachment, { once: true });
+    void abortAfterTimeout();
     const events = await engine.resume(streamId, offset, attachment.signal);
     opened.abort();
     if (events.isErr) {
@@ -98,7 +99,7 @@
     return ok({ events: events.value, detach });
 }
 
-async function resume(parts: RequestParts, stream: FollowedStream): Promise<Result<AttachedStream, Failure>> {
+async function resume(parts: RequestParts, stream: RelayedStream): Promise<Result<AttachedStream, Failure>> {
     const { engine, streamId, progress, signal } = stream;
     const resumed = await attachStream(parts, engine, streamId, progress.offset, signal);
     parts.eventLog.record(EventKind.RequestResumed, {
--- /dev/null
+++ b/packages/daisyturn/src/request/forwarding/callContext.ts
@@ -0,0 +1,90 @@
+import { type Clock, EventKind, ExecutionVerdict, type Failure, FailureReason, notRun } from "daisyturn-utils";
+import type { ForwardExchange } from "../../connection/forwarding/forwardExchange.js";
+import type { ForwardedCall } from "../../ports/forwardedCall.js";
+import { CallKind, type ForwardRoute, type ForwardService } from "../../version/forwarding/forwardingConfiguration.js";
+import { createFailureHistory, type FailureHistory, isSafeToRetry, isTransientFailure } from "../retryPolicy.js";
+import type { ForwardingParts } from "./forwardingParts.js";
+import type { RequestTrace } from "./requestTrace.js";
+
+/** A forwarded call that is being served, and the results of its attempts. */
+export interface CallContext {
+    readonly call: ForwardedCall;
+    readonly route: ForwardRoute;
+    readonly service: ForwardService;
+    /** Smallest target pause of the routes of the service, in milliseconds. */
+    readonly pauseAim: number;
+    readonly exchange: ForwardExchange;
+    /** Aborted with a `Failure` as its reason once the caller has disconnected or the deadline has passed. */
+    readonly signal: AbortSignal;
+    /** Monotonic time by which the answer must be complete. */
+    readonly deadline: number;
+    readonly history: FailureHistory;
+    readonly trace: RequestTrace;
+    /** Targets that failed this call. */
+    readonly avoid: Set<string>;
+    /** Targets to which this call was sent to be run. Prefills are not counted. */
+    readonly attemptedTargets: Set<string>;
+}
+
+/** Bounds all attempts of a call, including those that never reached a target and therefore cost no retry budget. */
+const maxTotalAttempts = 4;
+/** A target that restarts, or an engine that takes over the stage of another, needs a few seconds. */
+const noTargetRetryDelayMilliseconds = 1_500;
+/** With less time left than this, another attempt would only add load. */
+const minRetryMilliseconds = 30;
+
+/** Creates the context of a call before its first attempt. */
+export function createCallContext(start: Omit<CallContext, "history" | "avoid" | "attemptedTargets">): CallContext {
+    return { ...start, history: createFailureHistory(), avoid: new Set(), attemptedTargets: new Set() };
+}
+
+/** Whether a call that may have run may be sent again; a stream is resumed after its last event. */
+export function isRepeatable(route: ForwardRoute): boolean {
+    return route.kind === CallKind.Idempotent || (route.kind === CallKind.Stream && route.isResumable);
+}
+
+/** Creates the final failure of a call: the reason why it ended, and whether any attempt may have run. */
+export function createFinalFailure(context: CallContext, last: Failure): Failure {
+    return context.history.conclude(context.signal.aborted ? context.signal.reason as Failure : last);
+}
+
+/**
+ * Records a failed attempt and acquires a retry, within the route's limit and the fleet's retry budget.
+ * @param isReached whether the call was sent to the target; a connection that could not be opened costs no budget
+ */
+export function tryAcquireRetry(
+    parts: ForwardingParts,
+    context: CallContext,
+    failure: Failure,
+    isReached: boolean,
+): boolean {
+    context.history.record(failure);
+    const hasTime = context.deadline - parts.clock.monotonicNow() > minRetryMilliseconds;
+    const isWorthwhile = isTransientFailure(failure) && context.history.attempts < maxTotalAttempts;
+    const isAllowed = isSafeToRetry(failure, isRepeatable(context.route));
+    if (context.signal.aborted || !hasTime || !isWorthwhile || !isAllowed) {
+        return false;
+    }
+    const hasUsedAllAttempts = isReached && context.attemptedTargets.size >= context.route.maxAttempts;
+    if (hasUsedAllAttempts || (isReached && !parts.budget.tryAcquire(context.service.name))) {
+        return false;
+    }
+    context.trace.record(EventKind.RequestRetried, {
+        reason: failure.reason,
+        verdict: failure.verdict,
+        attempts: context.history.attempts,
+        cause: failure.message,
+    });
+    return true;
+}
+
+/** Creates the failure of a call for which no target is open. */
+export function createNoTargetFailure(context: Pick<CallContext, "service">, clock: Clock): Failure {
+    const message = `No target of service ${context.service.name} is open.`;
+    return notRun(FailureReason.NoTarget, message, clock.wallNow() + noTargetRetryDelayMilliseconds);
+}
+
+/** Whether a failed attempt had reached its target. */
+export function hasReachedTarget(failure: Failure): boolean {
+    return failure.verdict === ExecutionVerdict.MayHaveRun || failure.reason === FailureReason.TargetRefused;
+}
--- a/packages/daisyturn/src/request/forwarding/requestTrace.ts
+++ b/packages/daisyturn/src/request/forwarding/requestTrace.ts
@@ -1,37 +1,37 @@
 import { type EventFields, type EventKind, type EventLog, hashTextTo32Bits } from "daisyturn-utils";
 
 /**
- * The decisions that touched one call, kept until its end is known. A call that failed or came late is logged whole, an
- * ordinary one only if it is among those sampled: so the log of any failed call is complete, and what succeeds costs
- * nearly nothing.
+ * Buffers the decisions about one call until its outcome is known. The trace of a call that failed or was late is
+ * always logged; that of an ordinary call only if the call is sampled. So the log of every failed call is complete, and
+ * successful calls cost almost nothing.
  */
 export interface RequestTrace {
     record(kind: EventKind, fields: EventFields): void;
-    /** Fields that the last line repeats, so that it tells why the call ended even where the lines before it were dropped. */
-    repeatAtEnd(fields: EventFields): void;
-    /** Notes how the call ended. */
+    /** Adds fields to the last line, so that it shows why the call ended even if earlier lines were dropped. */
+    addSummaryFields(fields: EventFields): void;
+    /** Records how the call ended. */
     recordEnd(kind: EventKind, fields: EventFields): void;
-    /** Logs what was noted, or forgets it. */
+    /** Logs the recorded entries, or discards them. */
     end(isOrdinary: boolean): void;
 }
 
-/** Every so many-th ordinary call is logged, where nothing else is set. */
+/** One in this many ordinary calls is logged by default. */
 export const defaultSampledCalls = 64;
-/** Decisions kept of one call; a call is tried a few times at most. */
-const mostNotes = 24;
+/** Entries retained for one call; a call has only a few attempts. */
+const maxEntries = 24;
 
-interface Note {
+interface TraceEntry {
     readonly kind: EventKind;
     readonly fields: EventFields;
 }
 
-/** What {@link createRequestTrace} needs. */
+/** Options of {@link createRequestTrace}. */
 export interface RequestTraceOptions {
     readonly eventLog: EventLog;
-    /** Every so many-th ordinary call is logged; chosen by its identifier, so that all processes choose the same. */
+    /** One in this many ordinary calls is logged, chosen by its identifier, so that all processes choose the same. */
     readonly sampledCalls: number;
     readonly callId: string;
-    /** Monotonic time, as told by `now`. */
+    /** Monotonic time, on the clock of `now`. */
     readonly arrivedAt: number;
     readonly now: () => number;
 }
@@ -39,23 +39,23 @@
 /** Creates the trace of one call. */
 export function createRequestTrace(options: RequestTraceOptions): RequestTrace {
     const { eventLog, sampledCalls, callId, arrivedAt, now } = options;
-    const notes: Note[] = [];
+    const entries: TraceEntry[] = [];
     const isSampled = hashTextTo32Bits(callId) % sampledCalls === 0;
-    let repeated: EventFields = {};
+    let summaryFields: EventFields = {};
     const record = (kind: EventKind, fields: EventFields) => {
-        if (notes.length < mostNotes) {
-            notes.push({ kind, fields: { request: callId, after: Math.round(now() - arrivedAt), ...fields } });
+        if (entries.length < maxEntries) {
+            entries.push({ kind, fields: { request: callId, after: Math.round(now() - arrivedAt), ...fields } });
         }
     };
     return {
         record,
-        repeatAtEnd: fields => {
-            repeated = { ...repeated, ...fields };
+        addSummaryFields: fields => {
+            summaryFields = { ...summaryFields, ...fields };
         },
-        recordEnd: (kind, fields) => record(kind, { ...fields, ...repeated }),
+        recordEnd: (kind, fields) => record(kind, { ...fields, ...summaryFields }),
         end: isOrdinary => {
             if (!isOrdinary || isSampled) {
-                notes.forEach(({ kind, fields }) => eventLog.record(kind, fields));
+                entries.forEach(({ kind, fields }) => eventLog.record(kind, fields));
             }
         },
     };
--- a/packages/daisyturn/src/request/place.ts
+++ b/packages/daisyturn/src/request/place.ts
@@ -1,15 +1,15 @@
 import type { Failure } from "daisyturn-utils";
 import type { Result } from "true-myth/result";
 import type { Placement } from "../process/routing/index.js";
-import { describeForRouting } from "./admit.js";
+import { buildRoutingRequest } from "./admit.js";
 import type { ModelRequest } from "./completion/modelRequest.js";
 import type { RequestParts } from "./requestParts.js";
 
-/** Chooses the engines, passing over those that failed this request before. */
+/** Chooses the engines for a request, and avoids those that have failed it before. */
 export function place(
     parts: RequestParts,
     request: ModelRequest,
     avoid: readonly string[],
 ): Result<Placement, Failure> {
-    return parts.router.place(describeForRouting(request, avoid));
+    return parts.router.place(buildRoutingRequest(request, avoid));
 }
