--- a/packages/daisyturn-cli/src/__fixtures__/createCommandBench.ts
+++ b/packages/daisyturn-cli/src/__fixtures__/createCommandBench.ts
@@ -7,11 +7,11 @@
     createMemoryTableService,
     createOperatorServer,
     createStoreClient,
-    membershipAlone,
-    NetworkAlone,
     OperatorMethod,
     type OperatorRoutes,
     type ProcessIdentity,
+    singleProcessMembership,
+    SingleProcessNetwork,
 } from "daisyturn";
 import {
     createIdSource,
@@ -60,12 +60,12 @@
         writesPerSecond: 1_000,
         readsPerSecond: 1_000,
     });
-    const network = new NetworkAlone(self);
+    const network = new SingleProcessNetwork(self);
     const configurationManager = createConfigurationManager({
         self,
         storeClient,
         network,
-        membership: membershipAlone,
+        membership: singleProcessMembership,
         clock,
         random,
         eventLog,
@@ -77,7 +77,13 @@
         listen: { host: "127.0.0.1", port: 0 },
         operators: [{ partner: "nyamata", name: "alice", keyHash: hashText("operator-key") }],
         routes: [
-            ...createConfigurationRoutes({ configurationManager, membership: membershipAlone, self, ids, clock }),
+            ...createConfigurationRoutes({
+                configurationManager,
+                membership: singleProcessMembership,
+                self,
+                ids,
+                clock,
+            }),
             ...createIdentityRoutes(),
             ...routes,
         ],
--- a/packages/daisyturn-standins/src/measure/claims/measureClaims.ts
+++ b/packages/daisyturn-standins/src/measure/claims/measureClaims.ts
@@ -1,13 +1,13 @@
 import {
     type ClaimRequest,
     createClaimManager,
-    membershipAlone,
-    NetworkAlone,
     type PagedStoreClient,
     type ProcessClaimManager,
     type ProcessIdentity,
     type SendCall,
     type ServiceCall,
+    singleProcessMembership,
+    SingleProcessNetwork,
     StorePriority,
     type TableService,
 } from "daisyturn";
@@ -137,8 +137,8 @@
     const claimManager = createClaimManager({
         self,
         storeClient,
-        network: new NetworkAlone(self),
-        membership: membershipAlone,
+        network: new SingleProcessNetwork(self),
+        membership: singleProcessMembership,
         clock,
         ids: createIdSource(self.incarnation),
         eventLog: new MemoryEventLog(),
--- a/packages/daisyturn/src/process/claims/__tests__/claimPruner.test.ts
+++ b/packages/daisyturn/src/process/claims/__tests__/claimPruner.test.ts
@@ -28,8 +28,8 @@
     }
 }
 
-async function takeTurn(pruner: ClaimPruner): Promise<number> {
-    const turn = await pruner.takeTurn();
+async function runTurn(pruner: ClaimPruner): Promise<number> {
+    const turn = await pruner.runTurn();
     assert.ok(turn.isOk);
     return turn.value.deleted;
 }
@@ -40,12 +40,12 @@
         await startManager("p").runOnce(createClaimRequest(clock), send);
         await clock.advance(100);
         const pruner = startPruner("q");
-        assert.equal(await takeTurn(pruner), 0);
+        assert.equal(await runTurn(pruner), 0);
         await clock.advance(defaultClaimLimits.answeredRetentionMilliseconds);
-        assert.equal(await takeTurn(pruner), 0, "the last pass was a day ago");
+        assert.equal(await runTurn(pruner), 0, "the last pass was a day ago");
         assert.ok(await readRow());
         await clock.advance(passMilliseconds);
-        assert.equal(await takeTurn(pruner), 1);
+        assert.equal(await runTurn(pruner), 1);
         assert.equal(await readRow(), undefined);
     });
 
@@ -55,9 +55,9 @@
         await clock.advance(100);
         const [right, wrong] = [startPruner("q"), startPruner("r", new AheadClock(clock))];
         for (let pass = 0; pass < 3; pass++) {
-            assert.equal(await takeTurn(right), 0);
+            assert.equal(await runTurn(right), 0);
             await clock.advance(passMilliseconds);
-            assert.equal(await takeTurn(wrong), 0);
+            assert.equal(await runTurn(wrong), 0);
             await clock.advance(passMilliseconds);
         }
         assert.ok(await readRow());
@@ -75,9 +75,9 @@
         const deleted: number[] = [];
         for (let turn = 0; turn < 6; turn++) {
             await clock.advance(passMilliseconds);
-            const running = pruners[turn % 2]?.takeTurn();
+            const running = pruners[turn % 2]?.runTurn();
             await clock.advance(passMilliseconds);
-            deleted.push((await running)?.unwrapOr({ looked: 0, deleted: 0 }).deleted ?? 0);
+            deleted.push((await running)?.unwrapOr({ examined: 0, deleted: 0 }).deleted ?? 0);
         }
         assert.deepEqual(deleted, [0, 0, 1_000, 250, 0, 0]);
     });
@@ -88,13 +88,13 @@
         await clock.advance(1);
         const pruner = startPruner("q");
         for (const expected of [ClaimRowState.Claimed, ClaimRowState.Claimed]) {
-            await takeTurn(pruner);
+            await runTurn(pruner);
             await clock.advance(passMilliseconds);
             assert.equal((await readRow())?.state, expected);
         }
         endProcess(createFakeIdentity("p"));
         for (const expected of [ClaimRowState.Claimed, ClaimRowState.Unknown]) {
-            await takeTurn(pruner);
+            await runTurn(pruner);
             await clock.advance(passMilliseconds);
             assert.equal((await readRow())?.state, expected);
         }
--- a/packages/daisyturn/src/process/claims/claimExaminer.ts
+++ b/packages/daisyturn/src/process/claims/claimExaminer.ts
@@ -2,10 +2,10 @@
 import type { ServiceAnswer } from "../../ports/plainService.js";
 import { absentVersion, type Row } from "../../ports/tableService.js";
 import type { Membership, PeerNetwork, ProcessIdentity } from "../peers/index.js";
-import { askOwner, type ClaimInquiry, InquiryReplyKind, replyToInquiry } from "./claimInquiry.js";
+import { type ClaimInquiry, InquiryReplyKind, queryOwner, replyToInquiry } from "./claimInquiry.js";
 import type { ClaimLimits } from "./claimLimits.js";
+import { createClaimObservations } from "./claimObservations.js";
 import { type ClaimRow, ClaimRowState, createUnknownRow, parseClaimRow } from "./claimRow.js";
-import { createClaimSightings } from "./claimSightings.js";
 import { ClaimWriteOutcome, type ClaimWriter } from "./claimWriter.js";
 import type { OwnClaims } from "./ownClaims.js";
 
@@ -71,7 +71,7 @@
  */
 export function createClaimExaminer(options: ClaimExaminerOptions): ClaimExaminer {
     const { self, network, membership, ownClaims, writer, clock, eventLog, limits } = options;
-    const sightings = createClaimSightings(clock);
+    const observations = createClaimObservations(clock);
 
     const examine = async (present: Row, callHash: string | undefined, deadline: number): Promise<ExaminedClaim> => {
         let current = present;
@@ -111,7 +111,7 @@
         row: ClaimRow,
         deadline: number,
     ): Promise<ExaminedClaim | ChangedRow> => {
-        const firstSeenAt = sightings.note(present.key, present.version);
+        const firstSeenAt = observations.record(present.key, present.version);
         if (membership.hasEnded(row.owner)) {
             return settleAfterWait(present, row, firstSeenAt, deadline);
         }
@@ -142,7 +142,7 @@
         };
         return row.owner.processId === self.processId
             ? replyToInquiry(inquiry, self, ownClaims, clock)
-            : askOwner(network, row.owner, inquiry, clock, deadline);
+            : queryOwner(network, row.owner, inquiry, clock, deadline);
     };
 
     const settleAfterWait = (present: Row, row: ClaimRow, firstSeenAt: number, deadline: number) => {
@@ -161,7 +161,7 @@
         });
         switch (answer.outcome) {
             case ClaimWriteOutcome.Committed:
-                sightings.forget(present.key);
+                observations.forget(present.key);
                 eventLog.record(EventKind.ClaimSettled, {
                     request: row.requestId,
                     claim: row.claimId,
--- a/packages/daisyturn/src/process/claims/claimInquiry.ts
+++ b/packages/daisyturn/src/process/claims/claimInquiry.ts
@@ -3,12 +3,12 @@
 import { PeerMethod, type PeerNetwork, type ProcessIdentity } from "../peers/index.js";
 import { answerSchema } from "./claimRow.js";
 import { ClaimStage, type OwnClaims } from "./ownClaims.js";
-import { settlesBefore } from "./settlesBefore.js";
+import { waitUntilResolved } from "./waitUntilResolved.js";
 
 /** How long the owner holds an inquiry back while its call runs, so that the asker hears of the end at once. */
-export const inquiryHoldMilliseconds = 1_000;
+export const maxInquiryWaitMilliseconds = 1_000;
 /** What the network may take on top of that. */
-const inquiryTravelMilliseconds = 500;
+const inquiryNetworkMilliseconds = 500;
 
 /** What the owner of a claim says of it. */
 export enum InquiryReplyKind {
@@ -36,7 +36,7 @@
 export type InquiryReply = z.infer<typeof replySchema>;
 
 /** Answers the inquiries of peers from the table of this process's claims. */
-export function answerInquiries(network: PeerNetwork, self: ProcessIdentity, claims: OwnClaims, clock: Clock): void {
+export function handleInquiries(network: PeerNetwork, self: ProcessIdentity, claims: OwnClaims, clock: Clock): void {
     network.handle(PeerMethod.AskClaim, async (...[, parameters]) => {
         const inquiry = inquirySchema.parse(parameters);
         return toJson(await replyToInquiry(inquiry, self, claims, clock));
@@ -58,7 +58,7 @@
     if (claim?.claimId !== inquiry.claimId) {
         return { kind: InquiryReplyKind.Forgotten };
     }
-    await settlesBefore(claim.ended, clock, clock.monotonicNow() + inquiryHoldMilliseconds);
+    await waitUntilResolved(claim.ended, clock, clock.monotonicNow() + maxInquiryWaitMilliseconds);
     switch (claim.stage()) {
         case ClaimStage.Claiming:
         case ClaimStage.Sending:
@@ -73,14 +73,14 @@
 }
 
 /** Asks a claim's owner, within the deadline (monotonic). */
-export async function askOwner(
+export async function queryOwner(
     network: PeerNetwork,
     owner: ProcessIdentity,
     inquiry: ClaimInquiry,
     clock: Clock,
     deadline: number,
 ): Promise<InquiryReply> {
-    const limit = clock.monotonicNow() + inquiryHoldMilliseconds + inquiryTravelMilliseconds;
+    const limit = clock.monotonicNow() + maxInquiryWaitMilliseconds + inquiryNetworkMilliseconds;
     const parameters: JsonObject = toJson(inquiry);
     const reply = await network.request(
         owner.processId,
--- a/packages/daisyturn/src/process/claims/claimPruner.ts
+++ b/packages/daisyturn/src/process/claims/claimPruner.ts
@@ -15,7 +15,7 @@
 import { claimRowPrefix, ClaimRowState, parseClaimRow } from "./claimRow.js";
 
 /** What ends the claims of processes that are gone. */
-export interface AbandonedClaims {
+export interface AbandonedClaimSettler {
     /** Settles a claim of an ended process, if this process has seen it unchanged for long enough (monotonic). */
     settleAbandoned(present: Row, deadline: number): Promise<void>;
 }
@@ -35,7 +35,7 @@
     passStartedAt: z.number(),
     /** Wall-clock time of the process that started the pass before. */
     horizon: z.number(),
-    /** Last key looked at; undefined once the pass is over. */
+    /** Last key examined at; undefined once the pass is over. */
     cursor: z.string().optional(),
 });
 
@@ -44,7 +44,7 @@
 /** What the pruner works with. */
 export interface ClaimPrunerOptions {
     readonly storeClient: PagedStoreClient;
-    readonly claimManager: AbandonedClaims;
+    readonly claimManager: AbandonedClaimSettler;
     readonly membership: Membership;
     readonly clock: Clock;
     readonly random: Random;
@@ -54,7 +54,7 @@
 
 /** What one turn did. */
 export interface PruningTurn {
-    readonly looked: number;
+    readonly examined: number;
     readonly deleted: number;
 }
 
@@ -63,7 +63,7 @@
     /** Takes turns until `signal` is aborted. */
     run(signal: AbortSignal): Promise<void>;
     /** Goes on with the pass where the last turn of any process left it. */
-    takeTurn(): Promise<Result<PruningTurn, Failure>>;
+    runTurn(): Promise<Result<PruningTurn, Failure>>;
 }
 
 /**
@@ -76,7 +76,7 @@
 export function createClaimPruner(options: ClaimPrunerOptions): ClaimPruner {
     const { storeClient, claimManager, membership, clock, random, ids, eventLog } = options;
 
-    const takeTurn = async (): Promise<Result<PruningTurn, Failure>> => {
+    const runTurn = async (): Promise<Result<PruningTurn, Failure>> => {
         const deadline = clock.monotonicNow() + turnLimitMilliseconds;
         const found = await storeClient.read([pruningRowKey], StorePriority.Other, deadline);
         if (found.isErr) {
@@ -85,11 +85,11 @@
         const present = found.value[0];
         const pass = choosePass(present);
         if (!pass) {
-            return Result.ok({ looked: 0, deleted: 0 });
+            return Result.ok({ examined: 0, deleted: 0 });
         }
-        const turn = await walkPages(pass, deadline);
+        const turn = await prunePages(pass, deadline);
         if (turn.isOk) {
-            await handOn(present, { ...pass, cursor: turn.value.cursor }, deadline);
+            await saveProgress(present, { ...pass, cursor: turn.value.cursor }, deadline);
         }
         return turn;
     };
@@ -108,8 +108,8 @@
         return isDue ? { passStartedAt: now, horizon: last.passStartedAt } : undefined;
     };
 
-    const walkPages = async (pass: PruningRow, deadline: number) => {
-        const turn = { looked: 0, deleted: 0, cursor: pass.cursor };
+    const prunePages = async (pass: PruningRow, deadline: number) => {
+        const turn = { examined: 0, deleted: 0, cursor: pass.cursor };
         for (let page = 0; page < pagesPerTurn; page++) {
             const rows = await storeClient.listPage(
                 claimRowPrefix,
@@ -121,7 +121,7 @@
             if (rows.isErr) {
                 return Result.err<typeof turn, Failure>(rows.error);
             }
-            turn.looked += rows.value.length;
+            turn.examined += rows.value.length;
             turn.deleted += await prunePage(rows.value, pass.horizon, deadline);
             turn.cursor = rows.value.length < rowsPerPage ? undefined : rows.value.at(-1)?.key;
             if (turn.cursor === undefined) {
@@ -161,7 +161,7 @@
         return answer.outcome === TransactionOutcome.Committed ? rows.length : 0;
     };
 
-    const handOn = (present: Row | undefined, row: PruningRow, deadline: number) =>
+    const saveProgress = (present: Row | undefined, row: PruningRow, deadline: number) =>
         storeClient.commit(
             {
                 writeId: ids.next("wr"),
@@ -176,12 +176,12 @@
         while (!signal.aborted) {
             const pause = turnIntervalMilliseconds * (0.5 + random.fraction());
             await clock.sleepUntil(clock.monotonicNow() + pause, signal);
-            const turn = signal.aborted ? undefined : await takeTurn();
+            const turn = signal.aborted ? undefined : await runTurn();
             if (turn?.isErr) {
                 eventLog.record(EventKind.Fault, { reason: turn.error.reason, verdict: turn.error.verdict });
             }
         }
     };
 
-    return { run, takeTurn };
+    return { run, runTurn };
 }
--- a/packages/daisyturn/src/process/claims/claimRecorder.ts
+++ b/packages/daisyturn/src/process/claims/claimRecorder.ts
@@ -5,8 +5,8 @@
 
 /** How long one try waits for the table service. */
 const tryLimitMilliseconds = 5_000;
-const firstPauseMilliseconds = 250;
-const longestPauseMilliseconds = 5_000;
+const initialRetryDelayMilliseconds = 250;
+const maxRetryDelayMilliseconds = 5_000;
 
 /** Writes down how this process's attempts ended. */
 export interface ClaimRecorder {
@@ -33,7 +33,7 @@
 
     const record = async (claim: OwnClaim, expectedVersion: number, row: ClaimRow) => {
         let version: number | undefined = expectedVersion;
-        let pause = firstPauseMilliseconds;
+        let retryDelay = initialRetryDelayMilliseconds;
         while (!signal?.aborted) {
             const answer: ClaimWriteAnswer = await writer.write({
                 rowKey: claim.rowKey,
@@ -52,8 +52,8 @@
                 return;
             }
             if (answer.outcome !== ClaimWriteOutcome.Conflict) {
-                await clock.sleepUntil(clock.monotonicNow() + pause, signal);
-                pause = Math.min(2 * pause, longestPauseMilliseconds);
+                await clock.sleepUntil(clock.monotonicNow() + retryDelay, signal);
+                retryDelay = Math.min(2 * retryDelay, maxRetryDelayMilliseconds);
             }
         }
     };
--- a/packages/daisyturn/src/process/claims/claimRow.ts
+++ b/packages/daisyturn/src/process/claims/claimRow.ts
@@ -9,7 +9,7 @@
 export const claimRowPrefix = "claims/";
 
 /** Keys must fit a row's key after escaping, and a log line. */
-const acceptedKey = /^[\x21-\x7e]{1,255}$/;
+const validIdempotencyKey = /^[\x21-\x7e]{1,255}$/;
 
 /** What a claim's row says. */
 export enum ClaimRowState {
@@ -68,9 +68,9 @@
 }
 
 /** The failure of a key that can't be used; undefined if it can. */
-export function refuseIdempotencyKey(key: string): Failure | undefined {
+export function validateIdempotencyKey(key: string): Failure | undefined {
     const message = "The idempotency key must have 1 to 255 printable ASCII characters without spaces.";
-    return acceptedKey.test(key) ? undefined : notRun(FailureReason.BadRequest, message);
+    return validIdempotencyKey.test(key) ? undefined : notRun(FailureReason.BadRequest, message);
 }
 
 /** Equal for calls that ask for the same; the call's id and deadline differ on each try and stay out of it. */
@@ -106,11 +106,11 @@
     now: number,
     limits: ClaimLimits,
 ): ClaimRow {
-    const isKept = Buffer.byteLength(answer.body) <= limits.keptAnswerBytes;
+    const isStored = Buffer.byteLength(answer.body) <= limits.keptAnswerBytes;
     return {
         ...claimed,
         state: ClaimRowState.Answered,
-        answer: isKept ? answer : undefined,
+        answer: isStored ? answer : undefined,
         keepUntil: now + limits.answeredRetentionMilliseconds,
     };
 }
--- a/packages/daisyturn/src/process/claims/index.ts
+++ b/packages/daisyturn/src/process/claims/index.ts
@@ -12,4 +12,4 @@
 export * from "./claimRow.js";
 export * from "./claimWriter.js";
 export * from "./ownClaims.js";
-export * from "./settlesBefore.js";
+export * from "./waitUntilResolved.js";
--- a/packages/daisyturn/src/process/claims/ownClaims.ts
+++ b/packages/daisyturn/src/process/claims/ownClaims.ts
@@ -73,13 +73,13 @@
 function createOwnClaim(names: OwnClaimNames, forget: () => void): OwnClaim {
     let stage = ClaimStage.Claiming;
     let answer: ServiceAnswer | undefined;
-    let tellEnded: () => void = () => undefined;
-    let tellSettled: () => void = () => undefined;
+    let resolveEnded: () => void = () => undefined;
+    let resolveSettled: () => void = () => undefined;
     const ended = new Promise<void>(resolve => {
-        tellEnded = resolve;
+        resolveEnded = resolve;
     });
     const settled = new Promise<void>(resolve => {
-        tellSettled = resolve;
+        resolveSettled = resolve;
     });
     return {
         ...names,
@@ -93,11 +93,11 @@
         end: (finalStage, givenAnswer) => {
             stage = finalStage;
             answer = givenAnswer;
-            tellEnded();
+            resolveEnded();
         },
         markSettled: () => {
             forget();
-            tellSettled();
+            resolveSettled();
         },
     };
 }
--- a/packages/daisyturn/src/process/lease/createLeaseManager.ts
+++ b/packages/daisyturn/src/process/lease/createLeaseManager.ts
@@ -27,7 +27,7 @@
     /** Returns the latest era of the store that this process has seen. By default, the store has no eras. */
     readonly storeEra?: () => number;
     /** False while this process should not take the lease, such as when it drains. */
-    readonly mayCompete?: () => boolean;
+    readonly mayAcquire?: () => boolean;
 }
 
 const defaultLeaseMilliseconds = 5_000;
@@ -79,7 +79,7 @@
                 await hold(tenure, signal);
             }
             else {
-                await compete(signal);
+                await tryAcquire(signal);
             }
         }
         await release();
@@ -106,7 +106,7 @@
             limit,
         );
         if (answer.outcome === TransactionOutcome.Committed) {
-            held.renewedAt(sentAt);
+            held.extend(sentAt);
             return true;
         }
         if (answer.outcome === TransactionOutcome.Rejected && answer.cause === RejectionCause.ConditionFailed) {
@@ -115,20 +115,20 @@
         return false;
     };
 
-    const compete = async (signal: AbortSignal) => {
+    const tryAcquire = async (signal: AbortSignal) => {
         await observe();
         if (signal.aborted) {
             return;
         }
-        const claimableAt = observation && (options.mayCompete?.() ?? true)
-            ? findClaimableAt(observation, self.incarnation, leaseMilliseconds)
+        const acquirableAt = observation && (options.mayAcquire?.() ?? true)
+            ? findAcquirableAt(observation, self.incarnation, leaseMilliseconds)
             : Infinity;
-        if (observation && claimableAt <= clock.monotonicNow()) {
+        if (observation && acquirableAt <= clock.monotonicNow()) {
             await takeOver(observation);
         }
         if (!tenure) {
             const nextPoll = clock.monotonicNow() + pollInterval * (0.75 + 0.5 * random.fraction());
-            const wakeAt = claimableAt > clock.monotonicNow() ? Math.min(nextPoll, claimableAt) : nextPoll;
+            const wakeAt = acquirableAt > clock.monotonicNow() ? Math.min(nextPoll, acquirableAt) : nextPoll;
             await clock.sleepUntil(wakeAt, signal);
         }
     };
@@ -152,13 +152,13 @@
     };
 
     const takeOver = async (seen: Observation) => {
-        const takenAt = readClocks(clock);
+        const takeoverSentAt = readClocks(clock);
         const { era } = seen;
         const value = createValue((seen.fencing?.fencingNumber ?? 0) + 1, era);
         const answer = await storeClient.commit(
             takeoverTransaction(name, ids.next("wr"), value, seen),
             StorePriority.Lease,
-            takenAt.monotonic + callLimit,
+            takeoverSentAt.monotonic + callLimit,
         );
         if (answer.outcome !== TransactionOutcome.Committed || answer.version === undefined) {
             return;
@@ -171,7 +171,7 @@
             clock,
             fencingNumber,
             fencingRow: { key: fencingKey, version: answer.version },
-            takenAt,
+            takeoverSentAt,
             usableMilliseconds: leaseMilliseconds - marginMilliseconds,
             isEraCurrent: () => storeEra() === era,
         });
@@ -231,7 +231,7 @@
  * run is available at once if its row was written in the current era; an absent row counts as era 0. Otherwise the lease is
  * available after its full length without a renewal: a restore may have removed the row of a later holder.
  */
-function findClaimableAt(
+function findAcquirableAt(
     { fencingVersion, fencing, firstSeenAt, era }: Observation,
     ownIncarnation: string,
     leaseMilliseconds: number,
--- a/packages/daisyturn/src/process/lease/createLeaseTenure.ts
+++ b/packages/daisyturn/src/process/lease/createLeaseTenure.ts
@@ -16,7 +16,7 @@
 export interface LeaseTenure {
     readonly lease: Lease;
     /** Moves the deadline on after a renewal that was sent at `sentAt` has been committed. */
-    renewedAt(sentAt: ClockReading): void;
+    extend(sentAt: ClockReading): void;
     end(): void;
     hasEnded(): boolean;
 }
@@ -28,7 +28,7 @@
     readonly fencingNumber: number;
     readonly fencingRow: Lease["fencingRow"];
     /** When the takeover was sent. */
-    readonly takenAt: ClockReading;
+    readonly takeoverSentAt: ClockReading;
     /** Length of the lease less the margin. */
     readonly usableMilliseconds: number;
     /** Whether the latest known era of the store is the one in which the lease was taken. */
@@ -38,7 +38,7 @@
 /** Creates the holder's view of its lease. */
 export function createLeaseTenure(options: LeaseTenureOptions): LeaseTenure {
     const { clock, usableMilliseconds } = options;
-    let renewal = options.takenAt;
+    let renewal = options.takeoverSentAt;
     let ended = false;
 
     const deadline = () => renewal.monotonic + usableMilliseconds;
@@ -63,7 +63,7 @@
             deadline,
             isHeld,
         },
-        renewedAt: sentAt => {
+        extend: sentAt => {
             if (isHeld()) {
                 renewal = sentAt;
             }
--- a/packages/daisyturn/src/process/membership/__tests__/createMembership.test.ts
+++ b/packages/daisyturn/src/process/membership/__tests__/createMembership.test.ts
@@ -99,8 +99,8 @@
 
     it("blames nobody for its own pause, and learns that it was taken for dead", async () => {
         const { clock, networks, p1, p2 } = await createCellOfFive();
-        const misjudgements = new Set<FalseSuspicion>();
-        p2.membership.onFalselySuspected(misjudgement => misjudgements.add(misjudgement));
+        const falseSuspicions = new Set<FalseSuspicion>();
+        p2.membership.onFalselySuspected(falseSuspicion => falseSuspicions.add(falseSuspicion));
         p2.clock.pause();
         networks.isolate("p2");
         await clock.advance(60_000);
@@ -109,7 +109,7 @@
         p2.clock.resume();
         await clock.advance(3_000);
         assert.equal(p1.stateOf("p2"), MemberState.Alive);
-        assert.deepEqual([...misjudgements], [FalseSuspicion.Dead]);
+        assert.deepEqual([...falseSuspicions], [FalseSuspicion.Dead]);
         assert.equal(p2.eventLog.of(EventKind.PeerSuspect).length, 0);
         assert.equal(p2.membership.isPresumedEnded(), false);
     });
--- a/packages/daisyturn/src/process/membership/createSuspicion.ts
+++ b/packages/daisyturn/src/process/membership/createFailureDetector.ts
@@ -1,10 +1,10 @@
 import type { Clock, JsonObject, Random } from "daisyturn-utils";
 import { MemberState, PeerMethod, type PeerNetwork } from "../peers/index.js";
 import type { MemberRecord, MemberTable } from "./createMemberTable.js";
-import { suspicionAnswerSchema, suspicionQuestionSchema } from "./heartbeatMessage.js";
+import { suspicionAnswerSchema, suspicionQuerySchema } from "./heartbeatMessage.js";
 import type { MembershipTiming } from "./membershipTiming.js";
 
-export interface SuspicionOptions {
+export interface FailureDetectorOptions {
     readonly network: PeerNetwork;
     readonly table: MemberTable;
     readonly clock: Clock;
@@ -13,19 +13,19 @@
 }
 
 /** Judges silent members, after asking others. */
-export interface Suspicion {
+export interface FailureDetector {
     /** Judges one member; takes at most one heartbeat interval. */
     examine(record: MemberRecord): Promise<void>;
 }
 
-const askedAboutSuspect = 3;
-const askedAboutDead = 1;
+const peersQueriedAboutSuspect = 3;
+const peersQueriedAboutDead = 1;
 
-export function createSuspicion(options: SuspicionOptions): Suspicion {
+export function createFailureDetector(options: FailureDetectorOptions): FailureDetector {
     const { network, table, clock, random, timing } = options;
 
     const isSilent = (record: MemberRecord, limit: number) =>
-        record.endedAt === undefined && clock.monotonicNow() - record.silentSince > limit;
+        record.endedAt === undefined && clock.monotonicNow() - record.silenceStartedAt > limit;
 
     const examine = async (record: MemberRecord) => {
         if (!isSilent(record, timing.suspectLimit)) {
@@ -34,8 +34,8 @@
         if (record.state === MemberState.Alive) {
             table.setState(record, MemberState.Suspect);
         }
-        await askOthers(record);
-        if (isVouchedFor(record)) {
+        await queryOthers(record);
+        if (isConfirmedAlive(record)) {
             if (record.state === MemberState.Dead && isSilent(record, timing.suspectLimit)) {
                 table.setState(record, MemberState.Suspect);
             }
@@ -45,12 +45,13 @@
         }
     };
 
-    const isVouchedFor = (record: MemberRecord) =>
-        record.vouchedAt !== undefined && clock.monotonicNow() - record.vouchedAt < timing.vouchLimit;
+    const isConfirmedAlive = (record: MemberRecord) =>
+        record.confirmedAliveAt !== undefined
+        && clock.monotonicNow() - record.confirmedAliveAt < timing.confirmationValidity;
 
-    const askOthers = async (record: MemberRecord) => {
-        const count = record.state === MemberState.Dead ? askedAboutDead : askedAboutSuspect;
-        await Promise.all(chooseOthers(record, count).map(other => askOne(other, record)));
+    const queryOthers = async (record: MemberRecord) => {
+        const count = record.state === MemberState.Dead ? peersQueriedAboutDead : peersQueriedAboutSuspect;
+        await Promise.all(chooseOthers(record, count).map(other => queryOne(other, record)));
     };
 
     const chooseOthers = (record: MemberRecord, count: number): readonly MemberRecord[] => {
@@ -59,7 +60,7 @@
         return [...candidates.slice(start), ...candidates.slice(0, start)].slice(0, count);
     };
 
-    const askOne = async (other: MemberRecord, record: MemberRecord) => {
+    const queryOne = async (other: MemberRecord, record: MemberRecord) => {
         const { processId, incarnation } = record.identity;
         const result = await network.request(
             other.identity.processId,
@@ -69,19 +70,19 @@
         );
         const answer = suspicionAnswerSchema.safeParse(result.unwrapOr({}));
         if ((answer.data?.heardMillisecondsAgo ?? timing.suspectLimit) < timing.suspectLimit) {
-            record.vouchedAt = clock.monotonicNow();
+            record.confirmedAliveAt = clock.monotonicNow();
         }
     };
 
-    const answerQuestion = (parameters: JsonObject): JsonObject => {
-        const question = suspicionQuestionSchema.safeParse(parameters).data;
+    const answerQuery = (parameters: JsonObject): JsonObject => {
+        const question = suspicionQuerySchema.safeParse(parameters).data;
         const record = question && table.find(question.processId);
-        if (record?.lastHeardAt === undefined || record.identity.incarnation !== question?.incarnation) {
+        if (record?.lastContactAt === undefined || record.identity.incarnation !== question?.incarnation) {
             return {};
         }
-        return { heardMillisecondsAgo: clock.monotonicNow() - record.lastHeardAt };
+        return { heardMillisecondsAgo: clock.monotonicNow() - record.lastContactAt };
     };
-    network.handle(PeerMethod.ConfirmSuspicion, (...[, parameters]) => answerQuestion(parameters));
+    network.handle(PeerMethod.ConfirmSuspicion, (...[, parameters]) => answerQuery(parameters));
 
     return { examine };
 }
--- a/packages/daisyturn/src/process/membership/createHeartbeats.ts
+++ b/packages/daisyturn/src/process/membership/createHeartbeats.ts
@@ -12,7 +12,7 @@
 import type { MembershipTiming } from "./membershipTiming.js";
 
 /** Told that others have misjudged this process, for instance while it was paused. */
-export type FalseSuspicionListener = (misjudgement: FalseSuspicion, by: ProcessIdentity) => void;
+export type FalseSuspicionListener = (falseSuspicion: FalseSuspicion, by: ProcessIdentity) => void;
 
 export interface HeartbeatsOptions {
     readonly network: PeerNetwork;
@@ -27,56 +27,56 @@
 /** What goes to and comes from members with heartbeats. */
 export interface Heartbeats {
     send(record: MemberRecord): void;
-    take(from: ProcessIdentity, parameters: JsonObject): void;
+    receive(from: ProcessIdentity, parameters: JsonObject): void;
     isPresumedEnded(): boolean;
     onFalselySuspected(listener: FalseSuspicionListener): void;
 }
 
 export function createHeartbeats(options: HeartbeatsOptions): Heartbeats {
     const { network, table, directory, digests, clock, timing, eventLog } = options;
-    const misjudgedListeners: FalseSuspicionListener[] = [];
-    let membersToldAt = Number.NEGATIVE_INFINITY;
+    const falseSuspicionListeners: FalseSuspicionListener[] = [];
+    let membersSentAt = Number.NEGATIVE_INFINITY;
     let isPresumedEnded = false;
 
     const send = (record: MemberRecord) => {
         const { processId, incarnation } = record.identity;
         const message: HeartbeatMessage = {
             view: table.view(),
-            misjudged: record.misjudgement && { incarnation, as: record.misjudgement },
-            members: chooseMembersToTell(record),
+            misjudged: record.falseSuspicion && { incarnation, as: record.falseSuspicion },
+            members: chooseMembersToSend(record),
             digests: digests.collectFor(processId),
         };
-        record.misjudgement = undefined;
+        record.falseSuspicion = undefined;
         network.notify(processId, PeerMethod.Heartbeat, toJson(message));
     };
 
     /** One process is told all members in each interval at most; the others hear it from each other. */
-    const chooseMembersToTell = (record: MemberRecord): MemberEntry[] | undefined => {
+    const chooseMembersToSend = (record: MemberRecord): MemberEntry[] | undefined => {
         const now = clock.monotonicNow();
-        if (!record.viewDiffers || now < membersToldAt + timing.heartbeatInterval) {
+        if (!record.viewDiffers || now < membersSentAt + timing.heartbeatInterval) {
             return undefined;
         }
-        membersToldAt = now;
+        membersSentAt = now;
         return [...table.entries(), ...directory.recentEnds()];
     };
 
-    const take = (from: ProcessIdentity, parameters: JsonObject) => {
-        const record = directory.noteHeard(from);
+    const receive = (from: ProcessIdentity, parameters: JsonObject) => {
+        const record = directory.recordContact(from);
         const message = heartbeatSchema.safeParse(parameters).data;
         if (message?.misjudged?.incarnation === network.self.incarnation) {
-            takeMisjudgement(message.misjudged.as, from);
+            applyFalseSuspicion(message.misjudged.as, from);
         }
         if (!record) {
-            tellEnded(from);
+            notifyEnded(from);
             return;
         }
-        message?.members?.forEach(entry => takeEntry(entry, from));
+        message?.members?.forEach(entry => applyEntry(entry, from));
         record.viewDiffers = message?.view !== table.view();
         digests.receive(from, (message?.digests ?? {}) as Record<string, JsonObject>);
     };
 
-    /** A run that is proved to have ended and still speaks must learn that others may act in its place. */
-    const tellEnded = (from: ProcessIdentity) => {
+    /** A run that is proved to have ended and still speaks must register that others may act in its place. */
+    const notifyEnded = (from: ProcessIdentity) => {
         if (directory.hasEnded(from) && table.find(from.processId)?.state !== MemberState.Left) {
             const misjudged = { incarnation: from.incarnation, as: FalseSuspicion.Ended };
             const message: HeartbeatMessage = { view: table.view(), misjudged };
@@ -84,38 +84,38 @@
         }
     };
 
-    const takeMisjudgement = (misjudgement: FalseSuspicion, from: ProcessIdentity) => {
-        if (misjudgement === FalseSuspicion.Ended && isPresumedEnded) {
+    const applyFalseSuspicion = (falseSuspicion: FalseSuspicion, from: ProcessIdentity) => {
+        if (falseSuspicion === FalseSuspicion.Ended && isPresumedEnded) {
             return;
         }
-        isPresumedEnded ||= misjudgement === FalseSuspicion.Ended;
-        eventLog.record(EventKind.Misjudged, { peer: from.processId, reason: misjudgement });
-        misjudgedListeners.forEach(listener => listener(misjudgement, from));
+        isPresumedEnded ||= falseSuspicion === FalseSuspicion.Ended;
+        eventLog.record(EventKind.Misjudged, { peer: from.processId, reason: falseSuspicion });
+        falseSuspicionListeners.forEach(listener => listener(falseSuspicion, from));
     };
 
-    const takeEntry = ({ identity, ended }: MemberEntry, from: ProcessIdentity) => {
+    const applyEntry = ({ identity, ended }: MemberEntry, from: ProcessIdentity) => {
         if (identity.processId === network.self.processId) {
-            takeEntryOnSelf(identity, ended, from);
+            applyEntryAboutSelf(identity, ended, from);
         }
         else if (ended) {
-            directory.prove(identity, ended);
+            directory.recordProof(identity, ended);
         }
         else {
-            directory.learn(identity);
+            directory.register(identity);
         }
     };
 
-    const takeEntryOnSelf = (identity: ProcessIdentity, ended: EndProof | undefined, from: ProcessIdentity) => {
+    const applyEntryAboutSelf = (identity: ProcessIdentity, ended: EndProof | undefined, from: ProcessIdentity) => {
         const { incarnation } = network.self;
         if (identity.incarnation > incarnation || ended && identity.incarnation === incarnation) {
-            takeMisjudgement(FalseSuspicion.Ended, from);
+            applyFalseSuspicion(FalseSuspicion.Ended, from);
         }
     };
 
     return {
         send,
-        take,
+        receive,
         isPresumedEnded: () => isPresumedEnded,
-        onFalselySuspected: listener => void misjudgedListeners.push(listener),
+        onFalselySuspected: listener => void falseSuspicionListeners.push(listener),
     };
 }
--- a/packages/daisyturn/src/process/membership/createMemberDirectory.ts
+++ b/packages/daisyturn/src/process/membership/createMemberDirectory.ts
@@ -1,7 +1,7 @@
 import type { Clock } from "daisyturn-utils";
 import type { VmListing } from "../../ports/vmList.js";
 import type { DialingPeerNetwork, ProcessIdentity } from "../peers/index.js";
-import { createEndedRuns } from "./createEndedRuns.js";
+import { createEndedIncarnations } from "./createEndedIncarnations.js";
 import type { MemberRecord, MemberTable } from "./createMemberTable.js";
 import type { SeedList } from "./createSeedList.js";
 import { EndProof, type MemberEntry } from "./heartbeatMessage.js";
@@ -13,34 +13,34 @@
     readonly clock: Clock;
     readonly listingMarginMilliseconds: number;
     /** Called for each run that was not known before. */
-    readonly onLearned: (record: MemberRecord) => void;
+    readonly onRegistered: (record: MemberRecord) => void;
 }
 
 /** Which runs of which processes there are, which of them have ended, and by what proof. */
 export interface MemberDirectory {
     /** Takes in that a run exists. Undefined if it has ended, if a newer one is known, or if it is of this process. */
-    learn(identity: ProcessIdentity): MemberRecord | undefined;
-    /** As `learn`, from the run itself. */
-    noteHeard(identity: ProcessIdentity): MemberRecord | undefined;
-    prove(identity: ProcessIdentity, proof: EndProof): void;
+    register(identity: ProcessIdentity): MemberRecord | undefined;
+    /** As `register`, from the run itself. */
+    recordContact(identity: ProcessIdentity): MemberRecord | undefined;
+    recordProof(identity: ProcessIdentity, proof: EndProof): void;
     /** Whether there is proof of a run's end; if not, proof is looked for from now on. */
     hasEnded(identity: ProcessIdentity): boolean;
-    takeListing(listing: VmListing): void;
+    applyListing(listing: VmListing): void;
     /** The latest proofs. */
     recentEnds(): readonly MemberEntry[];
 }
 
 export function createMemberDirectory(options: MemberDirectoryOptions): MemberDirectory {
-    const { network, table, seedList, clock, onLearned } = options;
+    const { network, table, seedList, clock, onRegistered } = options;
 
-    const endedRuns = createEndedRuns({
+    const endedIncarnations = createEndedIncarnations({
         ownVmId: network.self.vmId,
         clock,
         listingMarginMilliseconds: options.listingMarginMilliseconds,
-        onProved: (identity, proof) => {
+        onProofRecorded: (identity, proof) => {
             const record = table.find(identity.processId);
             if (record?.identity.incarnation === identity.incarnation) {
-                table.noteEnded(record, proof);
+                table.recordEnded(record, proof);
                 disconnectUnlessUsed(identity.peerAddress);
             }
         },
@@ -54,41 +54,41 @@
     };
 
     /** An ended run hinders nobody: a restart whose wall clock was set back sorts before it and is taken all the same. */
-    const learn = (identity: ProcessIdentity): MemberRecord | undefined => {
+    const register = (identity: ProcessIdentity): MemberRecord | undefined => {
         const known = table.find(identity.processId);
         if (known?.identity.incarnation === identity.incarnation) {
             return known.endedAt === undefined ? known : undefined;
         }
-        if (identity.processId === network.self.processId || endedRuns.hasEnded(identity)) {
+        if (identity.processId === network.self.processId || endedIncarnations.hasEnded(identity)) {
             return undefined;
         }
         if (!known || known.endedAt !== undefined) {
             return add(identity);
         }
         if (known.identity.incarnation > identity.incarnation) {
-            noteReplaced(identity, known.identity);
+            recordReplaced(identity, known.identity);
             return undefined;
         }
-        noteReplaced(known.identity, identity);
+        recordReplaced(known.identity, identity);
         return add(identity);
     };
 
-    /** A newer run at another address does not prove that the earlier one has ended: it may be cut off or paused. */
-    const noteReplaced = (earlier: ProcessIdentity, later: ProcessIdentity) => {
+    /** A newer run at another address does not recordProof that the earlier one has ended: it may be cut off or paused. */
+    const recordReplaced = (earlier: ProcessIdentity, later: ProcessIdentity) => {
         if (earlier.peerAddress === later.peerAddress) {
-            endedRuns.prove(earlier, EndProof.Restarted);
+            endedIncarnations.recordProof(earlier, EndProof.Restarted);
         }
         else {
-            endedRuns.watch(earlier);
+            endedIncarnations.watch(earlier);
         }
     };
 
     const add = (identity: ProcessIdentity): MemberRecord => {
         const record = table.add(identity);
-        endedRuns.watch(identity);
-        seedList.noteFound(identity.peerAddress);
+        endedIncarnations.watch(identity);
+        seedList.recordFound(identity.peerAddress);
         network.connect(identity.peerAddress);
-        onLearned(record);
+        onRegistered(record);
         return record;
     };
 
@@ -96,31 +96,31 @@
         const isOwnId = identity.processId === network.self.processId;
         const newest = isOwnId ? network.self : table.find(identity.processId)?.identity;
         if (newest && newest.incarnation > identity.incarnation) {
-            noteReplaced(identity, newest);
+            recordReplaced(identity, newest);
         }
         else {
-            endedRuns.watch(identity);
+            endedIncarnations.watch(identity);
         }
-        return endedRuns.hasEnded(identity);
+        return endedIncarnations.hasEnded(identity);
     };
 
     return {
-        learn,
-        noteHeard: identity => {
-            const record = learn(identity);
+        register,
+        recordContact: identity => {
+            const record = register(identity);
             if (record) {
-                endedRuns.noteAlive(identity);
-                table.noteHeard(record);
+                endedIncarnations.recordAlive(identity);
+                table.recordContact(record);
             }
             return record;
         },
-        prove: endedRuns.prove,
+        recordProof: endedIncarnations.recordProof,
         hasEnded,
-        takeListing: listing => {
-            if (endedRuns.takeListing(listing)) {
-                seedList.takeListing(listing);
+        applyListing: listing => {
+            if (endedIncarnations.applyListing(listing)) {
+                seedList.applyListing(listing);
             }
         },
-        recentEnds: endedRuns.recent,
+        recentEnds: endedIncarnations.recent,
     };
 }
--- a/packages/daisyturn/src/process/membership/createMemberTable.ts
+++ b/packages/daisyturn/src/process/membership/createMemberTable.ts
@@ -8,23 +8,23 @@
     readonly identity: ProcessIdentity;
     state: MemberState;
     /** Undefined for a member known from others only. */
-    lastHeardAt: number | undefined;
+    lastContactAt: number | undefined;
     /** Since when silence counts: last sign of life, first knowledge, or the end of this process's own pause. */
-    silentSince: number;
+    silenceStartedAt: number;
     /** Since when there was no silence long enough for a suspicion. */
-    steadySince: number;
-    /** Times of the returns from suspicion that still count for {@link chooseHold}. */
+    stableSince: number;
+    /** Times of the returns from suspicion that still count for {@link computeHoldDown}. */
     recoveries: readonly number[];
     /** When another process last said that it hears from the member. */
-    vouchedAt: number | undefined;
+    confirmedAliveAt: number | undefined;
     /** To be told with the next heartbeat. */
-    misjudgement: FalseSuspicion | undefined;
+    falseSuspicion: FalseSuspicion | undefined;
     /** Whether its last heartbeat showed other members than this process knows of. */
     viewDiffers: boolean;
     /** When the run was proved to have ended. */
     endedAt: number | undefined;
     /** Aborted when the record no longer counts. */
-    readonly over: AbortController;
+    readonly monitoringStop: AbortController;
 }
 
 export interface MemberTableOptions {
@@ -42,8 +42,8 @@
     present(): readonly MemberRecord[];
     /** Puts a record in place of the one of an earlier run. */
     add(identity: ProcessIdentity): MemberRecord;
-    noteHeard(record: MemberRecord): void;
-    noteEnded(record: MemberRecord, proof: EndProof): void;
+    recordContact(record: MemberRecord): void;
+    recordEnded(record: MemberRecord, proof: EndProof): void;
     setState(record: MemberRecord, state: MemberState): void;
     /** Drops records that ended long ago. */
     dropOld(): void;
@@ -87,44 +87,44 @@
         const record: MemberRecord = {
             identity,
             state: MemberState.Suspect,
-            lastHeardAt: undefined,
-            silentSince: now,
-            steadySince: now,
+            lastContactAt: undefined,
+            silenceStartedAt: now,
+            stableSince: now,
             recoveries: [],
-            vouchedAt: undefined,
-            misjudgement: undefined,
+            confirmedAliveAt: undefined,
+            falseSuspicion: undefined,
             viewDiffers: false,
             endedAt: undefined,
-            over: new AbortController(),
+            monitoringStop: new AbortController(),
         };
-        records.get(identity.processId)?.over.abort();
+        records.get(identity.processId)?.monitoringStop.abort();
         records.set(identity.processId, record);
         cachedView = undefined;
         return record;
     };
 
-    const noteHeard = (record: MemberRecord) => {
+    const recordContact = (record: MemberRecord) => {
         const now = clock.monotonicNow();
-        const wasSilent = now - record.silentSince > timing.suspectLimit;
+        const wasSilent = now - record.silenceStartedAt > timing.suspectLimit;
         if (wasSilent) {
-            record.steadySince = now;
-            record.misjudgement = chooseMisjudgement(record);
+            record.stableSince = now;
+            record.falseSuspicion = determineFalseSuspicion(record);
         }
         if (record.state === MemberState.Dead) {
             setState(record, MemberState.Suspect);
         }
-        const isReturning = record.lastHeardAt !== undefined;
-        record.lastHeardAt = now;
-        record.silentSince = now;
-        if (record.state === MemberState.Suspect && now - record.steadySince >= chooseHold(record, timing, now)) {
+        const isReturning = record.lastContactAt !== undefined;
+        record.lastContactAt = now;
+        record.silenceStartedAt = now;
+        if (record.state === MemberState.Suspect && now - record.stableSince >= computeHoldDown(record, timing, now)) {
             record.recoveries = isReturning ? [...recentRecoveries(record, timing, now), now] : [];
             setState(record, MemberState.Alive);
         }
     };
 
-    const noteEnded = (record: MemberRecord, proof: EndProof) => {
+    const recordEnded = (record: MemberRecord, proof: EndProof) => {
         record.endedAt = clock.monotonicNow();
-        record.over.abort();
+        record.monitoringStop.abort();
         cachedView = undefined;
         setState(record, proof === EndProof.Left ? MemberState.Left : MemberState.Dead);
     };
@@ -137,7 +137,9 @@
     };
 
     const view = (): string => {
-        cachedView ??= hashText([self(), ...present().map(record => record.identity)].map(nameRun).sort().join(" "))
+        cachedView ??= hashText(
+            [self(), ...present().map(record => record.identity)].map(formatIncarnationKey).sort().join(" "),
+        )
             .slice(0, viewLength);
         return cachedView;
     };
@@ -147,8 +149,8 @@
         all,
         present,
         add,
-        noteHeard,
-        noteEnded,
+        recordContact,
+        recordEnded,
         setState,
         dropOld,
         view,
@@ -158,12 +160,12 @@
 }
 
 /** One run of one process, as a key. */
-export function nameRun(identity: ProcessIdentity): string {
+export function formatIncarnationKey(identity: ProcessIdentity): string {
     return `${identity.processId}/${identity.incarnation}`;
 }
 
-function chooseMisjudgement(record: MemberRecord): FalseSuspicion | undefined {
-    if (record.lastHeardAt === undefined) {
+function determineFalseSuspicion(record: MemberRecord): FalseSuspicion | undefined {
+    if (record.lastContactAt === undefined) {
         return undefined;
     }
     switch (record.state) {
@@ -177,11 +179,11 @@
 }
 
 /** A member that keeps falling silent has to be steady for longer each time before it counts as alive again. */
-function chooseHold(record: MemberRecord, timing: MembershipTiming, now: number): number {
-    const excess = recentRecoveries(record, timing, now).length - timing.freeRecoveries;
-    return excess < 0 ? 0 : Math.min(timing.longestHold, timing.heartbeatInterval * 2 ** (excess + 1));
+function computeHoldDown(record: MemberRecord, timing: MembershipTiming, now: number): number {
+    const excess = recentRecoveries(record, timing, now).length - timing.recoveriesWithoutHoldDown;
+    return excess < 0 ? 0 : Math.min(timing.maxHoldDown, timing.heartbeatInterval * 2 ** (excess + 1));
 }
 
 function recentRecoveries(record: MemberRecord, timing: MembershipTiming, now: number): readonly number[] {
-    return record.recoveries.filter(at => at > now - timing.flapWindow);
+    return record.recoveries.filter(at => at > now - timing.recoveryWindow);
 }
--- a/packages/daisyturn/src/process/membership/createMembership.ts
+++ b/packages/daisyturn/src/process/membership/createMembership.ts
@@ -10,11 +10,11 @@
     PeerMethod,
     type ProcessIdentity,
 } from "../peers/index.js";
+import { createFailureDetector } from "./createFailureDetector.js";
 import { createHeartbeats, type FalseSuspicionListener } from "./createHeartbeats.js";
 import { createMemberDirectory } from "./createMemberDirectory.js";
 import { createMemberTable, type MemberRecord } from "./createMemberTable.js";
 import { createSeedList } from "./createSeedList.js";
-import { createSuspicion } from "./createSuspicion.js";
 import { EndProof } from "./heartbeatMessage.js";
 import { createMembershipTiming } from "./membershipTiming.js";
 
@@ -28,7 +28,7 @@
     readonly eventLog: EventLog;
     readonly heartbeatIntervalMilliseconds?: number;
     readonly vmListIntervalMilliseconds?: number;
-    /** How much later than a run's last sign of life a listing without its VM must be to prove its end. */
+    /** How much later than a run's last sign of life a listing without its VM must be to recordProof its end. */
     readonly listingMarginMilliseconds?: number;
     /** The peer address on a listed VM; undefined for VMs that run no peer. Without it the list gives no seeds. */
     readonly readPeerAddress?: (entry: VmEntry) => string | undefined;
@@ -61,7 +61,7 @@
     const timing = createMembershipTiming(options.heartbeatIntervalMilliseconds ?? defaultHeartbeatInterval);
     const vmListInterval = options.vmListIntervalMilliseconds ?? defaultVmListInterval;
     const table = createMemberTable({ self: () => network.self, clock, eventLog, timing });
-    const suspicion = createSuspicion({ network, table, clock, random, timing });
+    const failureDetector = createFailureDetector({ network, table, clock, random, timing });
     const digests = createDigestExchange(eventLog);
     const seedList = createSeedList(options.seeds, options.readPeerAddress, network);
     const directory = createMemberDirectory({
@@ -70,49 +70,49 @@
         seedList,
         clock,
         listingMarginMilliseconds: options.listingMarginMilliseconds ?? defaultListingMargin,
-        onLearned: record => startTask(record),
+        onRegistered: record => startMonitoring(record),
     });
     const heartbeats = createHeartbeats({ network, table, directory, digests, clock, timing, eventLog });
     let running: AbortSignal | undefined;
 
-    const takeHello = (identity: ProcessIdentity) => {
+    const handleHello = (identity: ProcessIdentity) => {
         digests.forget(identity.processId);
-        const record = directory.noteHeard(identity);
+        const record = directory.recordContact(identity);
         if (record && running?.aborted === false) {
             heartbeats.send(record);
         }
     };
 
     /** The task of one member: heartbeats to it, and judging it by those that come from it. */
-    const attend = async (record: MemberRecord, signal: AbortSignal) => {
+    const monitor = async (record: MemberRecord, signal: AbortSignal) => {
         while (!signal.aborted) {
             heartbeats.send(record);
             const spread = 1 + jitterShare * (random.fraction() - 0.5);
             const nextHeartbeatAt = clock.monotonicNow() + timing.heartbeatInterval * spread;
-            await Promise.all([suspicion.examine(record), clock.sleepUntil(nextHeartbeatAt, signal)]);
-            forgiveSilence(record, nextHeartbeatAt);
+            await Promise.all([failureDetector.examine(record), clock.sleepUntil(nextHeartbeatAt, signal)]);
+            resetSilenceAfterOwnPause(record, nextHeartbeatAt);
         }
     };
 
     /** A process that was itself paused has not heard anybody for that time and must not blame them. */
-    const forgiveSilence = (record: MemberRecord, dueAt: number) => {
+    const resetSilenceAfterOwnPause = (record: MemberRecord, dueAt: number) => {
         const now = clock.monotonicNow();
         if (now - dueAt > timing.heartbeatInterval) {
-            record.silentSince = now;
+            record.silenceStartedAt = now;
         }
     };
 
-    const startTask = (record: MemberRecord) => {
+    const startMonitoring = (record: MemberRecord) => {
         if (running) {
-            void attend(record, AbortSignal.any([running, record.over.signal]));
+            void monitor(record, AbortSignal.any([running, record.monitoringStop.signal]));
         }
     };
 
-    const followVmList = async (signal: AbortSignal) => {
+    const watchVmList = async (signal: AbortSignal) => {
         while (!signal.aborted) {
             const listing = await vmList.list(clock.monotonicNow() + vmListInterval);
             if (listing.isOk) {
-                directory.takeListing(listing.value);
+                directory.applyListing(listing.value);
             }
             table.dropOld();
             await clock.sleepUntil(clock.monotonicNow() + vmListInterval, signal);
@@ -122,8 +122,8 @@
     const run = async (signal: AbortSignal) => {
         running = signal;
         seedList.connect();
-        table.present().forEach(startTask);
-        void followVmList(signal);
+        table.present().forEach(startMonitoring);
+        void watchVmList(signal);
         await whenAborted(signal);
         table.present().forEach(record => network.notify(record.identity.processId, PeerMethod.Leave, {}));
     };
@@ -131,23 +131,23 @@
     const majorityContactAt = (): number | undefined => {
         const known = table.present();
         const othersNeeded = Math.floor((known.length + seedList.countMissing() + 1) / 2);
-        const heard = known.map(record => record.lastHeardAt).filter(at => at !== undefined);
-        heard.sort((one, other) => other - one);
-        return othersNeeded === 0 ? clock.monotonicNow() : heard[othersNeeded - 1];
+        const contactTimes = known.map(record => record.lastContactAt).filter(at => at !== undefined);
+        contactTimes.sort((one, other) => other - one);
+        return othersNeeded === 0 ? clock.monotonicNow() : contactTimes[othersNeeded - 1];
     };
 
     const hasMajorityContact = () => {
-        const heardAt = majorityContactAt();
-        return heardAt !== undefined && clock.monotonicNow() - heardAt <= timing.suspectLimit;
+        const contactAt = majorityContactAt();
+        return contactAt !== undefined && clock.monotonicNow() - contactAt <= timing.suspectLimit;
     };
 
-    network.onHello(takeHello);
+    network.onHello(handleHello);
     network.handle(PeerMethod.Heartbeat, (from, parameters) => {
-        heartbeats.take(from, parameters);
+        heartbeats.receive(from, parameters);
         return {};
     });
     network.handle(PeerMethod.Leave, from => {
-        directory.prove(from, EndProof.Left);
+        directory.recordProof(from, EndProof.Left);
         return {};
     });
 
--- a/packages/daisyturn/src/process/membership/createSeedList.ts
+++ b/packages/daisyturn/src/process/membership/createSeedList.ts
@@ -6,9 +6,9 @@
 export interface SeedList {
     /** Has the seeds dialed. */
     connect(): void;
-    noteFound(address: string): void;
+    recordFound(address: string): void;
     /** Has listed peers dialed, and no longer counts seeds that are not listed. */
-    takeListing(listing: VmListing): void;
+    applyListing(listing: VmListing): void;
     /** Seeds behind which nobody has been found yet: a process that starts cut off must not take itself for the cell. */
     countMissing(): number;
 }
@@ -25,11 +25,11 @@
     const isOther = (address: string) => address !== network.self.peerAddress;
 
     /** The list may give an address with or without a port. */
-    const isShown = (seed: string, entry: VmEntry) =>
+    const isListed = (seed: string, entry: VmEntry) =>
         entry.address === seed || entry.address === splitAddress(seed).host;
 
-    const takeListing = (listing: VmListing) => {
-        missing = missing.filter(seed => listing.entries.some(entry => isShown(seed, entry)));
+    const applyListing = (listing: VmListing) => {
+        missing = missing.filter(seed => listing.entries.some(entry => isListed(seed, entry)));
         const addresses = listing.entries.map(entry => readPeerAddress?.(entry)).filter(address =>
             address !== undefined
         );
@@ -41,8 +41,8 @@
 
     return {
         connect: () => seeds.filter(isOther).forEach(address => network.connect(address)),
-        noteFound: address => void found.add(address),
-        takeListing,
+        recordFound: address => void found.add(address),
+        applyListing,
         countMissing: () => missing.filter(seed => isOther(seed) && !found.has(seed)).length,
     };
 }
--- a/packages/daisyturn/src/process/membership/heartbeatMessage.ts
+++ b/packages/daisyturn/src/process/membership/heartbeatMessage.ts
@@ -19,7 +19,7 @@
     Ended = "ended",
 }
 
-const maximumMembersPerMessage = 1_024;
+const maxMembersPerMessage = 1_024;
 
 const memberEntrySchema = z.object({
     identity: processIdentitySchema,
@@ -34,7 +34,7 @@
     /** Hash of the members that the sender knows of; sent so that differences are noticed. */
     view: z.string(),
     /** All members, sent when the views differ. */
-    members: z.array(memberEntrySchema).max(maximumMembersPerMessage).optional(),
+    members: z.array(memberEntrySchema).max(maxMembersPerMessage).optional(),
     /** Names the run, because a message for an earlier run may reach a later one under the same process id. */
     misjudged: z.object({ incarnation: z.string(), as: z.enum(FalseSuspicion) }).optional(),
     /** Contributions of other modules by name; only those that changed. */
@@ -45,7 +45,7 @@
 export type HeartbeatMessage = z.infer<typeof heartbeatSchema>;
 
 /** Checks the parameters of a question about a suspected member. */
-export const suspicionQuestionSchema = z.object({ processId: z.string(), incarnation: z.string() });
+export const suspicionQuerySchema = z.object({ processId: z.string(), incarnation: z.string() });
 
 /** Checks the answer. */
 export const suspicionAnswerSchema = z.object({
--- a/packages/daisyturn/src/process/membership/membershipTiming.ts
+++ b/packages/daisyturn/src/process/membership/membershipTiming.ts
@@ -6,21 +6,21 @@
     /** Silence after which a member that nobody vouches for counts as dead. */
     readonly deadLimit: number;
     /** How long a vouching counts. */
-    readonly vouchLimit: number;
+    readonly confirmationValidity: number;
     /** Returns within this time count as flapping. */
-    readonly flapWindow: number;
+    readonly recoveryWindow: number;
     /** Returns within the window that cost nothing. */
-    readonly freeRecoveries: number;
+    readonly recoveriesWithoutHoldDown: number;
     /** Longest time that a flapping member has to be steady. */
-    readonly longestHold: number;
+    readonly maxHoldDown: number;
     /** How long an ended run is still shown. */
     readonly endedRetention: number;
 }
 
 const heartbeatsUntilSuspect = 3;
 const heartbeatsUntilDead = 6;
-const flapWindowMilliseconds = 300_000;
-const longestHoldMilliseconds = 30_000;
+const recoveryWindowMilliseconds = 300_000;
+const maxHoldDownMilliseconds = 30_000;
 const endedRetentionMilliseconds = 600_000;
 
 export function createMembershipTiming(heartbeatIntervalMilliseconds: number): MembershipTiming {
@@ -28,10 +28,10 @@
         heartbeatInterval: heartbeatIntervalMilliseconds,
         suspectLimit: heartbeatsUntilSuspect * heartbeatIntervalMilliseconds,
         deadLimit: heartbeatsUntilDead * heartbeatIntervalMilliseconds,
-        vouchLimit: heartbeatsUntilSuspect * heartbeatIntervalMilliseconds,
-        flapWindow: flapWindowMilliseconds,
-        freeRecoveries: 2,
-        longestHold: longestHoldMilliseconds,
+        confirmationValidity: heartbeatsUntilSuspect * heartbeatIntervalMilliseconds,
+        recoveryWindow: recoveryWindowMilliseconds,
+        recoveriesWithoutHoldDown: 2,
+        maxHoldDown: maxHoldDownMilliseconds,
         endedRetention: endedRetentionMilliseconds,
     };
 }
--- a/packages/daisyturn/src/process/orders/steps/createEngineQuiescer.ts
+++ b/packages/daisyturn/src/process/orders/steps/createEngineQuiescer.ts
@@ -1,6 +1,6 @@
 import type { Clock } from "daisyturn-utils";
 import { type Membership, PeerMethod, type PeerNetwork, type ProcessIdentity } from "../../peers/index.js";
-import { parseQuiesceAnswer, type QuiesceDemand, type TargetGate } from "../../targets/index.js";
+import { parseQuiesceAnswer, type QuiesceRequest, type TargetGate } from "../../targets/index.js";
 
 /** Keeps new work of all entry VMs away from an engine while it is changed. */
 export interface EngineQuiescer {
@@ -63,7 +63,7 @@
         membership.livePeers().forEach(peer => void ask(peer, demand, closing));
     };
 
-    const ask = async (peer: ProcessIdentity, demand: QuiesceDemand, closing: Closing) => {
+    const ask = async (peer: ProcessIdentity, demand: QuiesceRequest, closing: Closing) => {
         const limit = clock.monotonicNow() + renewalMilliseconds;
         const answer = await peerNetwork.request(peer.processId, PeerMethod.QuiesceEngine, { ...demand }, limit);
         const parsed = answer.isOk ? parseQuiesceAnswer(answer.value) : undefined;
--- a/packages/daisyturn/src/process/peers/createDigestExchange.ts
+++ b/packages/daisyturn/src/process/peers/createDigestExchange.ts
@@ -9,7 +9,7 @@
 
 /** Lets other modules ride on heartbeats in place of messages of their own. */
 export interface DigestExchange {
-    /** Adds a source, asked for each heartbeat to each peer. The digest must be small: see `maximumDigestBytes`. */
+    /** Adds a source, asked for each heartbeat to each peer. The digest must be small: see `maxDigestBytes`. */
     contributeDigest(name: string, source: DigestSource): void;
     /** Registers the only handler of a name. */
     onDigest(name: string, handler: DigestHandler): void;
@@ -25,7 +25,7 @@
 }
 
 /** Longest digest of one module, as JSON text. */
-export const maximumDigestBytes = 2_048;
+export const maxDigestBytes = 2_048;
 
 /** Heartbeats may be lost without notice, so what has not changed is sent again every so many heartbeats. */
 const heartbeatsUntilRepeat = 10;
@@ -60,7 +60,7 @@
         if (digest === undefined || last?.text === text && last.heartbeatsAgo < heartbeatsUntilRepeat) {
             return undefined;
         }
-        if (Buffer.byteLength(text) > maximumDigestBytes) {
+        if (Buffer.byteLength(text) > maxDigestBytes) {
             reportTooLong(name, text.length);
             return undefined;
         }
--- a/packages/daisyturn/src/process/peers/index.ts
+++ b/packages/daisyturn/src/process/peers/index.ts
@@ -4,9 +4,9 @@
  * @module
  */
 
-export * from "./alone.js";
 export * from "./createDigestExchange.js";
 export * from "./dialingPeerNetwork.js";
 export * from "./loadExchange.js";
 export * from "./peerNetwork.js";
 export * from "./processIdentitySchema.js";
+export * from "./singleProcess.js";
--- a/packages/daisyturn/src/process/peers/loadExchange.ts
+++ b/packages/daisyturn/src/process/peers/loadExchange.ts
@@ -57,8 +57,8 @@
 /** In every n-th interval all parts are asked; in those between, only if one of them is urgent. */
 const intervalsPerFullRound = 3;
 /** Every n-th full round is sent even if there is nothing to tell. */
-const roundsPerSignOfLife = 4;
-interface Heard {
+const roundsPerKeepAlive = 4;
+interface ReceivedRound {
     /** Monotonic time. */
     readonly at: number;
     readonly incarnation: string;
@@ -69,7 +69,7 @@
 export function createLoadExchange(options: LoadExchangeOptions): LoadExchange {
     const { network, membership, clock } = options;
     const parts = new Map<string, ExchangePart>();
-    const heard = new Map<string, Heard>();
+    const lastRounds = new Map<string, ReceivedRound>();
     let round = 0;
 
     const collect = (): ExchangeMessage | undefined => {
@@ -81,7 +81,7 @@
             }
         }
         round += 1;
-        const isEmpty = Object.keys(sections).length === 0 && round % roundsPerSignOfLife !== 0;
+        const isEmpty = Object.keys(sections).length === 0 && round % roundsPerKeepAlive !== 0;
         return isEmpty ? undefined : { round, incarnation: network.self.incarnation, sections };
     };
 
@@ -97,7 +97,7 @@
 
     /** A message that was overtaken tells less than is known already, and one from an earlier run is void. */
     const isStale = (from: ProcessIdentity, message: ExchangeMessage) => {
-        const last = heard.get(from.processId);
+        const last = lastRounds.get(from.processId);
         if (!last || message.incarnation > last.incarnation) {
             return false;
         }
@@ -109,7 +109,11 @@
         if (isStale(from, message)) {
             return {};
         }
-        heard.set(from.processId, { at: clock.monotonicNow(), incarnation: message.incarnation, round: message.round });
+        lastRounds.set(from.processId, {
+            at: clock.monotonicNow(),
+            incarnation: message.incarnation,
+            round: message.round,
+        });
         for (const [section, content] of Object.entries(message.sections)) {
             parts.get(section)?.receive(content, from);
         }
@@ -130,7 +134,7 @@
         register: part => {
             parts.set(part.section, part);
         },
-        lastReceivedAt: (processId, now) => heard.get(processId)?.at ?? now,
+        lastReceivedAt: (processId, now) => lastRounds.get(processId)?.at ?? now,
         publish,
         run,
     };
--- a/packages/daisyturn/src/process/peers/processIdentitySchema.ts
+++ b/packages/daisyturn/src/process/peers/processIdentitySchema.ts
@@ -1,9 +1,9 @@
 import { z } from "zod";
 import type { ProcessIdentity } from "./peerNetwork.js";
 
-const maximumTextLength = 256;
+const maxTextLength = 256;
 
-const text = z.string().min(1).max(maximumTextLength);
+const text = z.string().min(1).max(maxTextLength);
 
 /** Checks an identity that came from a peer. */
 export const processIdentitySchema: z.ZodType<ProcessIdentity> = z.object({
--- a/packages/daisyturn/src/process/peers/alone.ts
+++ b/packages/daisyturn/src/process/peers/singleProcess.ts
@@ -3,7 +3,7 @@
 import { type Membership, PeerNetwork, type ProcessIdentity } from "./peerNetwork.js";
 
 /** The members that a process without a cell sees: none but itself, so it is always with the majority. */
-export const membershipAlone: Membership = {
+export const singleProcessMembership: Membership = {
     others: () => [],
     livePeers: () => [],
     hasEnded: () => false,
@@ -12,7 +12,7 @@
 };
 
 /** The network of a process without a cell: nobody can be asked. */
-export class NetworkAlone extends PeerNetwork {
+export class SingleProcessNetwork extends PeerNetwork {
     constructor(override readonly self: ProcessIdentity) {
         super();
     }
--- a/packages/daisyturn/src/process/targets/__tests__/createTargetGate.test.ts
+++ b/packages/daisyturn/src/process/targets/__tests__/createTargetGate.test.ts
@@ -54,15 +54,15 @@
         assert.equal(gate.isOpen("engine-1"), false);
     });
 
-    it("closes at the controller's demand, tells what is in flight, and opens on release or when the demand lapses", async () => {
+    it("closes at the controller's request, tells what is in flight, and opens on release or when the request lapses", async () => {
         const { clock, gate, ask } = createGateRig();
         const leave = gate.enter("engine-1");
-        const demand = { engineId: "engine-1", orderId: "change-1", forMilliseconds: 5_000 };
-        assert.deepEqual(await ask(PeerMethod.QuiesceEngine, demand), { inFlight: 1 });
+        const request = { engineId: "engine-1", orderId: "change-1", forMilliseconds: 5_000 };
+        assert.deepEqual(await ask(PeerMethod.QuiesceEngine, request), { inFlight: 1 });
         assert.equal(gate.isOpen("engine-1"), false);
         leave();
         leave();
-        assert.deepEqual(await ask(PeerMethod.QuiesceEngine, { ...demand, orderId: "change-2" }), { inFlight: 0 });
+        assert.deepEqual(await ask(PeerMethod.QuiesceEngine, { ...request, orderId: "change-2" }), { inFlight: 0 });
         await ask(PeerMethod.ReleaseEngine, { engineId: "engine-1", orderId: "change-1" });
         assert.equal(gate.isOpen("engine-1"), false, "the other change still closes it");
         await clock.advance(5_000);
--- a/packages/daisyturn/src/process/targets/createTargetGate.ts
+++ b/packages/daisyturn/src/process/targets/createTargetGate.ts
@@ -2,7 +2,7 @@
 import type { Target } from "../../version/configurationItems.js";
 import type { ConfigurationManager } from "../configuration/index.js";
 import { PeerMethod, type PeerNetwork } from "../peers/index.js";
-import { parseQuiesceDemand, parseReleaseNotice } from "./quiesceMessages.js";
+import { parseQuiesceRequest, parseReleaseNotice } from "./quiesceMessages.js";
 import type { TargetGate } from "./targetGate.js";
 
 /** What a target gate is made of. */
@@ -16,34 +16,34 @@
     readonly isInService: () => boolean;
 }
 
-/** Longest time for which one demand closes an engine; a controller that lives repeats its demand. */
-const longestClosingMilliseconds = 60_000;
+/** Longest time for which one request closes an engine; a controller that lives repeats its request. */
+const maxClosureMilliseconds = 60_000;
 
 /** Creates the gate and answers the controller's demands on it. */
 export function createTargetGate(options: TargetGateOptions): TargetGate {
     const { configurationManager, peerNetwork, clock } = options;
     /** Deadlines by change, by target. */
-    const closings = new Map<string, Map<string, number>>();
+    const closures = new Map<string, Map<string, number>>();
     const counts = new Map<string, number>();
 
     const close = (targetName: string, orderId: string, deadline: number) => {
-        const ofTarget = closings.get(targetName) ?? new Map<string, number>();
+        const ofTarget = closures.get(targetName) ?? new Map<string, number>();
         ofTarget.set(orderId, deadline);
-        closings.set(targetName, ofTarget);
+        closures.set(targetName, ofTarget);
     };
 
     const release = (targetName: string, orderId: string) => {
-        closings.get(targetName)?.delete(orderId);
+        closures.get(targetName)?.delete(orderId);
     };
 
     const isClosedForOrder = (targetName: string) => {
-        const ofTarget = closings.get(targetName);
+        const ofTarget = closures.get(targetName);
         if (!ofTarget) {
             return false;
         }
         const now = clock.monotonicNow();
-        const lapsed = [...ofTarget].filter(([, deadline]) => deadline <= now);
-        lapsed.forEach(([orderId]) => ofTarget.delete(orderId));
+        const expired = [...ofTarget].filter(([, deadline]) => deadline <= now);
+        expired.forEach(([orderId]) => ofTarget.delete(orderId));
         return ofTarget.size > 0;
     };
 
@@ -71,11 +71,11 @@
     };
 
     peerNetwork.handle(PeerMethod.QuiesceEngine, (...[, parameters]): JsonObject => {
-        const demand = parseQuiesceDemand(parameters);
-        // The two processes' clocks are not equal, so the demand carries a length, which becomes a deadline here.
-        const length = Math.min(demand.forMilliseconds, longestClosingMilliseconds);
-        close(demand.engineId, demand.orderId, clock.monotonicNow() + length);
-        return { inFlight: inFlight(demand.engineId) };
+        const request = parseQuiesceRequest(parameters);
+        // The two processes' clocks are not equal, so the request carries a length, which becomes a deadline here.
+        const length = Math.min(request.forMilliseconds, maxClosureMilliseconds);
+        close(request.engineId, request.orderId, clock.monotonicNow() + length);
+        return { inFlight: inFlight(request.engineId) };
     });
 
     peerNetwork.handle(PeerMethod.ReleaseEngine, (...[, parameters]): JsonObject => {
--- a/packages/daisyturn/src/process/targets/quiesceMessages.ts
+++ b/packages/daisyturn/src/process/targets/quiesceMessages.ts
@@ -12,8 +12,8 @@
 }
 
 /** Demands that a process sends no new work to an engine. */
-export interface QuiesceDemand extends ReleaseNotice {
-    /** How long the demand holds from its arrival, unless it is repeated. */
+export interface QuiesceRequest extends ReleaseNotice {
+    /** How long the request holds from its arrival, unless it is repeated. */
     readonly forMilliseconds: number;
 }
 
@@ -22,8 +22,8 @@
     readonly inFlight: number;
 }
 
-/** Reads a demand; throws where a peer sent something else. */
-export function parseQuiesceDemand(parameters: JsonObject): QuiesceDemand {
+/** Reads a request; throws where a peer sent something else. */
+export function parseQuiesceRequest(parameters: JsonObject): QuiesceRequest {
     return quiesceSchema.parse(parameters);
 }
 
--- a/packages/daisyturn/src/request/claims/createClaimManager.ts
+++ b/packages/daisyturn/src/request/claims/createClaimManager.ts
@@ -4,8 +4,7 @@
 import type { ServiceAnswer } from "../../ports/plainService.js";
 import type { Row } from "../../ports/tableService.js";
 import {
-    type AbandonedClaims,
-    answerInquiries,
+    type AbandonedClaimSettler,
     type ClaimLimits,
     type ClaimRow,
     type ClaimRowState,
@@ -22,11 +21,12 @@
     type ExaminedClaim,
     ExaminedKind,
     formatClaimRowKey,
+    handleInquiries,
     hashCall,
     type OwnClaim,
     parseClaimRow,
-    refuseIdempotencyKey,
-    settlesBefore,
+    validateIdempotencyKey,
+    waitUntilResolved,
 } from "../../process/claims/index.js";
 import type { Membership, PeerNetwork, ProcessIdentity } from "../../process/peers/index.js";
 import { type StoreClient, StorePriority } from "../../process/store/index.js";
@@ -72,7 +72,7 @@
 }
 
 /** The keeper of a process, with what the process needs at its end. */
-export interface ProcessClaimManager extends ClaimManager, AbandonedClaims {
+export interface ProcessClaimManager extends ClaimManager, AbandonedClaimSettler {
     /** Attempts whose rows do not say yet how they ended. */
     countUnsettled(): number;
     /** Waits until the rows of all attempts are settled; false if the deadline (monotonic) passed before. */
@@ -95,10 +95,10 @@
     const recorder = createClaimRecorder({ ...options, writer });
     const examiner = createClaimExaminer({ ...options, ownClaims, writer, limits });
     const taker = createClaimAcquirer({ ...options, writer, recorder, examiner, limits });
-    answerInquiries(options.network, options.self, ownClaims, clock);
+    handleInquiries(options.network, options.self, ownClaims, clock);
 
     const runOnce = async (request: ClaimRequest, send: SendCall): Promise<Result<ServiceAnswer, Failure>> => {
-        const refusal = refuseIdempotencyKey(request.idempotencyKey);
+        const refusal = validateIdempotencyKey(request.idempotencyKey);
         if (refusal) {
             return Result.err(refusal);
         }
@@ -126,7 +126,7 @@
         if (examined.kind !== ExaminedKind.Free) {
             return describeExamined(examined, clock.wallNow() + retryAfterMilliseconds);
         }
-        if (!await settlesBefore(other.settled, clock, deadline)) {
+        if (!await waitUntilResolved(other.settled, clock, deadline)) {
             return Result.err<ServiceAnswer, Failure>(failWithKeyHeld(clock.wallNow() + retryAfterMilliseconds));
         }
         return undefined;
@@ -136,7 +136,7 @@
         if (own.callHash !== callHash) {
             return { kind: ExaminedKind.KeyReused };
         }
-        await settlesBefore(own.ended, clock, deadline);
+        await waitUntilResolved(own.ended, clock, deadline);
         return examineOwnAttempt(own);
     };
 
@@ -167,7 +167,7 @@
         own.end(ClaimStage.NotSent);
         const row = createFreeRow(taken.row, clock.wallNow(), limits);
         void recorder.record(own, taken.version, row);
-        const isFree = await settlesBefore(own.settled, clock, request.deadline);
+        const isFree = await waitUntilResolved(own.settled, clock, request.deadline);
         const told = isFree ? failure : failWithKeyHeld(clock.wallNow() + retryAfterMilliseconds);
         return Result.err<ServiceAnswer, Failure>(told);
     };
@@ -219,7 +219,7 @@
 
     const drain = async (deadline: number) => {
         const settled = Promise.all(ownClaims.all().map(own => own.settled));
-        return settlesBefore(settled, clock, deadline);
+        return waitUntilResolved(settled, clock, deadline);
     };
 
     const settleAbandoned = async (present: Row, deadline: number) => {
