--- a/packages/daisyturn/src/process/lease/__fixtures__/driftingClock.ts
+++ b/packages/daisyturn/src/process/lease/__fixtures__/driftingClock.ts
@@ -1,6 +1,6 @@
 import { Clock } from "daisyturn-utils";
 
-/** A clock that runs `rate` times as fast as another. */
+/** Creates a clock that runs `rate` times as fast as `clock`. */
 export function createDriftingClock(clock: Clock, rate: number): Clock {
     class DriftingClock extends Clock {
         override monotonicNow(): number {
@@ -12,7 +12,7 @@
         }
 
         override sleepUntil(deadline: number, signal?: AbortSignal): Promise<void> {
-            // Rounded up, so that a sleeper never wakes a little too early and spins.
+            // Rounded up, so that a sleep never ends slightly before its deadline and causes a busy loop.
             return clock.sleepUntil(Math.floor(deadline / rate) + 1, signal);
         }
     }
--- a/packages/daisyturn/src/process/lease/__tests__/createLeaseManager.test.ts
+++ b/packages/daisyturn/src/process/lease/__tests__/createLeaseManager.test.ts
@@ -23,19 +23,19 @@
     pollIntervalMilliseconds: 1_000,
 };
 
-/** A process that competes for the lease; its clock runs at `rate`. */
+/** Starts a process that tries to acquire the lease; its clock runs at `rate`. */
 function startManager(
     clock: FakeClock,
     table: TableService,
     name: string,
     rate = 1,
     seed = 1,
-    longestDelay = 1,
+    maxDelay = 1,
     storeEra?: StoreEraTracker,
 ) {
     const drifting = createDriftingClock(clock, rate);
     const random = createSeededRandom(seed);
-    const host = createProcessHost(drifting, 9_000, () => random.integerBelow(longestDelay));
+    const host = createProcessHost(drifting, 9_000, () => random.integerBelow(maxDelay));
     const eventLog = new MemoryEventLog();
     const self = createFakeIdentity(name);
     const storeClient = createStoreClient({
@@ -67,7 +67,7 @@
 
 type Manager = ReturnType<typeof startManager>;
 
-/** Moves the clock on until one of them holds the lease; how long it took, to 50 ms. */
+/** Advances the clock until one of the managers holds the lease; returns the time that this took, to 50 ms. */
 async function awaitHolder(clock: FakeClock, managers: readonly Manager[], limit = 30_000): Promise<number> {
     const start = clock.monotonicNow();
     while (!managers.some(one => one.leaseManager.current()) && clock.monotonicNow() < start + limit) {
@@ -87,15 +87,15 @@
             const managers = [0.96, 1, 1.04].map((rate, index) =>
                 startManager(clock, table, `p${index}`, rate, seed + index, 1_500)
             );
-            const taken: Lease[] = [];
+            const acquired: Lease[] = [];
             managers.forEach(one =>
                 one.leaseManager.onAcquired(lease => {
-                    const held = taken.filter(other => other.isHeld());
-                    const isOld = taken.some(other => other.fencingNumber >= lease.fencingNumber);
+                    const held = acquired.filter(other => other.isHeld());
+                    const isOld = acquired.some(other => other.fencingNumber >= lease.fencingNumber);
                     if (held.length > 0 || isOld) {
                         overlaps.push(`seed ${seed}: ${lease.fencingNumber} at ${clock.monotonicNow()}`);
                     }
-                    taken.push(lease);
+                    acquired.push(lease);
                 })
             );
             for (let round = 0; round < 6; round++) {
@@ -106,7 +106,7 @@
                 host.cutOff(CallKind.Store, random.fraction() < 0.5);
                 managers.filter(one => one.host !== host).forEach(one => one.host.cutOff(CallKind.Store, false));
             }
-            takeovers += taken.length;
+            takeovers += acquired.length;
             managers.forEach(one => one.host.kill());
         }
         assert.deepEqual(overlaps, []);
@@ -125,15 +125,15 @@
                 const storeEra = createStoreEraTracker();
                 return startManager(clock, store.connect(storeEra), `p${index}`, rate, seed + index, 800, storeEra);
             });
-            const taken: Lease[] = [];
+            const acquired: Lease[] = [];
             managers.forEach(one =>
                 one.leaseManager.onAcquired(lease => {
-                    const isHeldTwice = taken.some(other => other.isHeld());
-                    const isOld = taken.some(other => other.fencingNumber >= lease.fencingNumber);
+                    const isHeldTwice = acquired.some(other => other.isHeld());
+                    const isOld = acquired.some(other => other.fencingNumber >= lease.fencingNumber);
                     if (isHeldTwice || isOld) {
                         overlaps.push(`seed ${seed}: ${lease.fencingNumber} at ${clock.monotonicNow()}`);
                     }
-                    taken.push(lease);
+                    acquired.push(lease);
                 })
             );
             for (let round = 0; round < 8; round++) {
@@ -145,7 +145,7 @@
                     await store.rollBack(1 + random.integerBelow(8));
                 }
             }
-            takeovers += taken.length;
+            takeovers += acquired.length;
             managers.forEach(one => one.host.kill());
         }
         assert.deepEqual(overlaps, []);
@@ -165,20 +165,20 @@
         assert.equal(one.leaseManager.current(), undefined);
         assert.equal(first?.isHeld(), false);
         const waited = await awaitHolder(clock, [one]);
-        assert.ok(waited >= times.leaseMilliseconds, `taken after ${waited} ms`);
+        assert.ok(waited >= times.leaseMilliseconds, `acquired after ${waited} ms`);
         assert.ok((one.leaseManager.current()?.fencingNumber ?? 0) > (first?.fencingNumber ?? Infinity));
         one.stop();
         await clock.advance(1_000);
         const next = startManager(clock, store.connect(createStoreEraTracker()), "p2", 1, 2, 1, storeEra);
         assert.ok(
             await awaitHolder(clock, [next]) <= 1.5 * times.pollIntervalMilliseconds,
-            "a lease released in the current era can be taken at once",
+            "a lease released in the current era can be acquired at once",
         );
         next.stop();
         await clock.advance(1_000);
     });
 
-    it("passes on after a kill within the lease and two looks, after a release within one look", async () => {
+    it("has a new holder within the lease and two polls after a kill, and within one poll after a release", async () => {
         const clock = new FakeClock();
         const table = createMemoryTableService();
         const managers = [startManager(clock, table, "p1", 1, 1), startManager(clock, table, "p2", 1, 2)];
@@ -197,16 +197,16 @@
         third.host.kill();
     });
 
-    it("counts its deadline from before it sent the renewal, however late the answer comes", async () => {
+    it("computes the deadline from the time at which the renewal was sent, however late the answer arrives", async () => {
         const clock = new FakeClock();
         const faulty = createFaultyTableService(createMemoryTableService(), { clock });
         const one = startManager(clock, faulty.tableService, "p1");
         await awaitHolder(clock, [one]);
         const lease = one.leaseManager.current()!;
         const first = lease.deadline();
-        const sentBefore = faulty.transactions.length;
+        const sentCountBefore = faulty.transactions.length;
         faulty.setStandingFault({ kind: TableFaultKind.Slow, delayMilliseconds: 700 });
-        while (faulty.transactions.length === sentBefore) {
+        while (faulty.transactions.length === sentCountBefore) {
             await clock.advance(10);
         }
         const sentAt = clock.monotonicNow();
@@ -216,7 +216,7 @@
         one.host.kill();
     });
 
-    it("does not hold a lease whose takeover was not answered, and takes it anew when it finds its own row", async () => {
+    it("does not hold a lease whose takeover was not answered, and reacquires it when it reads its own row", async () => {
         const clock = new FakeClock();
         const faulty = createFaultyTableService(createMemoryTableService(), { clock });
         const one = startManager(clock, faulty.tableService, "p1");
@@ -231,7 +231,7 @@
         one.host.kill();
     });
 
-    it("is over when the wall clock has gone on while the monotonic one stood still, as in a suspended VM", async () => {
+    it("ends when the wall clock advances while the monotonic clock stops, as in a suspended VM", async () => {
         const clock = new FakeClock();
         const one = startManager(clock, createMemoryTableService(), "p1");
         await awaitHolder(clock, [one]);
@@ -239,11 +239,11 @@
         clock.jumpWall(times.leaseMilliseconds);
         assert.equal(lease.isHeld(), false);
         clock.jumpWall(-times.leaseMilliseconds);
-        assert.equal(lease.isHeld(), false, "a lease that was over once stays over");
+        assert.equal(lease.isHeld(), false, "an ended lease stays ended");
         one.host.kill();
     });
 
-    it("gives the lease back only after what was begun under it has ended", async () => {
+    it("releases the lease only after the registered tasks have completed", async () => {
         const clock = new FakeClock();
         const table = createMemoryTableService();
         const one = startManager(clock, table, "p1");
@@ -268,8 +268,8 @@
     const value = { holder: createFakeIdentity("p1"), fencingNumber: 1, leaseMilliseconds: 5_000, released: false };
     const unseen = { fencingVersion: absentVersion, renewalVersion: absentVersion };
 
-    /** A lease that p1 has taken by the commit with the version 1, which is that of both rows. */
-    async function takeFirst() {
+    /** Creates a lease that p1 has acquired by the commit with version 1; both rows have this version. */
+    async function acquireFirst() {
         const table = createMemoryTableService();
         const commit = async (transaction: Transaction) => (await table.transact(transaction, Infinity)).outcome;
         await commit(takeoverTransaction("test", "w1", value, unseen));
@@ -283,9 +283,9 @@
         return { commit, lease, seen: { fencingVersion: 1, renewalVersion: 1 } };
     }
 
-    it("shut out a takeover once the lease was renewed, released or taken since it was looked at", async () => {
+    it("reject a takeover if the lease was renewed, released or acquired since its rows were read", async () => {
         for (const change of ["renewal", "release", "takeover"]) {
-            const { commit, lease, seen } = await takeFirst();
+            const { commit, lease, seen } = await acquireFirst();
             const changes = new Map([
                 ["renewal", renewalTransaction(lease, "w2", "p1-1", 1)],
                 ["release", releaseTransaction(lease, "w2", value)],
@@ -300,8 +300,8 @@
         }
     });
 
-    it("shut out the earlier holder's renewal and release after a takeover", async () => {
-        const { commit, lease, seen } = await takeFirst();
+    it("reject the earlier holder's renewal and release after a takeover", async () => {
+        const { commit, lease, seen } = await acquireFirst();
         await commit(takeoverTransaction("test", "w2", value, seen));
         assert.equal(await commit(renewalTransaction(lease, "w3", "p1-1", 1)), TransactionOutcome.Rejected);
         assert.equal(await commit(releaseTransaction(lease, "w4", value)), TransactionOutcome.Rejected);
--- a/packages/daisyturn/src/process/lease/createLeaseManager.ts
+++ b/packages/daisyturn/src/process/lease/createLeaseManager.ts
@@ -7,7 +7,7 @@
 import { fencingRowKey, type FencingValue, parseFencingValue, renewalRowKey } from "./leaseRows.js";
 import { releaseTransaction, renewalTransaction, takeoverTransaction } from "./leaseTransactions.js";
 
-/** What a lease keeper is made of. */
+/** Dependencies and settings of a lease manager. */
 export interface LeaseManagerOptions {
     readonly name: string;
     readonly self: ProcessIdentity;
@@ -16,17 +16,17 @@
     readonly random: Random;
     readonly ids: IdSource;
     readonly eventLog: EventLog;
-    /** How long a renewal holds off claimants. */
+    /** Time after a renewal during which no other process may acquire the lease. */
     readonly leaseMilliseconds?: number;
-    /** How much earlier the holder stops; covers clocks that run at different speeds. */
+    /** How much earlier than the lease expires its holder stops; covers clocks that run at different rates. */
     readonly marginMilliseconds?: number;
     readonly renewalIntervalMilliseconds?: number;
-    /** How often a claimant looks at the rows. */
+    /** How often a process without the lease reads its rows. */
     readonly pollIntervalMilliseconds?: number;
     readonly callLimitMilliseconds?: number;
     /** Returns the latest era of the store that this process has seen. By default, the store has no eras. */
     readonly storeEra?: () => number;
-    /** False while this process should not take the lease, such as when it drains. */
+    /** Returns false while this process must not acquire the lease, for example while it drains. */
     readonly mayAcquire?: () => boolean;
 }
 
@@ -35,26 +35,26 @@
 const defaultRenewalIntervalMilliseconds = 1_500;
 const defaultPollIntervalMilliseconds = 1_000;
 const defaultCallLimitMilliseconds = 2_000;
-/** Wait after a renewal whose outcome is not known or that was not sent. */
+/** Delay after a renewal that was not sent or whose outcome is unknown. */
 const renewalRetryMilliseconds = 200;
 
 /**
- * Size of the range of fencing numbers reserved for each era. Separate ranges prevent reuse of numbers that a restore has
- * removed from the store. Numbers are exact for eras below 2^21 and versions below 2^32.
+ * Size of the range of fencing numbers reserved for each era. Separate ranges prevent reuse of numbers that a restore
+ * has removed from the store. Numbers are exact for eras below 2^21 and versions below 2^32.
  */
 const fencingNumbersPerEra = 2 ** 32;
 
-/** What a claimant saw, and since when it has not changed. */
+/** State of the lease rows as last read, and the time since which it has been unchanged. */
 interface Observation {
     readonly fencingVersion: number;
     readonly renewalVersion: number;
     readonly era: number;
     readonly fencing?: FencingValue;
-    /** Monotonic time, on this process's own clock, after the read that first showed these versions. */
+    /** Monotonic time of this process after the read that first returned these versions. */
     readonly firstSeenAt: number;
 }
 
-/** Creates the keeper of one lease; it does nothing before `run`. */
+/** Creates the manager of one lease; it does nothing before `run` is called. */
 export function createLeaseManager(options: LeaseManagerOptions): LeaseManager {
     const { name, self, storeClient, clock, random, ids, eventLog } = options;
     const leaseMilliseconds = options.leaseMilliseconds ?? defaultLeaseMilliseconds;
@@ -76,7 +76,7 @@
     const run = async (signal: AbortSignal) => {
         while (!signal.aborted) {
             if (tenure) {
-                await hold(tenure, signal);
+                await renewPeriodically(tenure, signal);
             }
             else {
                 await tryAcquire(signal);
@@ -85,17 +85,17 @@
         await release();
     };
 
-    const hold = async (held: LeaseTenure, signal: AbortSignal) => {
+    const renewPeriodically = async (held: LeaseTenure, signal: AbortSignal) => {
         await clock.sleepUntil(clock.monotonicNow() + renewalInterval, signal);
         while (!signal.aborted && !held.hasEnded() && !await renew(held)) {
             await clock.sleepUntil(clock.monotonicNow() + renewalRetryMilliseconds, signal);
         }
         if (held.hasEnded()) {
-            lose(held, "deadline passed, row taken or store rolled back");
+            lose(held, "deadline passed, lease acquired by another process, or store rolled back");
         }
     };
 
-    /** Returns whether the renewal is known to be committed. An unknown one never moves the deadline. */
+    /** Returns whether the renewal was committed. A renewal with unknown outcome does not extend the deadline. */
     const renew = async (held: LeaseTenure) => {
         const sentAt = readClocks(clock);
         renewalCount += 1;
@@ -163,10 +163,10 @@
         if (answer.outcome !== TransactionOutcome.Committed || answer.version === undefined) {
             return;
         }
-        // A delayed takeover from an earlier era may overwrite the row with a lower number, so the number is derived from the
-        // version of the commit, which is unique within an era.
+        // A delayed takeover from an earlier era may overwrite the row with a lower number, so the number is derived from
+        // the version of the commit, which is unique within an era.
         const fencingNumber = era > 0 ? era * fencingNumbersPerEra + answer.version : value.fencingNumber;
-        const taken = createLeaseTenure({
+        const acquired = createLeaseTenure({
             name,
             clock,
             fencingNumber,
@@ -175,13 +175,13 @@
             usableMilliseconds: leaseMilliseconds - marginMilliseconds,
             isEraCurrent: () => storeEra() === era,
         });
-        if (taken.hasEnded()) {
+        if (acquired.hasEnded()) {
             return;
         }
-        tenure = taken;
+        tenure = acquired;
         tenureEra = era;
         eventLog.record(EventKind.LeaseAcquired, { lease: name, fencing: fencingNumber });
-        acquiredListeners.forEach(listener => listener(taken.lease));
+        acquiredListeners.forEach(listener => listener(acquired.lease));
     };
 
     const createValue = (fencingNumber: number, era: number): FencingValue => (
@@ -196,7 +196,8 @@
         lostListeners.forEach(listener => listener(held.lease));
     };
 
-    // A release says that nothing more will be sent under the lease, so all that was begun ends first.
+    // The next holder relies on a release as proof that nothing more is sent under the lease, so all work in progress
+    // ends first.
     const release = async () => {
         const held = tenure;
         if (!held) {
@@ -227,9 +228,10 @@
 }
 
 /**
- * Returns the time from which the lease can be claimed. A lease that is absent, released or was last held by this process
- * run is available at once if its row was written in the current era; an absent row counts as era 0. Otherwise the lease is
- * available after its full length without a renewal: a restore may have removed the row of a later holder.
+ * Returns the monotonic time from which the lease can be acquired. A lease that is absent, released or was last held by
+ * this incarnation is available at once if its row was written in the current era; an absent row counts as era 0.
+ * Otherwise the lease is available after its full length without a renewal: a restore may have removed the row of a
+ * later holder.
  */
 function findAcquirableAt(
     { fencingVersion, fencing, firstSeenAt, era }: Observation,
--- a/packages/daisyturn/src/process/lease/index.ts
+++ b/packages/daisyturn/src/process/lease/index.ts
@@ -1,5 +1,5 @@
 /**
- * The lease of the one process that may decide for the fleet.
+ * Lease of the one process that makes decisions for the fleet, with fencing numbers.
  *
  * @module
  */
--- a/packages/daisyturn/src/process/lease/lease.ts
+++ b/packages/daisyturn/src/process/lease/lease.ts
@@ -1,27 +1,27 @@
-/** Right to act for the cell, held by one process at a time. */
+/** Exclusive right to act for the cell; at most one process holds it at a time. */
 export interface Lease {
     readonly name: string;
-    /** Greater than that of every earlier holder. */
+    /** Greater than the fencing number of every earlier holder. */
     readonly fencingNumber: number;
-    /** Monotonic time after which this process must not act, less the margin. */
+    /** Monotonic time from which this process must not act; the safety margin is already subtracted. */
     deadline(): number;
-    /** Whether the deadline lies ahead; to be asked right before each act. */
+    /** Returns whether the lease is still held. Must be called right before each action under the lease. */
     isHeld(): boolean;
-    /** Version of the row that changes only when the holder changes; a condition of every write made under the lease. */
+    /** Version of the row that changes only on takeover and release; a condition of every write under the lease. */
     readonly fencingRow: { readonly key: string; readonly version: number; };
 }
 
-/** Takes, renews and gives back one lease. */
+/** Acquires, renews and releases one lease. */
 export interface LeaseManager {
-    /** The lease if this process holds it now. */
+    /** Returns the lease if this process holds it. */
     current(): Lease | undefined;
-    /** Competes for the lease and renews it until `signal` is aborted, then releases it. */
+    /** Tries to acquire the lease and renews it until `signal` is aborted, then releases it. */
     run(signal: AbortSignal): Promise<void>;
     onAcquired(listener: (lease: Lease) => void): void;
     onLost(listener: (lease: Lease) => void): void;
     /**
-     * Registers what must end before the lease is given back on stopping: a release is taken by the next holder as
-     * proof that nothing more is sent under this one. `onLost` has been called before.
+     * Registers a task that must complete before the lease is released on shutdown: the next holder relies on the
+     * release as proof that nothing more is sent under this lease. The `onLost` listeners are called before the tasks.
      */
     beforeRelease(task: () => Promise<void>): void;
 }
--- a/packages/daisyturn/src/process/lease/leaseRows.ts
+++ b/packages/daisyturn/src/process/lease/leaseRows.ts
@@ -13,26 +13,26 @@
 /** Value of the row that changes only at takeover and release. */
 export interface FencingValue {
     readonly holder: ProcessIdentity;
-    /** In a store with eras, the holder's number is derived from the version of its takeover instead. */
+    /** In a store with eras, the lease's number is derived from the version of the takeover instead. */
     readonly fencingNumber: number;
-    /** Length of the lease as its holder counts it; a claimant waits at least as long. */
+    /** Length of the lease as its holder applies it; another process waits at least as long before a takeover. */
     readonly leaseMilliseconds: number;
     readonly released: boolean;
     /** Era in which the row was written; absent in a store without eras. */
     readonly era?: number;
 }
 
-/** Key of the row that tells who holds a lease. */
+/** Returns the key of the row that names the holder of a lease. */
 export function fencingRowKey(leaseName: string): string {
     return `lease/${leaseName}`;
 }
 
-/** Key of the row that the holder rewrites to show that it lives. */
+/** Returns the key of the row that the holder rewrites on each renewal. */
 export function renewalRowKey(leaseName: string): string {
     return `lease/${leaseName}/renewal`;
 }
 
-/** Reads a fencing row's value; undefined if it is not one. */
+/** Parses the value of a fencing row; undefined if it is invalid. */
 export function parseFencingValue(value: JsonValue): FencingValue | undefined {
     return fencingValueSchema.safeParse(value).data;
 }
--- a/packages/daisyturn/src/process/lease/leaseTransactions.ts
+++ b/packages/daisyturn/src/process/lease/leaseTransactions.ts
@@ -3,12 +3,12 @@
 import type { Lease } from "./lease.js";
 import { fencingRowKey, type FencingValue, renewalRowKey } from "./leaseRows.js";
 
-/** Condition that a lease has had no other holder since; belongs into every write made under it. */
+/** Returns the condition that the lease has had no later holder; part of every write made under the lease. */
 export function fencingCondition(lease: Lease): RowCondition {
     return { key: lease.fencingRow.key, expectedVersion: lease.fencingRow.version };
 }
 
-/** Takes a lease, if neither of its rows has changed since they were read. */
+/** Returns the transaction that acquires a lease if neither of its rows has changed since they were read. */
 export function takeoverTransaction(
     leaseName: string,
     writeId: string,
@@ -29,8 +29,8 @@
 }
 
 /**
- * Shows that the holder lives. Only the holder writes the renewal row, so the fencing row's version is the only
- * condition needed: a renewal that arrives after a takeover is rejected by it.
+ * Returns the transaction that renews a lease. Only the holder writes the renewal row, so the fencing row's version is
+ * the only condition needed: it rejects a renewal that arrives after a takeover.
  */
 export function renewalTransaction(lease: Lease, writeId: string, incarnation: string, count: number): Transaction {
     return {
@@ -40,7 +40,7 @@
     };
 }
 
-/** Gives a lease back. */
+/** Returns the transaction that releases a lease. */
 export function releaseTransaction(lease: Lease, writeId: string, value: FencingValue): Transaction {
     return {
         writeId,
