--- a/packages/daisyturn/src/process/membership/__fixtures__/cells.ts
+++ b/packages/daisyturn/src/process/membership/__fixtures__/cells.ts
@@ -6,7 +6,7 @@
 import type { DialingPeerNetwork, MemberState, ProcessIdentity } from "../../peers/index.js";
 import { createMembership, type MembershipOptions, type RunningMembership } from "../createMembership.js";
 
-/** A VM list that fails until it is given entries; it lags by `lag` milliseconds in what it says of itself. */
+/** A VM list that fails until it is given entries; its listings are dated `lag` milliseconds in the past. */
 export class FakeVmList extends VmList {
     entries: readonly VmEntry[] | undefined;
     lag = 0;
@@ -15,7 +15,7 @@
         super();
     }
 
-    /** Shows the VMs of these processes. */
+    /** Lists the VMs of these processes. */
     show(...processIds: readonly string[]): void {
         this.entries = processIds.map(processId => ({
             vmId: `vm-${processId}`,
@@ -30,25 +30,24 @@
         return Promise.resolve(
             entries
                 ? ok({ asOf: this.clock.wallNow() - this.lag, entries })
-                : err(notRun(FailureReason.StoreUnavailable, "the list is down")),
+                : err(notRun(FailureReason.StoreUnavailable, "the VM list is unavailable")),
         );
     }
 }
 
-/** One process of a fake cell. */
 export interface CellProcess {
     readonly identity: ProcessIdentity;
     readonly network: DialingPeerNetwork;
     readonly membership: RunningMembership;
     readonly clock: PausableClock;
     readonly eventLog: MemoryEventLog;
-    /** Ends in good order: the others are told. */
+    /** Shuts down in an orderly way, with a leave message to the others. */
     leave(): void;
-    /** What it thinks of another process. */
+    /** Returns the state of another process as seen by this one. */
     stateOf(processId: string): MemberState | undefined;
 }
 
-/** Starts processes that are joined in memory. Unless told otherwise each knows the address of `p1` only. */
+/** Creates a cell of processes that are connected in memory. By default, each knows only the address of `p1`. */
 export function createFakeCell() {
     const clock = new FakeClock();
     const networks = createFakePeerNetworks(clock);
@@ -80,7 +79,7 @@
         };
     };
 
-    /** Starts `p1` to `p<count>` and lets them find each other. */
+    /** Starts `p1` to `p<count>` and waits until they have discovered each other. */
     const startMany = async (count: number): Promise<CellProcess[]> => {
         const names = Array.from({ length: count }, (...[, index]) => `p${index + 1}`);
         const processes = names.map(name => start(createFakeIdentity(name)));
--- a/packages/daisyturn/src/process/membership/__tests__/createMembership.test.ts
+++ b/packages/daisyturn/src/process/membership/__tests__/createMembership.test.ts
@@ -10,7 +10,7 @@
     return process.membership.livePeers().map(peer => peer.processId).sort();
 }
 
-/** Starts five processes and hands them out by name, with the cell's controls. */
+/** Starts five processes and returns them by name, with the cell's controls. */
 async function createCellOfFive() {
     const cell = createFakeCell();
     const [p1, p2, p3, p4, p5] = await cell.startMany(5);
@@ -19,14 +19,14 @@
 }
 
 describe("createMembership", () => {
-    it("finds all members through one seed, with the VM list down", async () => {
+    it("discovers all members through one seed while the VM list is unavailable", async () => {
         const { p1, p5 } = await createCellOfFive();
         assert.deepEqual(liveIds(p1), ["p2", "p3", "p4", "p5"]);
         assert.deepEqual(liveIds(p5), ["p1", "p2", "p3", "p4"]);
         assert.ok(p5.membership.hasMajorityContact());
     });
 
-    it("suspects a killed process, then takes it for dead, but not for ended without proof", async () => {
+    it("suspects a killed process, then considers it dead, but not ended without proof", async () => {
         const { clock, networks, p1, p2 } = await createCellOfFive();
         networks.remove("p2");
         await clock.advance(4_000);
@@ -37,12 +37,12 @@
         assert.equal(p1.membership.hasEnded(p2.identity), false);
     });
 
-    it("takes the VM list as proof only when it is later than the last heartbeat, said twice, and knows this VM", async () => {
+    it("accepts as proof only two listings in a row that contain its VM and are later than the last contact", async () => {
         const { clock, networks, vmList, p1, p2 } = await createCellOfFive();
         const hasEnded = () => p1.membership.hasEnded(p2.identity);
         vmList.show("p1", "p3", "p4", "p5");
         await clock.advance(30_000);
-        assert.equal(hasEnded(), false, "heard after the listing");
+        assert.equal(hasEnded(), false, "a heartbeat was received after the listing");
         networks.remove("p2");
         vmList.lag = 60_000;
         await clock.advance(60_000);
@@ -50,28 +50,28 @@
         vmList.lag = 0;
         vmList.show("p9");
         await clock.advance(20_000);
-        assert.equal(hasEnded(), false, "the listing does not show the VM that reads it");
+        assert.equal(hasEnded(), false, "the listing does not contain the VM of the process that reads it");
         vmList.show("p1", "p2");
         await clock.advance(20_000);
-        assert.equal(hasEnded(), false, "the listing shows the VM");
+        assert.equal(hasEnded(), false, "the listing contains the VM");
         vmList.show("p1", "p3", "p4", "p5");
         await clock.advance(5_000);
-        assert.equal(hasEnded(), false, "said once");
+        assert.equal(hasEnded(), false, "only one listing");
         await clock.advance(5_000);
         assert.equal(hasEnded(), true);
         assert.equal(p1.membership.hasEnded(p1.identity), false);
     });
 
-    it("finds proof for a run that it never met", async () => {
+    it("finds proof for an incarnation that it was never connected to", async () => {
         const { clock, vmList, p1 } = await createCellOfFive();
-        const stranger = createFakeIdentity("p9");
+        const unknownIdentity = createFakeIdentity("p9");
         vmList.show("p1", "p2");
-        assert.equal(p1.membership.hasEnded(stranger), false);
+        assert.equal(p1.membership.hasEnded(unknownIdentity), false);
         await clock.advance(25_000);
-        assert.equal(p1.membership.hasEnded(stranger), true);
+        assert.equal(p1.membership.hasEnded(unknownIdentity), true);
     });
 
-    it("keeps a process under suspicion that others still hear, and never takes it for dead", async () => {
+    it("keeps a process suspect but not dead while other members still have contact with it", async () => {
         const { clock, networks, p1, p2 } = await createCellOfFive();
         networks.cut("p2", "p1");
         await clock.advance(60_000);
@@ -83,7 +83,7 @@
         assert.equal(p1.stateOf("p2"), MemberState.Alive);
     });
 
-    it("tells minority from majority in a partition, and heals", async () => {
+    it("distinguishes minority from majority in a partition, and recovers when it ends", async () => {
         const { clock, networks, p1, p3 } = await createCellOfFive();
         for (const one of ["p1", "p2"]) {
             ["p3", "p4", "p5"].forEach(other => networks.cutBoth(one, other));
@@ -97,7 +97,7 @@
         assert.ok(p1.membership.hasMajorityContact());
     });
 
-    it("blames nobody for its own pause, and learns that it was taken for dead", async () => {
+    it("suspects nobody because of its own pause, and is notified that it was considered dead", async () => {
         const { clock, networks, p1, p2 } = await createCellOfFive();
         const falseSuspicions = new Set<FalseSuspicion>();
         p2.membership.onFalselySuspected(falseSuspicion => falseSuspicions.add(falseSuspicion));
@@ -114,7 +114,7 @@
         assert.equal(p2.membership.isPresumedEnded(), false);
     });
 
-    it("tells a run that was proved to have ended, so that it stops acting", async () => {
+    it("notifies an incarnation that was proved to have ended, so that it stops acting", async () => {
         const { clock, networks, vmList, p1, p2 } = await createCellOfFive();
         networks.isolate("p2");
         vmList.show("p1", "p3", "p4", "p5");
@@ -126,7 +126,7 @@
         assert.notEqual(p1.stateOf("p2"), MemberState.Alive);
     });
 
-    it("takes a newer run at the same address as proof, one at another address not", async () => {
+    it("accepts a newer incarnation as proof only at the same address", async () => {
         const { clock, start, p1, p2, p3 } = await createCellOfFive();
         start(createFakeIdentity("p2", "p2-2"));
         start({ ...createFakeIdentity("p3", "p3-2"), peerAddress: "elsewhere:1", vmId: "vm-new" });
@@ -134,10 +134,14 @@
         assert.deepEqual(liveIds(p1), ["p2", "p3", "p4", "p5"]);
         assert.equal(p1.membership.hasEnded(p2.identity), true);
         assert.equal(p1.membership.hasEnded(p3.identity), false);
-        assert.equal(p1.membership.hasEnded(createFakeIdentity("p1", "p1-0")), true, "its own earlier run");
+        assert.equal(
+            p1.membership.hasEnded(createFakeIdentity("p1", "p1-0")),
+            true,
+            "an earlier incarnation of this process",
+        );
     });
 
-    it("is not led back by heartbeats of an earlier run that come late", async () => {
+    it("ignores late heartbeats of an earlier incarnation", async () => {
         const { clock, networks, start, p1 } = await createCellOfFive();
         networks.delay("p2", "p1", 20_000);
         await clock.advance(5_000);
@@ -149,7 +153,7 @@
         assert.equal(later.membership.isPresumedEnded(), false);
     });
 
-    it("takes a leave as proof, passes it on, and lets the process return", async () => {
+    it("accepts a leave message as proof, forwards it, and admits the process again after a restart", async () => {
         const { clock, networks, start, p1, p2, p3 } = await createCellOfFive();
         networks.cut("p2", "p1");
         p2.leave();
@@ -164,7 +168,7 @@
         assert.equal(p1.stateOf("p2"), MemberState.Alive, "a restart whose wall clock was set back");
     });
 
-    it("makes a member that keeps falling silent wait before it counts as alive again", async () => {
+    it("delays the return to alive of a member that is suspected repeatedly", async () => {
         const { clock, networks, p1 } = await createCellOfFive();
         const secondsUntilAlive: number[] = [];
         for (let round = 0; round < 5; round++) {
@@ -182,17 +186,17 @@
         assert.ok(first! <= 2 && fourth! > first! && fifth! > fourth!, String(secondsUntilAlive));
     });
 
-    it("does not take itself for the whole cell when it starts cut off, unless the VM list says so", async () => {
+    it("has no majority when it starts partitioned, unless the VM list contains no other seed", async () => {
         const { clock, vmList, start } = createFakeCell();
-        const lonely = start(createFakeIdentity("p1"), { seeds: ["p1:1", "p2:1", "p3:1"] });
+        const partitioned = start(createFakeIdentity("p1"), { seeds: ["p1:1", "p2:1", "p3:1"] });
         await clock.advance(60_000);
-        assert.equal(lonely.membership.hasMajorityContact(), false);
+        assert.equal(partitioned.membership.hasMajorityContact(), false);
         vmList.show("p1");
         await clock.advance(10_000);
-        assert.equal(lonely.membership.hasMajorityContact(), true);
+        assert.equal(partitioned.membership.hasMajorityContact(), true);
     });
 
-    it("finds members through the VM list", async () => {
+    it("discovers members through the VM list", async () => {
         const { clock, vmList, start } = createFakeCell();
         vmList.show("p1", "p2");
         const options = { seeds: [], readPeerAddress: ({ address }: { address: string; }) => address };
@@ -201,7 +205,7 @@
         assert.deepEqual(p1 && liveIds(p1), ["p2"]);
     });
 
-    it("shrugs off heartbeats and questions that make no sense", async () => {
+    it("ignores malformed heartbeats and queries", async () => {
         const { clock, p1, p2 } = await createCellOfFive();
         for (const parameters of [{}, { view: 1 }, { members: [{}] }, { view: "x", digests: { a: 1 } }]) {
             p2.network.notify("p1", PeerMethod.Heartbeat, parameters);
@@ -211,29 +215,29 @@
         assert.deepEqual(liveIds(p1), ["p2", "p3", "p4", "p5"]);
     });
 
-    it("carries digests with heartbeats: what changed, and now and then what did not", async () => {
+    it("sends digests with heartbeats when they change, and repeats unchanged ones", async () => {
         const { clock, networks, p1, p2 } = await createCellOfFive();
-        const taken: string[] = [];
+        const received: string[] = [];
         let generation = 1;
         p1.membership.contributeDigest("configuration", () => ({ generation }));
         p1.membership.contributeDigest("huge", () => ({ text: "a".repeat(3_000) }));
         p2.membership.onDigest(
             "configuration",
-            (from, digest) => taken.push(`${from.processId} ${digest["generation"]}`),
+            (from, digest) => received.push(`${from.processId} ${digest["generation"]}`),
         );
-        p2.membership.onDigest("huge", () => taken.push("huge"));
+        p2.membership.onDigest("huge", () => received.push("huge"));
         await clock.advance(2_000);
         generation = 2;
         await clock.advance(6_000);
-        assert.deepEqual(taken, ["p1 1", "p1 2"]);
+        assert.deepEqual(received, ["p1 1", "p1 2"]);
         await clock.advance(10_000);
-        assert.deepEqual(taken, ["p1 1", "p1 2", "p1 2"]);
+        assert.deepEqual(received, ["p1 1", "p1 2", "p1 2"]);
         const withDigest = networks.sent.filter(message => message.to === "p2" && message.parameters["digests"]);
         assert.equal(withDigest.length, 3);
         assert.equal(p1.eventLog.of(EventKind.Fault).length, 1);
         p2.network.disconnect("p1:1");
         p2.network.connect("p1:1");
         await clock.advance(500);
-        assert.equal(taken.length, 4, "connected anew");
+        assert.equal(received.length, 4, "sent again after reconnection");
     });
 });
--- a/packages/daisyturn/src/process/membership/createEndedIncarnations.ts
+++ b/packages/daisyturn/src/process/membership/createEndedIncarnations.ts
@@ -4,39 +4,39 @@
 import { EndProof, type MemberEntry } from "./heartbeatMessage.js";
 
 export interface EndedIncarnationsOptions {
-    /** The VM that this process runs on: a listing without it is not believed. */
+    /** VM of this process; a listing without it is ignored as unreliable. */
     readonly ownVmId: string;
     readonly clock: Clock;
-    /** How much later than the last sign of life a listing must be; covers the difference of the wall clocks. */
+    /** How much later than the last contact a listing must be; covers the difference between wall clocks. */
     readonly listingMarginMilliseconds: number;
     readonly onProofRecorded: (identity: ProcessIdentity, proof: EndProof) => void;
 }
 
-/** Runs of processes that are proved to have ended, and those whose end is being looked for. */
+/** Incarnations that are proved to have ended, and those that are watched for their end in the VM list. */
 export interface EndedIncarnations {
     hasEnded(identity: ProcessIdentity): boolean;
     recordProof(identity: ProcessIdentity, proof: EndProof): void;
-    /** Notes a sign of life, and looks for the run's end in the VM list from now on. */
-    recordAlive(identity: ProcessIdentity): void;
-    /** Looks for the run's end in the VM list; keeps an earlier note. */
+    /** Records contact with an incarnation and watches for its end in the VM list. */
+    recordContact(identity: ProcessIdentity): void;
+    /** Watches for the incarnation's end in the VM list; does not change its recorded contact. */
     watch(identity: ProcessIdentity): void;
-    /** Looks for watched runs; false if the listing is not believed or was taken before. */
+    /** Checks the watched incarnations; returns false if the listing is unreliable or was already applied. */
     applyListing(listing: VmListing): boolean;
-    /** The latest proofs, for telling peers. */
+    /** Returns the latest proofs, for sending to peers. */
     recent(): readonly MemberEntry[];
 }
 
-/** A run whose end the VM list may show. */
+/** An incarnation whose end the VM list may show. */
 interface WatchedIncarnation {
     readonly identity: ProcessIdentity;
-    /** Wall-clock time of the last sign of life. */
-    aliveAt: number;
-    /** Listings in a row, each later than the last sign of life, that did not show the VM. */
+    /** Wall-clock time of the last contact; without any, the time from which the incarnation is watched. */
+    lastContactAt: number;
+    /** Number of consecutive listings later than the last contact that did not show the VM. */
     absences: number;
 }
 
-/** One listing may be wrong for a moment; the platform's words are believed when said twice. */
-const absencesUntilProved = 2;
+/** A single listing may be temporarily wrong, so two in a row are required. */
+const absencesRequiredAsProof = 2;
 const maxEntries = 1_000;
 const maxProofsPerMessage = 16;
 
@@ -44,57 +44,57 @@
     const { ownVmId, clock, listingMarginMilliseconds, onProofRecorded } = options;
     const proofs = new Map<string, MemberEntry>();
     const watched = new Map<string, WatchedIncarnation>();
-    let lastAsOf: number | undefined;
+    let lastListingAsOf: number | undefined;
 
     const recordProof = (identity: ProcessIdentity, proof: EndProof) => {
         const key = formatIncarnationKey(identity);
         if (!proofs.has(key)) {
             proofs.set(key, { identity, ended: proof });
             watched.delete(key);
-            dropOldest(proofs);
+            evictOldest(proofs);
             onProofRecorded(identity, proof);
         }
     };
 
     const watch = (identity: ProcessIdentity): WatchedIncarnation => {
         const key = formatIncarnationKey(identity);
-        const run = watched.get(key) ?? { identity, aliveAt: clock.wallNow(), absences: 0 };
+        const entry = watched.get(key) ?? { identity, lastContactAt: clock.wallNow(), absences: 0 };
         if (!proofs.has(key)) {
-            watched.set(key, run);
-            dropOldest(watched);
+            watched.set(key, entry);
+            evictOldest(watched);
         }
-        return run;
+        return entry;
     };
 
-    const evaluateListing = (run: WatchedIncarnation, listing: VmListing, listedVms: ReadonlySet<string>) => {
-        if (listedVms.has(run.identity.vmId)) {
-            run.absences = 0;
+    const evaluateListing = (entry: WatchedIncarnation, listing: VmListing, listedVms: ReadonlySet<string>) => {
+        if (listedVms.has(entry.identity.vmId)) {
+            entry.absences = 0;
         }
-        else if (listing.asOf > run.aliveAt + listingMarginMilliseconds) {
-            run.absences += 1;
+        else if (listing.asOf > entry.lastContactAt + listingMarginMilliseconds) {
+            entry.absences += 1;
         }
-        if (run.absences >= absencesUntilProved) {
-            recordProof(run.identity, EndProof.VmGone);
+        if (entry.absences >= absencesRequiredAsProof) {
+            recordProof(entry.identity, EndProof.VmGone);
         }
     };
 
     const applyListing = (listing: VmListing): boolean => {
         const listedVms = new Set(listing.entries.map(entry => entry.vmId));
-        if (!listedVms.has(ownVmId) || listing.asOf === lastAsOf) {
+        if (!listedVms.has(ownVmId) || listing.asOf === lastListingAsOf) {
             return false;
         }
-        lastAsOf = listing.asOf;
-        [...watched.values()].forEach(run => evaluateListing(run, listing, listedVms));
+        lastListingAsOf = listing.asOf;
+        [...watched.values()].forEach(entry => evaluateListing(entry, listing, listedVms));
         return true;
     };
 
     return {
         hasEnded: identity => proofs.has(formatIncarnationKey(identity)),
         recordProof,
-        recordAlive: identity => {
-            const run = watch(identity);
-            run.aliveAt = clock.wallNow();
-            run.absences = 0;
+        recordContact: identity => {
+            const entry = watch(identity);
+            entry.lastContactAt = clock.wallNow();
+            entry.absences = 0;
         },
         watch: identity => void watch(identity),
         applyListing,
@@ -106,7 +106,7 @@
     return `${identity.processId}/${identity.incarnation}`;
 }
 
-function dropOldest(map: Map<string, unknown>): void {
+function evictOldest(map: Map<string, unknown>): void {
     const oldest = map.keys().next();
     if (map.size > maxEntries && !oldest.done) {
         map.delete(oldest.value);
--- a/packages/daisyturn/src/process/membership/createFailureDetector.ts
+++ b/packages/daisyturn/src/process/membership/createFailureDetector.ts
@@ -12,10 +12,10 @@
     readonly timing: MembershipTiming;
 }
 
-/** Judges silent members, after asking others. */
+/** Determines the state of silent members, after querying other members. */
 export interface FailureDetector {
-    /** Judges one member; takes at most one heartbeat interval. */
-    examine(record: MemberRecord): Promise<void>;
+    /** Updates the state of one member; takes at most one heartbeat interval. */
+    evaluate(record: MemberRecord): Promise<void>;
 }
 
 const peersQueriedAboutSuspect = 3;
@@ -27,7 +27,7 @@
     const isSilent = (record: MemberRecord, limit: number) =>
         record.endedAt === undefined && clock.monotonicNow() - record.silenceStartedAt > limit;
 
-    const examine = async (record: MemberRecord) => {
+    const evaluate = async (record: MemberRecord) => {
         if (!isSilent(record, timing.suspectLimit)) {
             return;
         }
@@ -51,10 +51,10 @@
 
     const queryOthers = async (record: MemberRecord) => {
         const count = record.state === MemberState.Dead ? peersQueriedAboutDead : peersQueriedAboutSuspect;
-        await Promise.all(chooseOthers(record, count).map(other => queryOne(other, record)));
+        await Promise.all(chooseMembersToQuery(record, count).map(other => queryOne(other, record)));
     };
 
-    const chooseOthers = (record: MemberRecord, count: number): readonly MemberRecord[] => {
+    const chooseMembersToQuery = (record: MemberRecord, count: number): readonly MemberRecord[] => {
         const candidates = table.present().filter(other => other !== record && other.state === MemberState.Alive);
         const start = random.integerBelow(Math.max(1, candidates.length));
         return [...candidates.slice(start), ...candidates.slice(0, start)].slice(0, count);
@@ -75,14 +75,14 @@
     };
 
     const answerQuery = (parameters: JsonObject): JsonObject => {
-        const question = suspicionQuerySchema.safeParse(parameters).data;
-        const record = question && table.find(question.processId);
-        if (record?.lastContactAt === undefined || record.identity.incarnation !== question?.incarnation) {
+        const query = suspicionQuerySchema.safeParse(parameters).data;
+        const record = query && table.find(query.processId);
+        if (record?.lastContactAt === undefined || record.identity.incarnation !== query?.incarnation) {
             return {};
         }
         return { heardMillisecondsAgo: clock.monotonicNow() - record.lastContactAt };
     };
     network.handle(PeerMethod.ConfirmSuspicion, (...[, parameters]) => answerQuery(parameters));
 
-    return { examine };
+    return { evaluate };
 }
--- a/packages/daisyturn/src/process/membership/createHeartbeats.ts
+++ b/packages/daisyturn/src/process/membership/createHeartbeats.ts
@@ -11,7 +11,7 @@
 } from "./heartbeatMessage.js";
 import type { MembershipTiming } from "./membershipTiming.js";
 
-/** Told that others have misjudged this process, for instance while it was paused. */
+/** Called when another process has falsely suspected this one, for example while it was paused. */
 export type FalseSuspicionListener = (falseSuspicion: FalseSuspicion, by: ProcessIdentity) => void;
 
 export interface HeartbeatsOptions {
@@ -24,7 +24,7 @@
     readonly eventLog: EventLog;
 }
 
-/** What goes to and comes from members with heartbeats. */
+/** Sends heartbeats to members and processes those received from them. */
 export interface Heartbeats {
     send(record: MemberRecord): void;
     receive(from: ProcessIdentity, parameters: JsonObject): void;
@@ -50,7 +50,7 @@
         network.notify(processId, PeerMethod.Heartbeat, toJson(message));
     };
 
-    /** One process is told all members in each interval at most; the others hear it from each other. */
+    /** Sends the member list to at most one process in each interval; the others receive it from each other. */
     const chooseMembersToSend = (record: MemberRecord): MemberEntry[] | undefined => {
         const now = clock.monotonicNow();
         if (!record.viewDiffers || now < membersSentAt + timing.heartbeatInterval) {
@@ -75,7 +75,7 @@
         digests.receive(from, (message?.digests ?? {}) as Record<string, JsonObject>);
     };
 
-    /** A run that is proved to have ended and still speaks must register that others may act in its place. */
+    /** Notifies an incarnation that is proved to have ended but still sends: others may already act in its place. */
     const notifyEnded = (from: ProcessIdentity) => {
         if (directory.hasEnded(from) && table.find(from.processId)?.state !== MemberState.Left) {
             const misjudged = { incarnation: from.incarnation, as: FalseSuspicion.Ended };
--- a/packages/daisyturn/src/process/membership/createMemberDirectory.ts
+++ b/packages/daisyturn/src/process/membership/createMemberDirectory.ts
@@ -12,21 +12,24 @@
     readonly seedList: SeedList;
     readonly clock: Clock;
     readonly listingMarginMilliseconds: number;
-    /** Called for each run that was not known before. */
+    /** Called for each incarnation that was not known before. */
     readonly onRegistered: (record: MemberRecord) => void;
 }
 
-/** Which runs of which processes there are, which of them have ended, and by what proof. */
+/** Known incarnations of the processes of the cell, and the proofs of those that have ended. */
 export interface MemberDirectory {
-    /** Takes in that a run exists. Undefined if it has ended, if a newer one is known, or if it is of this process. */
+    /**
+     * Registers an incarnation. Returns undefined if it has ended, if a newer one is known, or if it belongs to this
+     * process.
+     */
     register(identity: ProcessIdentity): MemberRecord | undefined;
-    /** As `register`, from the run itself. */
+    /** Registers an incarnation that a message was received from, and records the contact. */
     recordContact(identity: ProcessIdentity): MemberRecord | undefined;
     recordProof(identity: ProcessIdentity, proof: EndProof): void;
-    /** Whether there is proof of a run's end; if not, proof is looked for from now on. */
+    /** Returns whether there is proof of an incarnation's end; if not, the VM list is watched for it from now on. */
     hasEnded(identity: ProcessIdentity): boolean;
     applyListing(listing: VmListing): void;
-    /** The latest proofs. */
+    /** Returns the latest proofs. */
     recentEnds(): readonly MemberEntry[];
 }
 
@@ -46,14 +49,17 @@
         },
     });
 
-    /** A replaced VM may have got the address of the one that is gone. */
+    /** The address may already belong to another member, because a replacement VM can reuse it. */
     const disconnectUnlessUsed = (address: string) => {
         if (!table.present().some(record => record.identity.peerAddress === address)) {
             network.disconnect(address);
         }
     };
 
-    /** An ended run hinders nobody: a restart whose wall clock was set back sorts before it and is taken all the same. */
+    /**
+     * An ended incarnation is replaced by any other, also by one that sorts before it: the wall clock may have been set
+     * back before the restart.
+     */
     const register = (identity: ProcessIdentity): MemberRecord | undefined => {
         const known = table.find(identity.processId);
         if (known?.identity.incarnation === identity.incarnation) {
@@ -73,7 +79,10 @@
         return add(identity);
     };
 
-    /** A newer run at another address does not recordProof that the earlier one has ended: it may be cut off or paused. */
+    /**
+     * A newer incarnation at another address does not prove that the earlier one has ended: it may be partitioned or
+     * paused.
+     */
     const recordReplaced = (earlier: ProcessIdentity, later: ProcessIdentity) => {
         if (earlier.peerAddress === later.peerAddress) {
             endedIncarnations.recordProof(earlier, EndProof.Restarted);
@@ -109,7 +118,7 @@
         recordContact: identity => {
             const record = register(identity);
             if (record) {
-                endedIncarnations.recordAlive(identity);
+                endedIncarnations.recordContact(identity);
                 table.recordContact(record);
             }
             return record;
--- a/packages/daisyturn/src/process/membership/createMemberTable.ts
+++ b/packages/daisyturn/src/process/membership/createMemberTable.ts
@@ -3,27 +3,27 @@
 import { EndProof, FalseSuspicion, type MemberEntry } from "./heartbeatMessage.js";
 import type { MembershipTiming } from "./membershipTiming.js";
 
-/** What this process knows of another; all times are monotonic. */
+/** State of another process as known to this one; all times are monotonic. */
 export interface MemberRecord {
     readonly identity: ProcessIdentity;
     state: MemberState;
-    /** Undefined for a member known from others only. */
+    /** Undefined if no message has been received from the member itself. */
     lastContactAt: number | undefined;
-    /** Since when silence counts: last sign of life, first knowledge, or the end of this process's own pause. */
+    /** Start of the current silence: last contact, registration of the member, or end of a pause of this process. */
     silenceStartedAt: number;
-    /** Since when there was no silence long enough for a suspicion. */
+    /** Time since which no silence was long enough for a suspicion. */
     stableSince: number;
-    /** Times of the returns from suspicion that still count for {@link computeHoldDown}. */
+    /** Times of recent changes from suspect to alive, for {@link computeHoldDown}. */
     recoveries: readonly number[];
-    /** When another process last said that it hears from the member. */
+    /** When another process last confirmed recent contact with the member. */
     confirmedAliveAt: number | undefined;
-    /** To be told with the next heartbeat. */
+    /** Sent with the next heartbeat. */
     falseSuspicion: FalseSuspicion | undefined;
-    /** Whether its last heartbeat showed other members than this process knows of. */
+    /** Whether the member list of its last heartbeat differed from that of this process. */
     viewDiffers: boolean;
-    /** When the run was proved to have ended. */
+    /** When the incarnation was proved to have ended. */
     endedAt: number | undefined;
-    /** Aborted when the record no longer counts. */
+    /** Aborted when the incarnation has ended or been replaced. */
     readonly monitoringStop: AbortController;
 }
 
@@ -34,22 +34,22 @@
     readonly timing: MembershipTiming;
 }
 
-/** The members that one process knows of: one record for each process id, for its newest run. */
+/** Known members: one record for the newest incarnation of each process id. */
 export interface MemberTable {
     find(processId: string): MemberRecord | undefined;
     all(): readonly MemberRecord[];
-    /** Those not proved to have ended. */
+    /** Returns the members that are not proved to have ended. */
     present(): readonly MemberRecord[];
-    /** Puts a record in place of the one of an earlier run. */
+    /** Adds a record, replacing that of an earlier incarnation. */
     add(identity: ProcessIdentity): MemberRecord;
     recordContact(record: MemberRecord): void;
     recordEnded(record: MemberRecord, proof: EndProof): void;
     setState(record: MemberRecord, state: MemberState): void;
-    /** Drops records that ended long ago. */
-    dropOld(): void;
-    /** Hash of the members present, this process included. */
+    /** Removes the records of incarnations that ended longer ago than the retention time. */
+    removeExpired(): void;
+    /** Returns a hash of the present members, including this process. */
     view(): string;
-    /** The members present, for telling peers. */
+    /** Returns the present members, for sending to peers. */
     entries(): MemberEntry[];
     onChange(listener: (member: Member) => void): void;
 }
@@ -129,7 +129,7 @@
         setState(record, proof === EndProof.Left ? MemberState.Left : MemberState.Dead);
     };
 
-    const dropOld = () => {
+    const removeExpired = () => {
         const oldest = clock.monotonicNow() - timing.endedRetention;
         all()
             .filter(record => record.endedAt !== undefined && record.endedAt < oldest)
@@ -152,14 +152,13 @@
         recordContact,
         recordEnded,
         setState,
-        dropOld,
+        removeExpired,
         view,
         entries: () => [{ identity: self() }, ...present().map(({ identity }) => ({ identity }))],
         onChange: listener => void listeners.push(listener),
     };
 }
 
-/** One run of one process, as a key. */
 export function formatIncarnationKey(identity: ProcessIdentity): string {
     return `${identity.processId}/${identity.incarnation}`;
 }
@@ -178,7 +177,7 @@
     }
 }
 
-/** A member that keeps falling silent has to be steady for longer each time before it counts as alive again. */
+/** A member that is suspected repeatedly must be stable for longer each time before it is considered alive again. */
 function computeHoldDown(record: MemberRecord, timing: MembershipTiming, now: number): number {
     const excess = recentRecoveries(record, timing, now).length - timing.recoveriesWithoutHoldDown;
     return excess < 0 ? 0 : Math.min(timing.maxHoldDown, timing.heartbeatInterval * 2 ** (excess + 1));
--- a/packages/daisyturn/src/process/membership/createMembership.ts
+++ b/packages/daisyturn/src/process/membership/createMembership.ts
@@ -21,29 +21,29 @@
 export interface MembershipOptions {
     readonly network: DialingPeerNetwork;
     readonly vmList: VmList;
-    /** Peer addresses to begin with, written as the peers themselves write theirs; its own may be among them. */
+    /** Initial peer addresses, in the form that the peers use for themselves; may include the own address. */
     readonly seeds: readonly string[];
     readonly clock: Clock;
     readonly random: Random;
     readonly eventLog: EventLog;
     readonly heartbeatIntervalMilliseconds?: number;
     readonly vmListIntervalMilliseconds?: number;
-    /** How much later than a run's last sign of life a listing without its VM must be to recordProof its end. */
+    /** How much later than the last contact with an incarnation a listing without its VM must be to prove its end. */
     readonly listingMarginMilliseconds?: number;
-    /** The peer address on a listed VM; undefined for VMs that run no peer. Without it the list gives no seeds. */
+    /** Returns the peer address on a listed VM; undefined for VMs without one. By default, the list gives no seeds. */
     readonly readPeerAddress?: (entry: VmEntry) => string | undefined;
 }
 
-/** Membership that has to be run. */
+/** Membership with its background task. */
 export interface RunningMembership extends Membership, DigestExchange {
     /**
-     * Sends heartbeats and judges members until `signal` is aborted, then tells the others that it leaves. By that word
-     * the others may take over its duties at once: abort only after everything else of this process has ended.
+     * Sends heartbeats and evaluates members until `signal` is aborted, then notifies the others that this process
+     * leaves. They may then take over its work at once: abort only after everything else of this process has ended.
      */
     run(signal: AbortSignal): Promise<void>;
-    /** Latest time (monotonic) since which every member of some majority has been heard from; undefined if there is none. */
+    /** Latest monotonic time since which there was contact with every member of some majority; undefined if none. */
     majorityContactAt(): number | undefined;
-    /** Whether another process has proof that this run has ended. Then it must not act any more, only stop. */
+    /** Returns whether another process has proof that this incarnation has ended. It must then only stop. */
     isPresumedEnded(): boolean;
     onFalselySuspected(listener: FalseSuspicionListener): void;
 }
@@ -52,10 +52,10 @@
 const defaultVmListInterval = 5_000;
 const defaultListingMargin = 10_000;
 
-/** Heartbeats are spread by this share of the interval, so that processes started together don't send together. */
+/** Jitter as a fraction of the interval, so that processes started together don't send at the same time. */
 const jitterShare = 0.2;
 
-/** Creates the view of the cell's members that one process has. */
+/** Creates the membership of one process. */
 export function createMembership(options: MembershipOptions): RunningMembership {
     const { network, vmList, clock, random, eventLog } = options;
     const timing = createMembershipTiming(options.heartbeatIntervalMilliseconds ?? defaultHeartbeatInterval);
@@ -83,18 +83,18 @@
         }
     };
 
-    /** The task of one member: heartbeats to it, and judging it by those that come from it. */
+    /** Sends heartbeats to one member and evaluates its state. */
     const monitor = async (record: MemberRecord, signal: AbortSignal) => {
         while (!signal.aborted) {
             heartbeats.send(record);
             const spread = 1 + jitterShare * (random.fraction() - 0.5);
             const nextHeartbeatAt = clock.monotonicNow() + timing.heartbeatInterval * spread;
-            await Promise.all([failureDetector.examine(record), clock.sleepUntil(nextHeartbeatAt, signal)]);
+            await Promise.all([failureDetector.evaluate(record), clock.sleepUntil(nextHeartbeatAt, signal)]);
             resetSilenceAfterOwnPause(record, nextHeartbeatAt);
         }
     };
 
-    /** A process that was itself paused has not heard anybody for that time and must not blame them. */
+    /** A process that was paused itself received nothing in that time, so it must not suspect others for it. */
     const resetSilenceAfterOwnPause = (record: MemberRecord, dueAt: number) => {
         const now = clock.monotonicNow();
         if (now - dueAt > timing.heartbeatInterval) {
@@ -114,7 +114,7 @@
             if (listing.isOk) {
                 directory.applyListing(listing.value);
             }
-            table.dropOld();
+            table.removeExpired();
             await clock.sleepUntil(clock.monotonicNow() + vmListInterval, signal);
         }
     };
--- a/packages/daisyturn/src/process/membership/createSeedList.ts
+++ b/packages/daisyturn/src/process/membership/createSeedList.ts
@@ -2,14 +2,17 @@
 import type { VmEntry, VmListing } from "../../ports/vmList.js";
 import type { DialingPeerNetwork } from "../peers/index.js";
 
-/** Addresses where members may be found. */
+/** Addresses used to discover members. */
 export interface SeedList {
-    /** Has the seeds dialed. */
+    /** Connects to the seeds. */
     connect(): void;
     recordFound(address: string): void;
-    /** Has listed peers dialed, and no longer counts seeds that are not listed. */
+    /** Connects to the listed peers, and no longer counts seeds that are not listed. */
     applyListing(listing: VmListing): void;
-    /** Seeds behind which nobody has been found yet: a process that starts cut off must not take itself for the cell. */
+    /**
+     * Counts the seeds at which no member has been found yet. They count as members, so that a process that starts
+     * partitioned does not consider itself a majority.
+     */
     countMissing(): number;
 }
 
@@ -24,7 +27,7 @@
 
     const isOther = (address: string) => address !== network.self.peerAddress;
 
-    /** The list may give an address with or without a port. */
+    /** The VM list may contain addresses with or without a port. */
     const isListed = (seed: string, entry: VmEntry) =>
         entry.address === seed || entry.address === splitAddress(seed).host;
 
@@ -33,8 +36,8 @@
         const addresses = listing.entries.map(entry => readPeerAddress?.(entry)).filter(address =>
             address !== undefined
         );
-        const gone = [...listed].filter(address => !addresses.includes(address) && !found.has(address));
-        gone.forEach(address => network.disconnect(address));
+        const removed = [...listed].filter(address => !addresses.includes(address) && !found.has(address));
+        removed.forEach(address => network.disconnect(address));
         listed = new Set(addresses);
         addresses.filter(isOther).forEach(address => network.connect(address));
     };
--- a/packages/daisyturn/src/process/membership/heartbeatMessage.ts
+++ b/packages/daisyturn/src/process/membership/heartbeatMessage.ts
@@ -1,21 +1,21 @@
 import { z } from "zod";
 import { processIdentitySchema } from "../peers/index.js";
 
-/** Why a run of a process is known to have ended. */
+/** Proof that an incarnation has ended. */
 export enum EndProof {
-    /** It said itself that it leaves. */
+    /** It announced that it leaves. */
     Left = "left",
-    /** A newer incarnation stands at its address. */
+    /** A newer incarnation runs at its address. */
     Restarted = "restarted",
-    /** The platform's list no longer shows its VM. */
+    /** The platform's VM list no longer contains its VM. */
     VmGone = "vm_gone",
 }
 
-/** What the sender of a heartbeat thought of the receiver until it heard from it again. */
+/** State in which the sender of a heartbeat had the receiver until contact resumed. */
 export enum FalseSuspicion {
     Suspect = "suspect",
     Dead = "dead",
-    /** The sender has proof that this run has ended and stays with it. */
+    /** The sender has proof that this incarnation has ended, and does not revise it. */
     Ended = "ended",
 }
 
@@ -26,29 +26,28 @@
     ended: z.enum(EndProof).optional(),
 });
 
-/** What one process tells another of a member. */
+/** Information about a member, as sent between processes. */
 export type MemberEntry = z.infer<typeof memberEntrySchema>;
 
-/** Checks the parameters of a heartbeat; unknown fields are left out, so that newer processes may send more. */
+/** Schema of the parameters of a heartbeat; unknown fields are ignored, so that newer versions may add fields. */
 export const heartbeatSchema = z.object({
-    /** Hash of the members that the sender knows of; sent so that differences are noticed. */
+    /** Hash of the members known to the sender, for detecting differences. */
     view: z.string(),
     /** All members, sent when the views differ. */
     members: z.array(memberEntrySchema).max(maxMembersPerMessage).optional(),
-    /** Names the run, because a message for an earlier run may reach a later one under the same process id. */
+    /** Names the incarnation, because a message for an earlier one may reach a later one with the same process id. */
     misjudged: z.object({ incarnation: z.string(), as: z.enum(FalseSuspicion) }).optional(),
-    /** Contributions of other modules by name; only those that changed. */
+    /** Digests of other modules by name; only those that the receiver lacks or that are due for repetition. */
     digests: z.record(z.string(), z.record(z.string(), z.unknown())).optional(),
 });
 
-/** Parameters of a heartbeat. */
 export type HeartbeatMessage = z.infer<typeof heartbeatSchema>;
 
-/** Checks the parameters of a question about a suspected member. */
+/** Schema of the parameters of a query about a suspected member. */
 export const suspicionQuerySchema = z.object({ processId: z.string(), incarnation: z.string() });
 
-/** Checks the answer. */
+/** Schema of the answer to a query about a suspected member. */
 export const suspicionAnswerSchema = z.object({
-    /** Milliseconds since the asked process last heard from that run; absent if it never did. */
+    /** Time since the answering process last received a message from that incarnation; absent if it never did. */
     heardMillisecondsAgo: z.number().optional(),
 });
--- a/packages/daisyturn/src/process/membership/index.ts
+++ b/packages/daisyturn/src/process/membership/index.ts
@@ -1,5 +1,5 @@
 /**
- * Which processes of the cell live, by heartbeats, suspicion and proofs of their end.
+ * Failure detection and membership among the processes of the cell: heartbeats, suspicion and proofs of an end.
  *
  * @module
  */
--- a/packages/daisyturn/src/process/membership/membershipTiming.ts
+++ b/packages/daisyturn/src/process/membership/membershipTiming.ts
@@ -1,19 +1,19 @@
-/** Lengths of time that membership works with, in milliseconds, all derived from the heartbeat interval. */
+/** Intervals and limits of membership, in milliseconds. */
 export interface MembershipTiming {
     readonly heartbeatInterval: number;
-    /** Silence after which others are asked. */
+    /** Silence after which a member is suspected and other members are queried. */
     readonly suspectLimit: number;
-    /** Silence after which a member that nobody vouches for counts as dead. */
+    /** Silence after which a member is considered dead, unless another member confirms recent contact with it. */
     readonly deadLimit: number;
-    /** How long a vouching counts. */
+    /** How long the confirmation of another member is valid. */
     readonly confirmationValidity: number;
-    /** Returns within this time count as flapping. */
+    /** Recoveries within this time count towards the hold-down of a flapping member. */
     readonly recoveryWindow: number;
-    /** Returns within the window that cost nothing. */
+    /** Number of recoveries within the window without a hold-down. */
     readonly recoveriesWithoutHoldDown: number;
-    /** Longest time that a flapping member has to be steady. */
+    /** Longest time for which a flapping member must be stable before it is considered alive. */
     readonly maxHoldDown: number;
-    /** How long an ended run is still shown. */
+    /** How long an ended incarnation is still listed. */
     readonly endedRetention: number;
 }
 
