--- a/packages/daisyturn/src/process/claims/__tests__/claimPruner.test.ts
+++ b/packages/daisyturn/src/process/claims/__tests__/claimPruner.test.ts
@@ -9,22 +9,22 @@
 
 const passMilliseconds = 10 * 60_000;
 
-/** Days ahead on the wall clock only. */
+/** A clock whose wall time is two days ahead; its monotonic time is correct. */
 class AheadClock extends Clock {
-    constructor(private readonly right: Clock) {
+    constructor(private readonly accurateClock: Clock) {
         super();
     }
 
     override monotonicNow(): number {
-        return this.right.monotonicNow();
+        return this.accurateClock.monotonicNow();
     }
 
     override wallNow(): number {
-        return this.right.wallNow() + 2 * defaultClaimLimits.answeredRetentionMilliseconds;
+        return this.accurateClock.wallNow() + 2 * defaultClaimLimits.answeredRetentionMilliseconds;
     }
 
     override sleepUntil(deadline: number, signal?: AbortSignal): Promise<void> {
-        return this.right.sleepUntil(deadline, signal);
+        return this.accurateClock.sleepUntil(deadline, signal);
     }
 }
 
@@ -35,35 +35,35 @@
 }
 
 describe("createClaimPruner", () => {
-    it("deletes rows once their time is over by its own clock and by that of the last pass", async () => {
+    it("deletes rows once they have expired by its own clock and by that of the last pass", async () => {
         const { clock, startManager, startPruner, send, readRow } = createClaimBench();
         await startManager("p").runOnce(createClaimRequest(clock), send);
         await clock.advance(100);
         const pruner = startPruner("q");
         assert.equal(await runTurn(pruner), 0);
         await clock.advance(defaultClaimLimits.answeredRetentionMilliseconds);
-        assert.equal(await runTurn(pruner), 0, "the last pass was a day ago");
+        assert.equal(await runTurn(pruner), 0, "the last pass started a day ago");
         assert.ok(await readRow());
         await clock.advance(passMilliseconds);
         assert.equal(await runTurn(pruner), 1);
         assert.equal(await readRow(), undefined);
     });
 
-    it("deletes nothing because of one clock that is ahead", async () => {
+    it("deletes nothing if only one clock is ahead", async () => {
         const { clock, startManager, startPruner, send, readRow } = createClaimBench();
         await startManager("p").runOnce(createClaimRequest(clock), send);
         await clock.advance(100);
-        const [right, wrong] = [startPruner("q"), startPruner("r", new AheadClock(clock))];
+        const [accurate, ahead] = [startPruner("q"), startPruner("r", new AheadClock(clock))];
         for (let pass = 0; pass < 3; pass++) {
-            assert.equal(await runTurn(right), 0);
+            assert.equal(await runTurn(accurate), 0);
             await clock.advance(passMilliseconds);
-            assert.equal(await runTurn(wrong), 0);
+            assert.equal(await runTurn(ahead), 0);
             await clock.advance(passMilliseconds);
         }
         assert.ok(await readRow());
     });
 
-    it("walks over many rows in several turns, also of different processes", async () => {
+    it("prunes many rows in several turns of different processes", async () => {
         const { clock, startManager, startPruner, send } = createClaimBench();
         const p = startManager("p");
         const keys = Array.from({ length: 1_250 }, (...[, index]) => `k${index}`);
@@ -82,7 +82,7 @@
         assert.deepEqual(deleted, [0, 0, 1_000, 250, 0, 0]);
     });
 
-    it("settles the claim of an ended process that nobody asks for, and keeps that of a live one", async () => {
+    it("settles the abandoned claim of an ended process, and does not settle that of a live one", async () => {
         const { clock, startManager, startPruner, endProcess, readRow } = createClaimBench();
         void startManager("p").runOnce(createClaimRequest(clock), () => new Promise(() => undefined));
         await clock.advance(1);
--- a/packages/daisyturn/src/process/claims/__tests__/claimRow.test.ts
+++ b/packages/daisyturn/src/process/claims/__tests__/claimRow.test.ts
@@ -3,7 +3,7 @@
 import { it } from "node:test";
 import { formatClaimRowKey } from "../claimRow.js";
 
-it("gives different rows to different keys, whatever characters they have", () => {
+it("maps different scopes to different row keys, whatever characters they contain", () => {
     const part = fc.string({ unit: fc.constantFrom("a", "/", "%", "2", "F", "."), maxLength: 4 });
     const scope = fc.record({ partner: part, account: part, service: part, idempotencyKey: part });
     fc.assert(fc.property(scope, scope, (one, other) => {
--- a/packages/daisyturn/src/process/claims/claimExaminer.ts
+++ b/packages/daisyturn/src/process/claims/claimExaminer.ts
@@ -9,42 +9,41 @@
 import { ClaimWriteOutcome, type ClaimWriter } from "./claimWriter.js";
 import type { OwnClaims } from "./ownClaims.js";
 
-/** What a row that stands in the way of a claim comes to. */
+/** Result of examining an existing claim row. */
 export enum ExaminedKind {
-    /** The key may be claimed by writing over this version. */
+    /** The key may be claimed by overwriting this version of the row. */
     Free = "free",
     Answered = "answered",
-    /** Answered, but the answer was too large to be kept. */
+    /** Answered, but the answer was too large to be stored. */
     AnsweredNotKept = "answered_not_kept",
     MayHaveRun = "may_have_run",
-    /** Its owner is at work on it, or may be. */
+    /** The owner is running the call, or may be. */
     Running = "running",
-    /** The key stands for another call than the asker's. */
+    /** The key was used for a different call. */
     KeyReused = "key_reused",
 }
 
-/** Result of an examination. */
 export interface ExaminedClaim {
     readonly kind: ExaminedKind;
     /** With Free. */
     readonly version?: number;
     /** With Answered. */
     readonly answer?: ServiceAnswer;
-    /** With Running: whether the owner itself said so. */
+    /** With Running: whether the owner itself reported it. */
     readonly ownerReplied?: boolean;
 }
 
-/** Finds out what became of claims of other processes and settles the abandoned ones. */
+/** Determines the state of claims of other processes and settles abandoned ones. */
 export interface ClaimExaminer {
     /**
-     * Takes up to the time that an owner holds back its reply.
-     * @param callHash hash of the call that the key is wanted for; undefined where any call will do
+     * Takes up to the time for which an owner may delay its reply.
+     * @param callHash hash of the call that the key is to be claimed for; undefined to accept any call
      * @param deadline monotonic time
      */
     examine(present: Row, callHash: string | undefined, deadline: number): Promise<ExaminedClaim>;
 }
 
-/** What the examiner works with. */
+/** Dependencies and limits of the examiner. */
 export interface ClaimExaminerOptions {
     readonly self: ProcessIdentity;
     readonly network: PeerNetwork;
@@ -56,18 +55,18 @@
     readonly limits: ClaimLimits;
 }
 
-/** The row was written by another while this process tried to settle it. */
+/** The row was written by another process while this one tried to settle it. */
 interface ChangedRow {
-    /** Undefined if it is absent now. */
+    /** Undefined if the row is now absent. */
     readonly changedTo: Row | undefined;
 }
 
 /**
  * Creates the examiner of one process.
  *
- * A claim of another process is settled only with proof that its owner sends nothing more: the owner's own word, or
- * the end of that run of the process. With the second kind it becomes Unknown, never Free: the owner may have sent
- * the call before it ended. Only the owner's word that it did not send frees a key.
+ * A claim of another process is settled only with proof that its owner sends nothing more: the owner's own reply, or
+ * the end of that incarnation. In the second case the row becomes Unknown, never Free: the owner may have sent the call
+ * before it ended. Only the owner's reply that it did not send the call frees a key.
  */
 export function createClaimExaminer(options: ClaimExaminerOptions): ClaimExaminer {
     const { self, network, membership, ownClaims, writer, clock, eventLog, limits } = options;
--- a/packages/daisyturn/src/process/claims/claimInquiry.ts
+++ b/packages/daisyturn/src/process/claims/claimInquiry.ts
@@ -5,23 +5,22 @@
 import { ClaimStage, type OwnClaims } from "./ownClaims.js";
 import { waitUntilResolved } from "./waitUntilResolved.js";
 
-/** How long the owner holds an inquiry back while its call runs, so that the asker hears of the end at once. */
+/** How long the owner delays its reply while the call runs, so that the requester is informed as soon as it ends. */
 export const maxInquiryWaitMilliseconds = 1_000;
-/** What the network may take on top of that. */
+/** Additional allowance for network time. */
 const inquiryNetworkMilliseconds = 500;
 
-/** What the owner of a claim says of it. */
+/** State of a claim in its owner's reply. */
 export enum InquiryReplyKind {
     Running = "running",
     Answered = "answered",
     MayHaveRun = "may_have_run",
-    /** It was not sent and never will be. */
+    /** The call was not sent and never will be. */
     NotSent = "not_sent",
-    /** Unknown to the owner: it never will be sent, and what is known of it stands in the row. */
+    /** The claim is unknown to the owner: it sends nothing for it any more, and the row has all that is known. */
     Forgotten = "forgotten",
-    /** The asked run of the process has ended; a later one answers. */
+    /** The requested incarnation has ended; a later one of the same process replied. */
     Ended = "ended",
-    /** No answer. */
     NoReply = "no_reply",
 }
 
@@ -29,13 +28,12 @@
 
 const replySchema = z.object({ kind: z.enum(InquiryReplyKind), answer: answerSchema.optional() });
 
-/** Names the claim that is asked about. */
+/** Identifies a claim and the incarnation that owns it. */
 export type ClaimInquiry = z.infer<typeof inquirySchema>;
 
-/** The owner's reply. */
 export type InquiryReply = z.infer<typeof replySchema>;
 
-/** Answers the inquiries of peers from the table of this process's claims. */
+/** Registers the handler that replies to inquiries of peers about the claims of this process. */
 export function handleInquiries(network: PeerNetwork, self: ProcessIdentity, claims: OwnClaims, clock: Clock): void {
     network.handle(PeerMethod.AskClaim, async (...[, parameters]) => {
         const inquiry = inquirySchema.parse(parameters);
@@ -43,7 +41,7 @@
     });
 }
 
-/** What this process knows of a claim that its rows name it the owner of. */
+/** Returns the state of a claim whose row names this process as the owner; waits a limited time for a running call. */
 export async function replyToInquiry(
     inquiry: ClaimInquiry,
     self: ProcessIdentity,
@@ -72,7 +70,10 @@
     }
 }
 
-/** Asks a claim's owner, within the deadline (monotonic). */
+/**
+ * Requests the state of a claim from its owner.
+ * @param deadline monotonic time
+ */
 export async function queryOwner(
     network: PeerNetwork,
     owner: ProcessIdentity,
--- a/packages/daisyturn/src/process/claims/claimLimits.ts
+++ b/packages/daisyturn/src/process/claims/claimLimits.ts
@@ -2,24 +2,25 @@
 const hourMilliseconds = 3_600 * secondMilliseconds;
 const dayMilliseconds = 24 * hourMilliseconds;
 
-/** Settings of claims. */
+/** Time limits, size limits and retention times of claims. */
 export interface ClaimLimits {
-    /** A call is not sent later than this after its claim's write began. */
+    /** Maximum time between the start of the claim's write and the sending of the call. */
     readonly sendWindowMilliseconds: number;
     /**
-     * How long a process must have seen an abandoned claim unchanged before it settles it. Longer than the send window
-     * and the time in which a connection to a target is made or given up: what is settled is then no longer sent.
+     * How long a process must have observed an abandoned claim unchanged before it settles it. Longer than the send
+     * window and the time in which a connection to a target is established or abandoned, so that the call of a settled
+     * claim is no longer sent.
      */
     readonly settleWaitMilliseconds: number;
-    /** Bytes of an answer's body, at most, that are kept for replay. */
+    /** Maximum size of an answer's body that is stored for replay. */
     readonly keptAnswerBytes: number;
     readonly answeredRetentionMilliseconds: number;
     readonly unknownRetentionMilliseconds: number;
-    /** Longer than any write can be on its way to the table service. */
+    /** Longer than any write can be in transit to the table service. */
     readonly freeRetentionMilliseconds: number;
 }
 
-/** Limits that suit calls of some seconds and callers that ask again within a day. */
+/** Defaults for calls of a few seconds and callers that repeat a request within a day. */
 export const defaultClaimLimits: ClaimLimits = {
     sendWindowMilliseconds: 5 * secondMilliseconds,
     settleWaitMilliseconds: 15 * secondMilliseconds,
--- a/packages/daisyturn/src/process/claims/claimObservations.ts
+++ b/packages/daisyturn/src/process/claims/claimObservations.ts
@@ -1,16 +1,15 @@
 import type { Clock } from "daisyturn-utils";
 
-/** Claims remembered at once; a forgotten one only waits longer. */
+/** Limits memory use. Settling an evicted claim only takes longer. */
 const maxObservations = 10_000;
 
-/** Since when this process has seen abandoned claims unchanged. */
+/** Tracks since when this process has observed abandoned claims unchanged. */
 export interface ClaimObservations {
-    /** Monotonic time at which the row was first seen at this version. */
+    /** Records an observation and returns the monotonic time at which the row was first seen at this version. */
     record(rowKey: string, version: number): number;
     forget(rowKey: string): void;
 }
 
-/** Creates an empty memory of observations. */
 export function createClaimObservations(clock: Clock): ClaimObservations {
     const seen = new Map<string, { readonly version: number; readonly firstSeenAt: number; }>();
 
--- a/packages/daisyturn/src/process/claims/claimPruner.ts
+++ b/packages/daisyturn/src/process/claims/claimPruner.ts
@@ -14,13 +14,16 @@
 import { type PagedStoreClient, StorePriority } from "../store/index.js";
 import { claimRowPrefix, ClaimRowState, parseClaimRow } from "./claimRow.js";
 
-/** What ends the claims of processes that are gone. */
+/** Settles claims of processes that have ended. */
 export interface AbandonedClaimSettler {
-    /** Settles a claim of an ended process, if this process has seen it unchanged for long enough (monotonic). */
+    /**
+     * Settles a claim of an ended process if this process has observed it unchanged for long enough.
+     * @param deadline monotonic time
+     */
     settleAbandoned(present: Row, deadline: number): Promise<void>;
 }
 
-/** Row in which the pruning processes hand the work to each other. */
+/** Key of the row that stores the progress of the current pass, so that any process can continue it. */
 export const pruningRowKey = "claim-pruning";
 
 const minuteMilliseconds = 60_000;
@@ -31,17 +34,16 @@
 const pagesPerTurn = 10;
 
 const pruningRowSchema = z.object({
-    /** Wall-clock time of the process that started the pass. */
+    /** Start of the pass, by the wall clock of the process that started it. */
     passStartedAt: z.number(),
-    /** Wall-clock time of the process that started the pass before. */
+    /** Start of the previous pass, by the wall clock of the process that started it. */
     horizon: z.number(),
-    /** Last key examined at; undefined once the pass is over. */
+    /** Last examined key; undefined once the pass is complete. */
     cursor: z.string().optional(),
 });
 
 type PruningRow = z.infer<typeof pruningRowSchema>;
 
-/** What the pruner works with. */
 export interface ClaimPrunerOptions {
     readonly storeClient: PagedStoreClient;
     readonly claimManager: AbandonedClaimSettler;
@@ -52,26 +54,26 @@
     readonly eventLog: EventLog;
 }
 
-/** What one turn did. */
+/** Row counts of one turn. */
 export interface PruningTurn {
     readonly examined: number;
     readonly deleted: number;
 }
 
-/** Deletes claim rows whose time is over, and settles claims of ended processes that nobody asks for. */
+/** Deletes expired claim rows, and settles abandoned claims of ended processes that no caller requests. */
 export interface ClaimPruner {
-    /** Takes turns until `signal` is aborted. */
+    /** Runs turns until `signal` is aborted. */
     run(signal: AbortSignal): Promise<void>;
-    /** Goes on with the pass where the last turn of any process left it. */
+    /** Continues the current pass after the last turn of any process. */
     runTurn(): Promise<Result<PruningTurn, Failure>>;
 }
 
 /**
  * Creates the pruner of one process.
  *
- * A row is deleted once its time is over by two clocks: this process's, and that of whoever started the pass before.
- * One clock that runs ahead therefore deletes nothing as long as the processes take turns. Two processes at once do the
- * same work twice, and every deletion demands the version that was seen.
+ * A row is deleted once it has expired by two clocks: that of this process, and that of the process that started the
+ * previous pass. A single clock that is ahead therefore deletes nothing as long as passes alternate between processes.
+ * Two processes that run turns at the same time only repeat work: every deletion is conditional on the version read.
  */
 export function createClaimPruner(options: ClaimPrunerOptions): ClaimPruner {
     const { storeClient, claimManager, membership, clock, random, ids, eventLog } = options;
@@ -94,7 +96,7 @@
         return turn;
     };
 
-    /** The pass under way, or a new one if the last one is old enough. */
+    /** Returns the current pass, or a new one if the last one started long enough ago. */
     const choosePass = (present: Row | undefined): PruningRow | undefined => {
         const now = clock.wallNow();
         const last = present && pruningRowSchema.parse(present.value);
@@ -132,11 +134,11 @@
     };
 
     const prunePage = async (rows: readonly Row[], horizon: number, deadline: number) => {
-        const over = Math.min(clock.wallNow(), horizon);
+        const expiryLimit = Math.min(clock.wallNow(), horizon);
         for (const row of rows.filter(isAbandoned)) {
             await claimManager.settleAbandoned(row, deadline);
         }
-        return deleteRows(rows.filter(row => (parseClaimRow(row.value).keepUntil ?? Infinity) < over), deadline);
+        return deleteRows(rows.filter(row => (parseClaimRow(row.value).keepUntil ?? Infinity) < expiryLimit), deadline);
     };
 
     const isAbandoned = (row: Row) => {
@@ -157,7 +159,7 @@
             StorePriority.Other,
             deadline,
         );
-        // Another pruner was there, or a key was claimed anew: the next pass sees what is left.
+        // On a conflict, another pruner deleted rows or a key was claimed again. The next pass handles what is left.
         return answer.outcome === TransactionOutcome.Committed ? rows.length : 0;
     };
 
@@ -174,8 +176,8 @@
 
     const run = async (signal: AbortSignal) => {
         while (!signal.aborted) {
-            const pause = turnIntervalMilliseconds * (0.5 + random.fraction());
-            await clock.sleepUntil(clock.monotonicNow() + pause, signal);
+            const delay = turnIntervalMilliseconds * (0.5 + random.fraction());
+            await clock.sleepUntil(clock.monotonicNow() + delay, signal);
             const turn = signal.aborted ? undefined : await runTurn();
             if (turn?.isErr) {
                 eventLog.record(EventKind.Fault, { reason: turn.error.reason, verdict: turn.error.verdict });
--- a/packages/daisyturn/src/process/claims/claimRecorder.ts
+++ b/packages/daisyturn/src/process/claims/claimRecorder.ts
@@ -3,27 +3,27 @@
 import { type ClaimWriteAnswer, ClaimWriteOutcome, type ClaimWriter } from "./claimWriter.js";
 import type { OwnClaim } from "./ownClaims.js";
 
-/** How long one try waits for the table service. */
-const tryLimitMilliseconds = 5_000;
+/** Time limit of one attempt to write the row. */
+const writeLimitMilliseconds = 5_000;
 const initialRetryDelayMilliseconds = 250;
 const maxRetryDelayMilliseconds = 5_000;
 
-/** Writes down how this process's attempts ended. */
+/** Records the outcome of this process's attempts in their claim rows. */
 export interface ClaimRecorder {
     /**
-     * Writes the final row of an ended attempt, again and again until it stands or can't matter any more; then the
-     * attempt is marked as settled.
-     * @param expectedVersion version of the attempt's own row, or what its claim demanded if that write is not settled
+     * Writes the final row of an ended attempt, with retries until the row is written or no longer belongs to the
+     * attempt; then marks the attempt as settled.
+     * @param expectedVersion version of the attempt's own row, or the version that its claim expected if the outcome of
+     * that write is not settled
      */
     record(claim: OwnClaim, expectedVersion: number, row: ClaimRow): Promise<void>;
 }
 
-/** What the recorder works with. */
 export interface ClaimRecorderOptions {
     readonly writer: ClaimWriter;
     readonly clock: Clock;
     readonly eventLog: EventLog;
-    /** Ends the tries when the process stops. */
+    /** Aborted to end the retries when the process stops. */
     readonly signal?: AbortSignal;
 }
 
@@ -39,7 +39,7 @@
                 rowKey: claim.rowKey,
                 expectedVersion: version,
                 row,
-                deadline: clock.monotonicNow() + tryLimitMilliseconds,
+                deadline: clock.monotonicNow() + writeLimitMilliseconds,
             });
             version = chooseNextVersion(answer, version, row);
             if (version === undefined) {
@@ -61,7 +61,7 @@
     return { record };
 }
 
-/** Version to write over in the next try; undefined if none is needed. */
+/** Returns the version to overwrite in the next attempt; undefined if no further attempt is needed. */
 function chooseNextVersion(answer: ClaimWriteAnswer, version: number, row: ClaimRow): number | undefined {
     switch (answer.outcome) {
         case ClaimWriteOutcome.Committed:
@@ -74,11 +74,13 @@
     }
     const present = answer.present && parseClaimRow(answer.present.value);
     const isOwn = present?.claimId === row.claimId;
-    // Another's row or none: the key was given on. Own row in the wanted state: an earlier try took effect.
+    // If the row is absent or has another claim, the key has been reassigned. If the own row has the intended state, an
+    // earlier write took effect.
     if (!isOwn || present.state === row.state) {
         return undefined;
     }
-    // The attempt's own claim, or Unknown written by a process that took this one for ended: the owner knows better.
+    // The row is the attempt's own claim, or Unknown as written by a process that presumed this one ended. The owner
+    // knows the actual outcome and overwrites it.
     return isOverwritable(present.state) ? answer.present?.version : undefined;
 }
 
--- a/packages/daisyturn/src/process/claims/claimRow.ts
+++ b/packages/daisyturn/src/process/claims/claimRow.ts
@@ -5,20 +5,20 @@
 import type { ClaimLimits } from "./claimLimits.js";
 import type { OwnClaim } from "./ownClaims.js";
 
-/** All claim rows of the table service start with this. */
+/** Prefix of the keys of all claim rows in the table service. */
 export const claimRowPrefix = "claims/";
 
-/** Keys must fit a row's key after escaping, and a log line. */
+/** Keys must fit into a row's key after escaping, and into a log line. */
 const validIdempotencyKey = /^[\x21-\x7e]{1,255}$/;
 
-/** What a claim's row says. */
+/** State of a claim as stored in its row. */
 export enum ClaimRowState {
-    /** The owner is about to send the call, or has sent it. */
+    /** The owner is about to send the call or has sent it. */
     Claimed = "claimed",
     Answered = "answered",
-    /** The call may have run and its answer is lost. */
+    /** The call may have run, and its answer is lost. */
     Unknown = "unknown",
-    /** The call did not run; the next claimant may write over the row. */
+    /** The call did not run; another claim may overwrite the row. */
     Free = "free",
 }
 
@@ -30,30 +30,29 @@
     peerAddress: z.string(),
 });
 
-/** An answer as it is kept in rows and sent between peers. */
+/** Schema of an answer as stored in rows and sent between peers. */
 export const answerSchema = z.object({ status: z.number(), contentType: z.string(), body: z.string() });
 
 const claimRowSchema = z.object({
     state: z.enum(ClaimRowState),
-    /** Names one attempt to run the call. Never used twice. */
+    /** Unique id of one attempt to run the call. */
     claimId: z.string(),
-    /** Id of the caller's request: what the logs name it by. */
+    /** Id of the caller's request, as in the logs. */
     requestId: z.string(),
-    /** Hash of all of the call that the caller chose. */
+    /** Hash of the parts of the call that the caller determines. */
     callHash: z.string(),
     owner: ownerSchema,
-    /** With Answered, unless the answer was too large to be kept. */
+    /** With Answered, unless the answer was too large to be stored. */
     answer: answerSchema.optional(),
-    /** With Unknown, where another process wrote it in place of the owner. */
+    /** With Unknown: id of the process that wrote the row in place of the owner. */
     settledBy: z.string().optional(),
-    /** Wall-clock time, in milliseconds, after which the row may be deleted. A Claimed row has none. */
+    /** Wall-clock time in milliseconds after which the row may be deleted. Absent with Claimed. */
     keepUntil: z.number().optional(),
 });
 
-/** Value of a claim's row. */
 export type ClaimRow = z.infer<typeof claimRowSchema>;
 
-/** Who a key belongs to. */
+/** Scope within which an idempotency key is unique, and the key. */
 export interface ClaimScope {
     readonly partner: string;
     readonly account: string;
@@ -61,34 +60,34 @@
     readonly idempotencyKey: string;
 }
 
-/** Key of the claim's row. Each part is escaped, so that no caller's key reaches another's row. */
+/** Returns the key of a claim's row. Each part is escaped, so that different scopes never share a row. */
 export function formatClaimRowKey(scope: ClaimScope): string {
     const parts = [scope.partner, scope.account, scope.service, scope.idempotencyKey];
     return claimRowPrefix + parts.map(encodeURIComponent).join("/");
 }
 
-/** The failure of a key that can't be used; undefined if it can. */
+/** Returns a failure if the key is invalid, else undefined. */
 export function validateIdempotencyKey(key: string): Failure | undefined {
     const message = "The idempotency key must have 1 to 255 printable ASCII characters without spaces.";
     return validIdempotencyKey.test(key) ? undefined : notRun(FailureReason.BadRequest, message);
 }
 
-/** Equal for calls that ask for the same; the call's id and deadline differ on each try and stay out of it. */
+/** Hashes a call without its id and deadline, which differ on each attempt; repeated calls have equal hashes. */
 export function hashCall(call: ServiceCall): string {
     return hashText(JSON.stringify([call.method, call.path, call.contentType ?? "", call.body]));
 }
 
-/** @throws if the row was not written by this module: a programming error */
+/** @throws if the row was not written by this module, which is a programming error */
 export function parseClaimRow(value: JsonValue): ClaimRow {
     return claimRowSchema.parse(value);
 }
 
-/** The row as the table service takes it. */
+/** Formats a row for the table service. */
 export function formatClaimRow(row: ClaimRow): JsonValue {
     return toJson(row);
 }
 
-/** The row that an attempt begins with. */
+/** Creates the row of a new attempt. */
 export function createClaimedRow(own: OwnClaim, owner: ProcessIdentity): ClaimRow {
     return {
         state: ClaimRowState.Claimed,
@@ -99,7 +98,7 @@
     };
 }
 
-/** The row of a call that was answered. Too large an answer is left out, and replays say so. */
+/** Creates the row of an answered call. An answer that is too large is omitted, which replays report. */
 export function createAnsweredRow(
     claimed: ClaimRow,
     answer: ServiceAnswer,
@@ -115,7 +114,7 @@
     };
 }
 
-/** The row of a call that may have run. */
+/** Creates the row of a call that may have run. */
 export function createUnknownRow(claimed: ClaimRow, now: number, limits: ClaimLimits, settledBy?: string): ClaimRow {
     return {
         ...claimed,
@@ -126,8 +125,8 @@
 }
 
 /**
- * The row of a call that did not run. A row is kept rather than deleted: a copy of the claim's own write that is still
- * on its way demands an absent row, and would otherwise bring the claim back.
+ * Creates the row of a call that did not run. The row is retained rather than deleted: a duplicate of the claim's own
+ * write that is still in transit expects an absent row and would otherwise restore the claim.
  */
 export function createFreeRow(claimed: ClaimRow, now: number, limits: ClaimLimits): ClaimRow {
     return { ...claimed, state: ClaimRowState.Free, keepUntil: now + limits.freeRetentionMilliseconds };
--- a/packages/daisyturn/src/process/claims/claimWriter.ts
+++ b/packages/daisyturn/src/process/claims/claimWriter.ts
@@ -3,7 +3,7 @@
 import { type StoreClient, StorePriority } from "../store/index.js";
 import { type ClaimRow, formatClaimRow } from "./claimRow.js";
 
-/** One conditional write of a claim's row. */
+/** A conditional write of a claim's row. */
 export interface ClaimWrite {
     readonly rowKey: string;
     readonly expectedVersion: number;
@@ -12,27 +12,26 @@
     readonly deadline: number;
 }
 
-/** What became of a write. */
+/** Outcome of a write. */
 export enum ClaimWriteOutcome {
     Committed = "committed",
-    /** The row stands at another version; nothing was written. */
+    /** The row has another version; nothing was written. */
     Conflict = "conflict",
     /** Nothing was written, and nothing will be. */
     NotWritten = "not_written",
-    /** It may have been written, or still be written later. */
+    /** The row may have been written, or may still be written later. */
     Unknown = "unknown",
 }
 
-/** Answer to a write. */
 export interface ClaimWriteAnswer {
     readonly outcome: ClaimWriteOutcome;
     /** With Committed. */
     readonly version?: number;
-    /** With Conflict: the row as it stands, unless it is absent. With Unknown: what stood in the way of the last try. */
+    /** With Conflict: the current row, unless absent. With Unknown: the row that the last attempt conflicted with. */
     readonly present?: Row;
 }
 
-/** Writes claim rows, one row a transaction; the store client sends several as one where it has to save on its rate. */
+/** Writes claim rows, one row per transaction; the store client batches them when its rate limit requires it. */
 export interface ClaimWriter {
     write(write: ClaimWrite): Promise<ClaimWriteAnswer>;
 }
--- a/packages/daisyturn/src/process/claims/index.ts
+++ b/packages/daisyturn/src/process/claims/index.ts
@@ -1,5 +1,5 @@
 /**
- * Rows that keep a call from running twice when its process ends midway.
+ * Claims of non-idempotent calls: stored rows that prevent a call from running twice when its process ends midway.
  *
  * @module
  */
--- a/packages/daisyturn/src/process/claims/ownClaims.ts
+++ b/packages/daisyturn/src/process/claims/ownClaims.ts
@@ -1,42 +1,42 @@
 import type { IdSource } from "daisyturn-utils";
 import type { ServiceAnswer } from "../../ports/plainService.js";
 
-/** How far an attempt of this process to run a call has come. */
+/** Progress of an attempt of this process to run a call. */
 export enum ClaimStage {
     /** The row is being written; nothing was sent. */
     Claiming = "claiming",
     Sending = "sending",
     Answered = "answered",
     MayHaveRun = "may_have_run",
-    /** Nothing was sent, or what was sent did not run; this attempt never sends again. */
+    /** The call was not sent, or was sent and did not run; this attempt never sends again. */
     NotSent = "not_sent",
 }
 
-/** Stages after which an attempt sends nothing more. */
+/** Stages in which an attempt sends nothing more. */
 export type FinalStage = ClaimStage.Answered | ClaimStage.MayHaveRun | ClaimStage.NotSent;
 
-/** One attempt of this process to run a call. */
+/** An attempt of this process to run a call. */
 export interface OwnClaim {
     readonly rowKey: string;
     readonly claimId: string;
     readonly requestId: string;
     readonly callHash: string;
-    /** Resolves once the stage is a final one. */
+    /** Resolves once the stage is final. */
     readonly ended: Promise<void>;
-    /** Resolves once the row can no longer say otherwise than this process knows. */
+    /** Resolves once the row can no longer differ from the outcome known to this process. */
     readonly settled: Promise<void>;
     stage(): ClaimStage;
     /** With Answered. */
     answer(): ServiceAnswer | undefined;
     startSending(): void;
     end(stage: FinalStage, answer?: ServiceAnswer): void;
-    /** Forgets the attempt. */
+    /** Removes the attempt from the table. */
     markSettled(): void;
 }
 
 /**
- * The attempts of this process whose rows are not settled. What is not in here, this process neither sends nor will
- * send: that is what makes its word about a claim a proof.
+ * Attempts of this process whose rows are not settled. This process neither sends nor will send a call that is not in
+ * this table, so its reply to an inquiry is proof.
  */
 export interface OwnClaims {
     /** Starts an attempt; the row must have none. */
@@ -51,7 +51,7 @@
 
     const open = (rowKey: string, requestId: string, callHash: string) => {
         if (claims.has(rowKey)) {
-            throw new Error("this process has a claim on the row already");
+            throw new Error("this process already has a claim on the row");
         }
         const claim = createOwnClaim(
             { rowKey, claimId: ids.next("clm"), requestId, callHash },
@@ -68,9 +68,9 @@
     };
 }
 
-type OwnClaimNames = Pick<OwnClaim, "rowKey" | "claimId" | "requestId" | "callHash">;
+type OwnClaimIds = Pick<OwnClaim, "rowKey" | "claimId" | "requestId" | "callHash">;
 
-function createOwnClaim(names: OwnClaimNames, forget: () => void): OwnClaim {
+function createOwnClaim(ids: OwnClaimIds, remove: () => void): OwnClaim {
     let stage = ClaimStage.Claiming;
     let answer: ServiceAnswer | undefined;
     let resolveEnded: () => void = () => undefined;
@@ -82,7 +82,7 @@
         resolveSettled = resolve;
     });
     return {
-        ...names,
+        ...ids,
         ended,
         settled,
         stage: () => stage,
@@ -90,13 +90,13 @@
         startSending: () => {
             stage = ClaimStage.Sending;
         },
-        end: (finalStage, givenAnswer) => {
+        end: (finalStage, finalAnswer) => {
             stage = finalStage;
-            answer = givenAnswer;
+            answer = finalAnswer;
             resolveEnded();
         },
         markSettled: () => {
-            forget();
+            remove();
             resolveSettled();
         },
     };
--- a/packages/daisyturn/src/process/claims/waitUntilResolved.ts
+++ b/packages/daisyturn/src/process/claims/waitUntilResolved.ts
@@ -1,11 +1,15 @@
 import type { Clock } from "daisyturn-utils";
 
-/** Waits for a promise that is never rejected; tells whether it settled before the deadline (monotonic). */
+/**
+ * Waits for a promise that is never rejected, until the deadline.
+ * @param deadline monotonic time
+ * @returns whether the promise was resolved before the deadline
+ */
 export async function waitUntilResolved(promise: Promise<unknown>, clock: Clock, deadline: number): Promise<boolean> {
     const abort = new AbortController();
-    const settled = promise.then(() => true);
-    const passed = clock.sleepUntil(deadline, abort.signal).then(() => false);
-    const inTime = await Promise.race([settled, passed]);
+    const resolved = promise.then(() => true);
+    const timedOut = clock.sleepUntil(deadline, abort.signal).then(() => false);
+    const inTime = await Promise.race([resolved, timedOut]);
     abort.abort();
     return inTime;
 }
