--- a/packages/daisyturn/src/process/peers/createDigestExchange.ts
+++ b/packages/daisyturn/src/process/peers/createDigestExchange.ts
@@ -1,36 +1,36 @@
 import { EventKind, type EventLog, type JsonObject } from "daisyturn-utils";
 import type { ProcessIdentity } from "./peerNetwork.js";
 
-/** Makes what a module wants its peers to know; undefined if there is nothing to tell. */
+/** Creates the digest of a module for its peers; undefined if there is nothing to send. */
 export type DigestSource = () => JsonObject | undefined;
 
-/** Takes what the same module of a peer has told. The same digest may come more than once. */
+/** Handles a digest of the same module of a peer. The same digest may be received more than once. */
 export type DigestHandler = (from: ProcessIdentity, digest: JsonObject) => void;
 
-/** Lets other modules ride on heartbeats in place of messages of their own. */
+/** Sends small messages of other modules along with heartbeats, instead of as separate messages. */
 export interface DigestExchange {
-    /** Adds a source, asked for each heartbeat to each peer. The digest must be small: see `maxDigestBytes`. */
+    /** Adds a source, called for each heartbeat to each peer. Its digest must not exceed `maxDigestBytes`. */
     contributeDigest(name: string, source: DigestSource): void;
     /** Registers the only handler of a name. */
     onDigest(name: string, handler: DigestHandler): void;
 }
 
-/** The exchange as the sender and the receiver of heartbeats see it. */
+/** Digest exchange with the operations that the sender and the receiver of heartbeats need. */
 export interface DigestCarrier extends DigestExchange {
-    /** The digests that a peer does not have yet; undefined if it has them all. */
+    /** Returns the digests to send to a peer: new, changed or due for repetition; undefined if there are none. */
     collectFor(processId: string): Record<string, JsonObject> | undefined;
-    /** Forgets what a peer has: it gets everything again. */
+    /** Discards the record of what was sent to a peer, so that all digests are sent again. */
     forget(processId: string): void;
     receive(from: ProcessIdentity, digests: Readonly<Record<string, JsonObject>>): void;
 }
 
-/** Longest digest of one module, as JSON text. */
+/** Maximum size of the digest of one module, as JSON text. */
 export const maxDigestBytes = 2_048;
 
-/** Heartbeats may be lost without notice, so what has not changed is sent again every so many heartbeats. */
+/** An unchanged digest is sent again after this many heartbeats, because heartbeats may be lost without notice. */
 const heartbeatsUntilRepeat = 10;
 
-/** What a peer was last sent under one name. */
+/** The digest of one name that was last sent to a peer. */
 interface SentDigest {
     readonly text: string;
     heartbeatsAgo: number;
@@ -45,11 +45,16 @@
     const reportTooLong = (name: string, length: number) => {
         if (!reportedTooLong.has(name)) {
             reportedTooLong.add(name);
-            eventLog.record(EventKind.Fault, { part: "digest", name, length, reason: "the digest is too long" });
+            eventLog.record(EventKind.Fault, {
+                part: "digest",
+                name,
+                length,
+                reason: "the digest exceeds the size limit",
+            });
         }
     };
 
-    /** The digest of one source if the peer lacks it. */
+    /** Returns the digest of one source if it is to be sent to the peer. */
     const collectOne = (name: string, source: DigestSource, sent: Map<string, SentDigest>): JsonObject | undefined => {
         const digest = source();
         const text = digest === undefined ? "" : JSON.stringify(digest);
--- a/packages/daisyturn/src/process/peers/dialingPeerNetwork.ts
+++ b/packages/daisyturn/src/process/peers/dialingPeerNetwork.ts
@@ -1,13 +1,13 @@
 import { PeerNetwork, type ProcessIdentity } from "./peerNetwork.js";
 
-/** Told whenever a peer has said who it is on a new connection, made from either side. */
+/** Called when a peer has identified itself on a new connection, opened by either side. */
 export type HelloListener = (peer: ProcessIdentity) => void;
 
-/** A network that also keeps connections: what membership needs beside the calls themselves. */
+/** A peer network that also maintains connections, for use by membership. */
 export abstract class DialingPeerNetwork extends PeerNetwork {
-    /** Keeps a connection to `address` (`address:port`) until told otherwise; does nothing if it is kept already. */
+    /** Maintains a connection to `address` (`address:port`) until `disconnect` is called. Idempotent. */
     abstract connect(address: string): void;
-    /** No longer dials `address`. An open connection stays until either side closes it. */
+    /** Stops dialing `address`. An open connection remains until either side closes it. */
     abstract disconnect(address: string): void;
     abstract onHello(listener: HelloListener): void;
 }
--- a/packages/daisyturn/src/process/peers/index.ts
+++ b/packages/daisyturn/src/process/peers/index.ts
@@ -1,5 +1,5 @@
 /**
- * Messages between processes: who a peer is, and the two exchanges that other parts put their news into.
+ * Messages between processes: identities of peers, and the exchanges of digests and of load reports.
  *
  * @module
  */
--- a/packages/daisyturn/src/process/peers/loadExchange.ts
+++ b/packages/daisyturn/src/process/peers/loadExchange.ts
@@ -1,7 +1,7 @@
 import { type Clock, type JsonObject, toJson } from "daisyturn-utils";
 import { type Membership, PeerMethod, type PeerNetwork, type ProcessIdentity } from "./peerNetwork.js";
 
-/** Parts of the message in which peers tell each other their loads. */
+/** Sections of the message in which peers exchange their loads. */
 export enum ExchangeSection {
     SentWork = "sent_work",
     EngineHealth = "engine_health",
@@ -10,25 +10,27 @@
     Arrivals = "arrivals",
 }
 
-/** One part of the exchange; each module that needs one registers it. */
+/** Source and receiver of one section of the exchange. */
 export interface ExchangePart {
     readonly section: ExchangeSection;
-    /** Whether it has something to tell that must not wait; if absent, it waits for a full round. */
+    /** Returns whether the section must be sent before the next full round. By default, it waits. */
     readonly isUrgent?: () => boolean;
-    /** What is told in this round; undefined if there is nothing to tell. */
+    /** Returns the content to send in this round; undefined if there is none. */
     collect(): JsonObject | undefined;
     receive(content: JsonObject, from: ProcessIdentity): void;
 }
 
 /**
- * Tells every live peer what this process has sent and used, in one message. Sends are told within one interval,
- * because peers would fill the same engines; the rest every few intervals.
+ * Publishes the sends and the resource use of this process to every live peer, in one message. Sends are published
+ * within one interval, because peers would otherwise choose the same engines. The rest is published every few
+ * intervals.
  */
 export interface LoadExchange {
     register(part: ExchangePart): void;
     /**
-     * Monotonic time of a process's last round that arrived; `now` before the first. What is remembered of a peer is
-     * to be taken at this time: it must not fade while it is unknown whether the peer has ended or is only cut off.
+     * Returns the monotonic time at which the last round of a process was received; `now` before the first. The state
+     * of a peer must be evaluated as of this time: it must not decay while the peer may have ended or may only be
+     * partitioned.
      */
     lastReceivedAt(processId: string, now: number): number;
     /** Sends one round now. */
@@ -37,29 +39,28 @@
     run(signal: AbortSignal): Promise<void>;
 }
 
-/** What {@link createLoadExchange} needs. */
 export interface LoadExchangeOptions {
     readonly network: PeerNetwork;
     readonly membership: Membership;
     readonly clock: Clock;
-    /** A shorter interval means less herding and tighter limits, and more messages. */
+    /** A shorter interval gives less herding and tighter limits, but more messages. */
     readonly exchangeIntervalMilliseconds: number;
 }
 
-/** Sections by name. A section that the receiver doesn't know is passed over, so that versions may differ. */
+/** Message of one round. Receivers ignore unknown sections, so that versions may differ. */
 interface ExchangeMessage {
-    /** Grows by one with each round of one incarnation. */
+    /** Increases by one with each round of an incarnation. */
     readonly round: number;
     readonly incarnation: string;
     readonly sections: { readonly [section: string]: JsonObject; };
 }
 
-/** In every n-th interval all parts are asked; in those between, only if one of them is urgent. */
+/** Every n-th interval has a full round; the others have a round only if a part is urgent. */
 const intervalsPerFullRound = 3;
-/** Every n-th full round is sent even if there is nothing to tell. */
+/** Every n-th round is sent even if it is empty. */
 const roundsPerKeepAlive = 4;
 interface ReceivedRound {
-    /** Monotonic time. */
+    /** Monotonic time of receipt. */
     readonly at: number;
     readonly incarnation: string;
     readonly round: number;
@@ -95,7 +96,7 @@
         }
     };
 
-    /** A message that was overtaken tells less than is known already, and one from an earlier run is void. */
+    /** Returns whether a message is outdated: overtaken by a later one, or sent by an earlier incarnation. */
     const isStale = (from: ProcessIdentity, message: ExchangeMessage) => {
         const last = lastRounds.get(from.processId);
         if (!last || message.incarnation > last.incarnation) {
--- a/packages/daisyturn/src/process/peers/peerNetwork.ts
+++ b/packages/daisyturn/src/process/peers/peerNetwork.ts
@@ -1,11 +1,11 @@
 import type { Failure, JsonObject } from "daisyturn-utils";
 import type { Result } from "true-myth/result";
 
-/** Names one run of one process. */
+/** Identifies one incarnation of a process. */
 export interface ProcessIdentity {
     /** From the settings; the same after a restart. */
     readonly processId: string;
-    /** Unique to this run; later runs of the same process sort after earlier ones as text. */
+    /** Unique id of the incarnation; later ones of the same process sort after earlier ones as text. */
     readonly incarnation: string;
     readonly vmId: string;
     readonly availabilityZone: string;
@@ -16,31 +16,31 @@
 /** Calls between the processes of a cell. */
 export enum PeerMethod {
     Heartbeat = "heartbeat",
-    /** Asks whether the receiver has heard of a suspected member lately. */
+    /** Queries when the receiver last had contact with a suspected member. */
     ConfirmSuspicion = "confirm_suspicion",
-    /** Tells that the sender leaves. */
+    /** Announces that the sender leaves the cell. */
     Leave = "leave",
     PushConfiguration = "push_configuration",
     PullConfiguration = "pull_configuration",
-    /** Asks what still runs under an item of the configuration that was retired. */
+    /** Queries what still runs under a retired item of the configuration. */
     AskUsage = "ask_usage",
-    /** Tells loads and sends of the sender, for routing and for limits over the cell. */
+    /** Publishes the loads and sends of the sender, for routing and for limits that apply to the whole cell. */
     ShareLoad = "share_load",
-    /** Demands that no new work goes to an engine, and asks what still runs there. */
+    /** Requests that no new work is sent to an engine, and queries what still runs there. */
     QuiesceEngine = "quiesce_engine",
     ReleaseEngine = "release_engine",
-    /** Asks the owner of a claim what became of it. */
+    /** Queries the state of a claim from its owner. */
     AskClaim = "ask_claim",
 }
 
-/** What a member is thought to be. */
+/** Presumed state of a member. */
 export enum MemberState {
     Alive = "alive",
-    /** Not heard of for a while; others are being asked. */
+    /** No message within the time limit; other members are being queried. */
     Suspect = "suspect",
-    /** Not reachable for anybody asked. It may be paused or cut off and come back. */
+    /** No queried member has contact with it. It may be paused or partitioned, and return. */
     Dead = "dead",
-    /** It said itself that it leaves. */
+    /** It announced that it leaves. */
     Left = "left",
 }
 
@@ -50,10 +50,10 @@
     readonly state: MemberState;
 }
 
-/** Handles a peer's call. A thrown error reaches the caller as a failure that may have run. */
+/** Handles a request of a peer. The peer receives a thrown error as a failure with verdict MayHaveRun. */
 export type PeerHandler = (from: ProcessIdentity, parameters: JsonObject) => Promise<JsonObject> | JsonObject;
 
-/** Calls to and from the other processes of the cell. Fakes join several in one test. */
+/** Requests and notifications between the processes of a cell. */
 export abstract class PeerNetwork {
     abstract readonly self: ProcessIdentity;
     /** Fails with PeerUnavailable: NotRun if nothing was sent, else MayHaveRun. The deadline is monotonic. */
@@ -63,21 +63,21 @@
         parameters: JsonObject,
         deadline: number,
     ): Promise<Result<JsonObject, Failure>>;
-    /** Sends without waiting; lost without notice if the peer can't be reached. */
+    /** Sends without waiting for an answer; the message is lost without notice if the peer can't be reached. */
     abstract notify(processId: string, method: PeerMethod, parameters: JsonObject): void;
     /** Registers the only handler of a method. */
     abstract handle(method: PeerMethod, handler: PeerHandler): void;
 }
 
-/** Who is in the cell, as this process sees it. */
+/** Members of the cell as seen by this process. */
 export interface Membership {
-    /** Every other process known of, in any state. */
+    /** Returns every other known process, in any state. */
     others(): readonly Member[];
-    /** Others that are alive. */
+    /** Returns the other processes that are alive. */
     livePeers(): readonly ProcessIdentity[];
-    /** Whether that run of the process is proved to have ended: a newer incarnation, its own leave, or the VM list. */
+    /** Returns whether an incarnation is proved to have ended: by a newer one, a leave message, or the VM list. */
     hasEnded(identity: ProcessIdentity): boolean;
-    /** Whether a majority of the known members, this one included, is heard from. */
+    /** Returns whether there is contact with a majority of the known members, including this one. */
     hasMajorityContact(): boolean;
     onChange(listener: (member: Member) => void): void;
 }
--- a/packages/daisyturn/src/process/peers/processIdentitySchema.ts
+++ b/packages/daisyturn/src/process/peers/processIdentitySchema.ts
@@ -5,7 +5,7 @@
 
 const text = z.string().min(1).max(maxTextLength);
 
-/** Checks an identity that came from a peer. */
+/** Schema of an identity received from a peer. */
 export const processIdentitySchema: z.ZodType<ProcessIdentity> = z.object({
     processId: text,
     incarnation: text,
--- a/packages/daisyturn/src/process/peers/singleProcess.ts
+++ b/packages/daisyturn/src/process/peers/singleProcess.ts
@@ -2,7 +2,7 @@
 import { err, type Result } from "true-myth/result";
 import { type Membership, PeerNetwork, type ProcessIdentity } from "./peerNetwork.js";
 
-/** The members that a process without a cell sees: none but itself, so it is always with the majority. */
+/** Membership of a process without a cell: it is the only member, so it always has a majority. */
 export const singleProcessMembership: Membership = {
     others: () => [],
     livePeers: () => [],
@@ -11,7 +11,7 @@
     onChange: () => undefined,
 };
 
-/** The network of a process without a cell: nobody can be asked. */
+/** Network of a process without a cell: every request fails. */
 export class SingleProcessNetwork extends PeerNetwork {
     constructor(override readonly self: ProcessIdentity) {
         super();
--- a/packages/daisyturn/src/process/targets/__tests__/createTargetGate.test.ts
+++ b/packages/daisyturn/src/process/targets/__tests__/createTargetGate.test.ts
@@ -8,32 +8,32 @@
 import { PeerMethod } from "../../peers/index.js";
 import { createTargetGate } from "../createTargetGate.js";
 
-function createGateRig() {
+function createGateBench() {
     const clock = new FakeClock();
     const networks = createFakePeerNetworks(clock);
     const controller = networks.join(createFakeIdentity("p1"));
-    const circumstances = { isInService: true, leaving: new Set<string>() };
+    const conditions = { isInService: true, leaving: new Set<string>() };
     let version = createConfigurationVersion(1, [createTarget("nyamata", "engine-1")]);
     const gate = createTargetGate({
         configurationManager: { current: () => version },
         peerNetwork: networks.join(createFakeIdentity("p2")),
         clock,
-        isVmLeaving: target => circumstances.leaving.has(target.name),
-        isInService: () => circumstances.isInService,
+        isVmLeaving: target => conditions.leaving.has(target.name),
+        isInService: () => conditions.isInService,
     });
     const setItems = (items: readonly ConfigurationItem[]) => {
         version = createConfigurationVersion(version.generation + 1, items);
     };
-    const ask = async (
+    const sendRequest = async (
         method: PeerMethod,
         parameters: { engineId: string; orderId: string; forMilliseconds?: number; },
     ) => (await controller.request("p2", method, parameters, clock.monotonicNow() + 1_000)).unwrapOr({});
-    return { clock, gate, circumstances, setItems, ask };
+    return { clock, gate, conditions, setItems, sendRequest };
 }
 
 describe("createTargetGate", () => {
-    it("is open only while both partners' holds are lifted", () => {
-        const { gate, setItems } = createGateRig();
+    it("is open only while neither partner has a hold", () => {
+        const { gate, setItems } = createGateBench();
         const target = createTarget("nyamata", "engine-1");
         assert.equal(gate.isOpen("engine-1"), true);
         setItems([target, createHold("nyamata", "engine-1"), createHold("jizdenka", "engine-1")]);
@@ -44,27 +44,29 @@
         assert.equal(gate.isOpen("engine-1"), true);
     });
 
-    it("is closed for unknown targets, for targets of leaving VMs and out of service", () => {
-        const { gate, circumstances } = createGateRig();
+    it("is closed for unknown targets, for targets of leaving VMs and while the process is out of service", () => {
+        const { gate, conditions } = createGateBench();
         assert.equal(gate.isOpen("engine-2"), false);
-        circumstances.leaving.add("engine-1");
+        conditions.leaving.add("engine-1");
         assert.equal(gate.isOpen("engine-1"), false);
-        circumstances.leaving.clear();
-        circumstances.isInService = false;
+        conditions.leaving.clear();
+        conditions.isInService = false;
         assert.equal(gate.isOpen("engine-1"), false);
     });
 
-    it("closes at the controller's request, tells what is in flight, and opens on release or when the request lapses", async () => {
-        const { clock, gate, ask } = createGateRig();
-        const leave = gate.enter("engine-1");
-        const request = { engineId: "engine-1", orderId: "change-1", forMilliseconds: 5_000 };
-        assert.deepEqual(await ask(PeerMethod.QuiesceEngine, request), { inFlight: 1 });
+    it("closes on the controller's request, answers with the work in flight, and opens on release or expiry", async () => {
+        const { clock, gate, sendRequest } = createGateBench();
+        const endRequest = gate.enter("engine-1");
+        const quiesceRequest = { engineId: "engine-1", orderId: "change-1", forMilliseconds: 5_000 };
+        assert.deepEqual(await sendRequest(PeerMethod.QuiesceEngine, quiesceRequest), { inFlight: 1 });
         assert.equal(gate.isOpen("engine-1"), false);
-        leave();
-        leave();
-        assert.deepEqual(await ask(PeerMethod.QuiesceEngine, { ...request, orderId: "change-2" }), { inFlight: 0 });
-        await ask(PeerMethod.ReleaseEngine, { engineId: "engine-1", orderId: "change-1" });
-        assert.equal(gate.isOpen("engine-1"), false, "the other change still closes it");
+        endRequest();
+        endRequest();
+        assert.deepEqual(await sendRequest(PeerMethod.QuiesceEngine, { ...quiesceRequest, orderId: "change-2" }), {
+            inFlight: 0,
+        });
+        await sendRequest(PeerMethod.ReleaseEngine, { engineId: "engine-1", orderId: "change-1" });
+        assert.equal(gate.isOpen("engine-1"), false, "the other order still closes it");
         await clock.advance(5_000);
         assert.equal(gate.isOpen("engine-1"), true);
     });
--- a/packages/daisyturn/src/process/targets/createTargetDirectory.ts
+++ b/packages/daisyturn/src/process/targets/createTargetDirectory.ts
@@ -4,7 +4,6 @@
 import type { ConfigurationManager } from "../configuration/index.js";
 import type { TargetDirectory } from "./targetDirectory.js";
 
-/** Makes the adapters that the directory hands out. */
 export interface TargetDirectoryOptions {
     readonly configurationManager: ConfigurationManager;
     readonly createEngine: (target: Target) => Engine;
@@ -17,8 +16,8 @@
 }
 
 /**
- * Creates the directory of targets. An adapter lives as long as its target keeps its URL; a request that holds the
- * adapter of a target that has left may finish with it.
+ * Creates the directory of targets. An adapter is cached until its target is removed or changes its URL; requests in
+ * progress may still complete with an adapter that is no longer cached.
  */
 export function createTargetDirectory(options: TargetDirectoryOptions): TargetDirectory {
     const engineEntries = new Map<string, Entry<Engine>>();
@@ -31,28 +30,28 @@
 
     const engine = (targetName: string) => {
         const target = findTarget(targetName, TargetKind.Engine);
-        return target && ensureEntry(engineEntries, target, options.createEngine);
+        return target && getOrCreateAdapter(engineEntries, target, options.createEngine);
     };
 
     const plainService = (targetName: string) => {
         const target = findTarget(targetName, TargetKind.PlainService);
-        return target && ensureEntry(serviceEntries, target, options.createPlainService);
+        return target && getOrCreateAdapter(serviceEntries, target, options.createPlainService);
     };
 
     const engines = () =>
         options.configurationManager.current().targets
             .filter(target => target.targetKind === TargetKind.Engine)
-            .map(target => ensureEntry(engineEntries, target, options.createEngine));
+            .map(target => getOrCreateAdapter(engineEntries, target, options.createEngine));
 
     options.configurationManager.onVersion(version => {
-        forgetAbsent(engineEntries, name => version.findTarget(name) !== undefined);
-        forgetAbsent(serviceEntries, name => version.findTarget(name) !== undefined);
+        removeAbsent(engineEntries, name => version.findTarget(name) !== undefined);
+        removeAbsent(serviceEntries, name => version.findTarget(name) !== undefined);
     });
 
     return { engine, plainService, engines };
 }
 
-function ensureEntry<Adapter>(
+function getOrCreateAdapter<Adapter>(
     entries: Map<string, Entry<Adapter>>,
     target: Target,
     createAdapter: (target: Target) => Adapter,
@@ -66,7 +65,7 @@
     return adapter;
 }
 
-function forgetAbsent<Adapter>(entries: Map<string, Entry<Adapter>>, isPresent: (name: string) => boolean): void {
+function removeAbsent<Adapter>(entries: Map<string, Entry<Adapter>>, isPresent: (name: string) => boolean): void {
     for (const name of [...entries.keys()].filter(known => !isPresent(known))) {
         entries.delete(name);
     }
--- a/packages/daisyturn/src/process/targets/createTargetGate.ts
+++ b/packages/daisyturn/src/process/targets/createTargetGate.ts
@@ -5,31 +5,30 @@
 import { parseQuiesceRequest, parseReleaseNotice } from "./quiesceMessages.js";
 import type { TargetGate } from "./targetGate.js";
 
-/** What a target gate is made of. */
 export interface TargetGateOptions {
     readonly configurationManager: Pick<ConfigurationManager, "current">;
     readonly peerNetwork: PeerNetwork;
     readonly clock: Clock;
-    /** Whether the VM of a target is on its way out, as far as the platform's list tells. */
+    /** Returns whether the VM of a target is leaving, according to the platform's VM list. */
     readonly isVmLeaving: (target: Target) => boolean;
-    /** Whether this process may give out work at all. */
+    /** Returns whether this process may dispatch work at all. */
     readonly isInService: () => boolean;
 }
 
-/** Longest time for which one request closes an engine; a controller that lives repeats its request. */
+/** Maximum time for which one request closes an engine. A live controller repeats its request. */
 const maxClosureMilliseconds = 60_000;
 
-/** Creates the gate and answers the controller's demands on it. */
+/** Creates the gate and registers the handlers of the controller's requests. */
 export function createTargetGate(options: TargetGateOptions): TargetGate {
     const { configurationManager, peerNetwork, clock } = options;
-    /** Deadlines by change, by target. */
+    /** Deadlines by target name and order id. */
     const closures = new Map<string, Map<string, number>>();
     const counts = new Map<string, number>();
 
     const close = (targetName: string, orderId: string, deadline: number) => {
-        const ofTarget = closures.get(targetName) ?? new Map<string, number>();
-        ofTarget.set(orderId, deadline);
-        closures.set(targetName, ofTarget);
+        const deadlines = closures.get(targetName) ?? new Map<string, number>();
+        deadlines.set(orderId, deadline);
+        closures.set(targetName, deadlines);
     };
 
     const release = (targetName: string, orderId: string) => {
@@ -37,14 +36,14 @@
     };
 
     const isClosedForOrder = (targetName: string) => {
-        const ofTarget = closures.get(targetName);
-        if (!ofTarget) {
+        const deadlines = closures.get(targetName);
+        if (!deadlines) {
             return false;
         }
         const now = clock.monotonicNow();
-        const expired = [...ofTarget].filter(([, deadline]) => deadline <= now);
-        expired.forEach(([orderId]) => ofTarget.delete(orderId));
-        return ofTarget.size > 0;
+        const expired = [...deadlines].filter(([, deadline]) => deadline <= now);
+        expired.forEach(([orderId]) => deadlines.delete(orderId));
+        return deadlines.size > 0;
     };
 
     const isOpen = (targetName: string) => {
@@ -72,9 +71,9 @@
 
     peerNetwork.handle(PeerMethod.QuiesceEngine, (...[, parameters]): JsonObject => {
         const request = parseQuiesceRequest(parameters);
-        // The two processes' clocks are not equal, so the request carries a length, which becomes a deadline here.
-        const length = Math.min(request.forMilliseconds, maxClosureMilliseconds);
-        close(request.engineId, request.orderId, clock.monotonicNow() + length);
+        // The clocks of the two processes differ, so the request contains a duration instead of a deadline.
+        const duration = Math.min(request.forMilliseconds, maxClosureMilliseconds);
+        close(request.engineId, request.orderId, clock.monotonicNow() + duration);
         return { inFlight: inFlight(request.engineId) };
     });
 
--- a/packages/daisyturn/src/process/targets/index.ts
+++ b/packages/daisyturn/src/process/targets/index.ts
@@ -1,5 +1,5 @@
 /**
- * Which targets there are, and whether new work may go to one at this moment.
+ * Adapters to the active targets, and the gate that decides whether new work may be sent to one.
  *
  * @module
  */
--- a/packages/daisyturn/src/process/targets/targetDirectory.ts
+++ b/packages/daisyturn/src/process/targets/targetDirectory.ts
@@ -1,7 +1,7 @@
 import type { Engine } from "../../ports/engine.js";
 import type { PlainService } from "../../ports/plainService.js";
 
-/** Adapters to the targets of the configuration in force, made when a target first appears. */
+/** Adapters to the targets of the active configuration, created on first use. */
 export interface TargetDirectory {
     engine(targetName: string): Engine | undefined;
     plainService(targetName: string): PlainService | undefined;
--- a/packages/daisyturn/src/process/targets/targetGate.ts
+++ b/packages/daisyturn/src/process/targets/targetGate.ts
@@ -1,11 +1,14 @@
-/** Whether new work may go to a target at this moment; asked right before each dispatch. */
+/** Decides whether new work may be sent to a target; queried right before each dispatch. */
 export interface TargetGate {
-    /** False while any partner holds it, an order is under way, its VM leaves, or this process is out of service. */
+    /**
+     * Returns false while a partner has a hold on the target, an order on it is in progress, its VM leaves, or this
+     * process is out of service.
+     */
     isOpen(targetName: string): boolean;
-    /** Closes an engine for an order; stays closed until released or until `deadline` (monotonic). */
+    /** Closes an engine for an order until it is released or the monotonic `deadline` has passed. */
     close(targetName: string, orderId: string, deadline: number): void;
     release(targetName: string, orderId: string): void;
-    /** Counts a request that was sent to the target; the result ends the count. */
+    /** Counts a request as in flight at the target. The returned function ends the count. */
     enter(targetName: string): () => void;
     inFlight(targetName: string): number;
 }
