--- a/packages/daisyturn/src/process/lease/__fixtures__/restorableTable.ts
+++ b/packages/daisyturn/src/process/lease/__fixtures__/restorableTable.ts
@@ -37,13 +37,13 @@
         connect,
         /** Discards the given number of latest transactions and increments the era. */
         rollBack: async (transactions: number) => {
-            const kept = history.slice(0, Math.max(0, history.length - transactions));
+            const retained = history.slice(0, Math.max(0, history.length - transactions));
             const restored = createMemoryTableService();
-            for (const transaction of kept) {
+            for (const transaction of retained) {
                 await restored.transact(transaction, Infinity);
             }
             table = restored;
-            history = kept;
+            history = retained;
             era += 1;
         },
     };
--- a/packages/daisyturn/src/process/membership/createHeartbeats.ts
+++ b/packages/daisyturn/src/process/membership/createHeartbeats.ts
@@ -50,7 +50,7 @@
         network.notify(processId, PeerMethod.Heartbeat, toJson(message));
     };
 
-    /** Sends the member list to at most one process in each interval; the others receive it from each other. */
+    /** Returns the member list for at most one process in each interval; the others receive it from each other. */
     const chooseMembersToSend = (record: MemberRecord): MemberEntry[] | undefined => {
         const now = clock.monotonicNow();
         if (!record.viewDiffers || now < membersSentAt + timing.heartbeatInterval) {
--- a/packages/daisyturn/src/process/membership/heartbeatMessage.ts
+++ b/packages/daisyturn/src/process/membership/heartbeatMessage.ts
@@ -11,7 +11,7 @@
     VmGone = "vm_gone",
 }
 
-/** State in which the sender of a heartbeat had the receiver until contact resumed. */
+/** State that the sender of a heartbeat attributed to the receiver until contact resumed. */
 export enum FalseSuspicion {
     Suspect = "suspect",
     Dead = "dead",
--- a/packages/daisyturn/src/process/membership/membershipTiming.ts
+++ b/packages/daisyturn/src/process/membership/membershipTiming.ts
@@ -11,7 +11,7 @@
     readonly recoveryWindow: number;
     /** Number of recoveries within the window without a hold-down. */
     readonly recoveriesWithoutHoldDown: number;
-    /** Longest time for which a flapping member must be stable before it is considered alive. */
+    /** Maximum time for which a flapping member must be stable before it is considered alive. */
     readonly maxHoldDown: number;
     /** How long an ended incarnation is still listed. */
     readonly endedRetention: number;
