--- a/packages/daisyturn/src/process/claims/claimPruner.ts
+++ b/packages/daisyturn/src/process/claims/claimPruner.ts
@@ -14,13 +14,16 @@
 import { type PagedStoreClient, StorePriority } from "../store/index.js";
 import { claimRowPrefix, ClaimRowState, parseClaimRow } from "./claimRow.js";
 
-/** What ends the claims of processes that are gone. */
-export interface AbandonedClaims {
-    /** Settles a claim of an ended process, if this process has seen it unchanged for long enough (monotonic). */
+/** Settles claims of processes that have ended. */
+export interface AbandonedClaimSettler {
+    /**
+     * Settles a claim of an ended process if this process has observed it unchanged for long enough.
+     * @param deadline monotonic time
+     */
     settleAbandoned(present: Row, deadline: number): Promise<void>;
 }
 
-/** Row in which the pruning processes hand the work to each other. */
+/** Key of the row that stores the progress of the current pass, so that any process can continue it. */
 export const pruningRowKey = "claim-pruning";
 
 const minuteMilliseconds = 60_000;
@@ -31,20 +34,19 @@
 const pagesPerTurn = 10;
 
 const pruningRowSchema = z.object({
-    /** Wall-clock time of the process that started the pass. */
+    /** Start of the pass, by the wall clock of the process that started it. */
     passStartedAt: z.number(),
-    /** Wall-clock time of the process that started the pass before. */
+    /** Start of the previous pass, by the wall clock of the process that started it. */
     horizon: z.number(),
-    /** Last key looked at; undefined once the pass is over. */
+    /** Last examined key; undefined once the pass is complete. */
     cursor: z.string().optional(),
 });
 
 type PruningRow = z.infer<typeof pruningRowSchema>;
 
-/** What the pruner works with. */
 export interface ClaimPrunerOptions {
     readonly storeClient: PagedStoreClient;
-    readonly claimManager: AbandonedClaims;
+    readonly claimManager: AbandonedClaimSettler;
     readonly membership: Membership;
     readonly clock: Clock;
     readonly random: Random;
@@ -52,31 +54,31 @@
     readonly eventLog: EventLog;
 }
 
-/** What one turn did. */
+/** Row counts of one turn. */
 export interface PruningTurn {
-    readonly looked: number;
+    readonly examined: number;
     readonly deleted: number;
 }
 
-/** Deletes claim rows whose time is over, and settles claims of ended processes that nobody asks for. */
+/** Deletes expired claim rows, and settles abandoned claims of ended processes that no caller requests. */
 export interface ClaimPruner {
-    /** Takes turns until `signal` is aborted. */
+    /** Runs turns until `signal` is aborted. */
     run(signal: AbortSignal): Promise<void>;
-    /** Goes on with the pass where the last turn of any process left it. */
-    takeTurn(): Promise<Result<PruningTurn, Failure>>;
+    /** Continues the current pass after the last turn of any process. */
+    runTurn(): Promise<Result<PruningTurn, Failure>>;
 }
 
 /**
  * Creates the pruner of one process.
  *
- * A row is deleted once its time is over by two clocks: this process's, and that of whoever started the pass before.
- * One clock that runs ahead therefore deletes nothing as long as the processes take turns. Two processes at once do the
- * same work twice, and every deletion demands the version that was seen.
+ * A row is deleted once it has expired by two clocks: that of this process, and that of the process that started the
+ * previous pass. A single clock that is ahead therefore deletes nothing as long as passes alternate between processes.
+ * Two processes that run turns at the same time only repeat work: every deletion is conditional on the version read.
  */
 export function createClaimPruner(options: ClaimPrunerOptions): ClaimPruner {
     const { storeClient, claimManager, membership, clock, random, ids, eventLog } = options;
 
-    const takeTurn = async (): Promise<Result<PruningTurn, Failure>> => {
+    const runTurn = async (): Promise<Result<PruningTurn, Failure>> => {
         const deadline = clock.monotonicNow() + turnLimitMilliseconds;
         const found = await storeClient.read([pruningRowKey], StorePriority.Other, deadline);
         if (found.isErr) {
@@ -85,16 +87,16 @@
         const present = found.value[0];
         const pass = choosePass(present);
         if (!pass) {
-            return Result.ok({ looked: 0, deleted: 0 });
+            return Result.ok({ examined: 0, deleted: 0 });
         }
-        const turn = await walkPages(pass, deadline);
+        const turn = await prunePages(pass, deadline);
         if (turn.isOk) {
-            await handOn(present, { ...pass, cursor: turn.value.cursor }, deadline);
+            await saveProgress(present, { ...pass, cursor: turn.value.cursor }, deadline);
         }
         return turn;
     };
 
-    /** The pass under way, or a new one if the last one is old enough. */
+    /** Returns the current pass, or a new one if the last one started long enough ago. */
     const choosePass = (present: Row | undefined): PruningRow | undefined => {
         const now = clock.wallNow();
         const last = present && pruningRowSchema.parse(present.value);
@@ -108,8 +110,8 @@
         return isDue ? { passStartedAt: now, horizon: last.passStartedAt } : undefined;
     };
 
-    const walkPages = async (pass: PruningRow, deadline: number) => {
-        const turn = { looked: 0, deleted: 0, cursor: pass.cursor };
+    const prunePages = async (pass: PruningRow, deadline: number) => {
+        const turn = { examined: 0, deleted: 0, cursor: pass.cursor };
         for (let page = 0; page < pagesPerTurn; page++) {
             const rows = await storeClient.listPage(
                 claimRowPrefix,
@@ -121,7 +123,7 @@
             if (rows.isErr) {
                 return Result.err<typeof turn, Failure>(rows.error);
             }
-            turn.looked += rows.value.length;
+            turn.examined += rows.value.length;
             turn.deleted += await prunePage(rows.value, pass.horizon, deadline);
             turn.cursor = rows.value.length < rowsPerPage ? undefined : rows.value.at(-1)?.key;
             if (turn.cursor === undefined) {
@@ -132,11 +134,11 @@
     };
 
     const prunePage = async (rows: readonly Row[], horizon: number, deadline: number) => {
-        const over = Math.min(clock.wallNow(), horizon);
+        const expiryLimit = Math.min(clock.wallNow(), horizon);
         for (const row of rows.filter(isAbandoned)) {
             await claimManager.settleAbandoned(row, deadline);
         }
-        return deleteRows(rows.filter(row => (parseClaimRow(row.value).keepUntil ?? Infinity) < over), deadline);
+        return deleteRows(rows.filter(row => (parseClaimRow(row.value).keepUntil ?? Infinity) < expiryLimit), deadline);
     };
 
     const isAbandoned = (row: Row) => {
@@ -157,11 +159,11 @@
             StorePriority.Other,
             deadline,
         );
-        // Another pruner was there, or a key was claimed anew: the next pass sees what is left.
+        // On a conflict, another pruner deleted rows or a key was claimed again. The next pass handles what is left.
         return answer.outcome === TransactionOutcome.Committed ? rows.length : 0;
     };
 
-    const handOn = (present: Row | undefined, row: PruningRow, deadline: number) =>
+    const saveProgress = (present: Row | undefined, row: PruningRow, deadline: number) =>
         storeClient.commit(
             {
                 writeId: ids.next("wr"),
@@ -174,14 +176,14 @@
 
     const run = async (signal: AbortSignal) => {
         while (!signal.aborted) {
-            const pause = turnIntervalMilliseconds * (0.5 + random.fraction());
-            await clock.sleepUntil(clock.monotonicNow() + pause, signal);
-            const turn = signal.aborted ? undefined : await takeTurn();
+            const delay = turnIntervalMilliseconds * (0.5 + random.fraction());
+            await clock.sleepUntil(clock.monotonicNow() + delay, signal);
+            const turn = signal.aborted ? undefined : await runTurn();
             if (turn?.isErr) {
                 eventLog.record(EventKind.Fault, { reason: turn.error.reason, verdict: turn.error.verdict });
             }
         }
     };
 
-    return { run, takeTurn };
+    return { run, runTurn };
 }
