--- a/packages/daisyturn/src/process/peers/processIdentitySchema.ts
+++ b/packages/daisyturn/src/process/peers/processIdentitySchema.ts
@@ -1,11 +1,11 @@
 import { z } from "zod";
 import type { ProcessIdentity } from "./peerNetwork.js";
 
-const maximumTextLength = 256;
+const maxTextLength = 256;
 
-const text = z.string().min(1).max(maximumTextLength);
+const text = z.string().min(1).max(maxTextLength);
 
-/** Checks an identity that came from a peer. */
+/** Schema of an identity received from a peer. */
 export const processIdentitySchema: z.ZodType<ProcessIdentity> = z.object({
     processId: text,
     incarnation: text,
