--- a/packages/daisyturn/src/connection/__fixtures__/peerNetworks.ts
+++ b/packages/daisyturn/src/connection/__fixtures__/peerNetworks.ts
@@ -3,8 +3,8 @@
 import type { ProcessIdentity } from "../../process/peers/index.js";
 import { createPeerNetwork, type PeerNetworkOptions, type TcpPeerNetwork } from "../createPeerNetwork.js";
 
-const pollInterval = 5;
-const patience = 10_000;
+const pollIntervalMilliseconds = 5;
+const maxWaitMilliseconds = 10_000;
 
 /** Makes an identity whose address gets its port when the network starts. */
 export function createLocalIdentity(processId: string, incarnation = `${processId}-1`): ProcessIdentity {
@@ -41,12 +41,12 @@
 
 /** Waits until a condition holds; fails the test after a long while. */
 export async function waitUntil(condition: () => boolean, clock: Clock = new SystemClock()): Promise<void> {
-    const deadline = clock.monotonicNow() + patience;
+    const deadline = clock.monotonicNow() + maxWaitMilliseconds;
     while (!condition()) {
         if (clock.monotonicNow() > deadline) {
             throw new Error(`not reached in time: ${condition.toString()}`);
         }
-        await clock.sleepUntil(clock.monotonicNow() + pollInterval);
+        await clock.sleepUntil(clock.monotonicNow() + pollIntervalMilliseconds);
     }
 }
 
--- a/packages/daisyturn/src/connection/__tests__/createPeerNetwork.test.ts
+++ b/packages/daisyturn/src/connection/__tests__/createPeerNetwork.test.ts
@@ -50,7 +50,7 @@
 }
 
 /** Names the processes whose hello was taken, and the calls that were run. */
-function recordTaken(...networks: readonly TcpPeerNetwork[]): readonly string[] {
+function recordAccepted(...networks: readonly TcpPeerNetwork[]): readonly string[] {
     const taken: string[] = [];
     for (const network of networks) {
         network.onHello(peer => taken.push(peer.incarnation));
@@ -117,7 +117,7 @@
 
     it("takes no stranger: not one with another secret or of another cell, nor calls before the proof", async context => {
         const network = await startPeerNetwork(context, "p2", { handshakeLimitMilliseconds: 100 });
-        const taken = recordTaken(network);
+        const taken = recordAccepted(network);
         for (const overrides of [{ secret: "quite another secret" }, { cell: "another cell" }]) {
             const eventLog = new MemoryEventLog();
             const stranger = await startPeerNetwork(context, "p1", { ...overrides, eventLog });
@@ -147,7 +147,7 @@
         await once(impostor, "listening");
         const eventLog = new MemoryEventLog();
         const network = await startPeerNetwork(context, "p1", { eventLog });
-        const taken = recordTaken(network);
+        const taken = recordAccepted(network);
         network.connect(`127.0.0.1:${(impostor.address() as AddressInfo).port}`);
         await waitUntil(() => eventLog.events.length + taken.length > 0);
         assert.deepEqual([taken, new Set(proved)], [[], new Set(["hello"])]);
@@ -155,7 +155,7 @@
 
     it("does not accept its own proof sent back to it", async context => {
         const network = await startPeerNetwork(context, "p2", { handshakeLimitMilliseconds: 100 });
-        const taken = recordTaken(network);
+        const taken = recordAccepted(network);
         const socket = connect(splitAddress(network.self.peerAddress));
         const hello = { identity: createLocalIdentity("p9"), nonce: "n" };
         socket.write(`${JSON.stringify({ jsonrpc: "2.0", id: 1, method: "hello", params: hello })}\n`);
@@ -189,7 +189,7 @@
         assert.equal((await hello).incarnation, "p2-2");
         const eventLog = new MemoryEventLog();
         const zombie = await startPeerNetwork(context, "p2", { eventLog });
-        const taken = recordTaken(one, zombie);
+        const taken = recordAccepted(one, zombie);
         zombie.connect(one.self.peerAddress);
         await waitUntil(() => eventLog.events.length > 0);
         assert.deepEqual(taken, []);
@@ -244,7 +244,7 @@
         other.handle(PeerMethod.AskClaim, () => ({ fine: true }));
         await connectNetworks(one, other);
         assert.ok((await one.request("p2", PeerMethod.AskClaim, {}, within())).isOk);
-        const taken = recordTaken(other);
+        const taken = recordAccepted(other);
         for (const strangerTls of [undefined, { ...await createTls(), authority: tls.authority }]) {
             const eventLog = new MemoryEventLog();
             const stranger = await startPeerNetwork(context, "p3", { tls: strangerTls, eventLog });
--- a/packages/daisyturn/src/connection/caller/__fixtures__/createCallerBench.ts
+++ b/packages/daisyturn/src/connection/caller/__fixtures__/createCallerBench.ts
@@ -146,7 +146,7 @@
             plainService: name => plainServices.get(name),
             engines: () => engines,
         },
-        claims: createPassingClaims(),
+        claims: createPassThroughClaims(),
         clock: new SystemClock(),
         ids: createIdSource("test"),
         eventLog,
@@ -177,7 +177,7 @@
 }
 
 /** Keeps no claims: every call is sent. */
-function createPassingClaims(): ClaimManager {
+function createPassThroughClaims(): ClaimManager {
     return {
         runOnce: (request, send) => send(request.call, { mayStart: () => true }),
         lookUp: () => Promise.resolve(err(notRun(FailureReason.NotFound, "Not kept."))),
--- a/packages/daisyturn/src/connection/caller/__tests__/plainCalls.test.ts
+++ b/packages/daisyturn/src/connection/caller/__tests__/plainCalls.test.ts
@@ -23,14 +23,14 @@
         calls = [];
         const remaining = [...outcomes];
         for (const target of ["desk-1", "desk-2"]) {
-            class Desk extends PlainService {
+            class StubService extends PlainService {
                 override readonly targetId = target;
                 override invoke(call: ServiceCall, signal: AbortSignal) {
                     calls.push({ target, call, signal });
                     return Promise.resolve(remaining.shift() ?? confirmed);
                 }
             }
-            bench.plainServices.set(target, new Desk());
+            bench.plainServices.set(target, new StubService());
         }
     };
 
--- a/packages/daisyturn/src/connection/caller/__tests__/resumedAnswers.test.ts
+++ b/packages/daisyturn/src/connection/caller/__tests__/resumedAnswers.test.ts
@@ -26,7 +26,7 @@
     let second: Bench;
 
     /** Begins an answer at the first process and kills that after three tokens. */
-    const beginAndKill = async (resumeKeys = [benchResumeKey]) => {
+    const startAndStopFirst = async (resumeKeys = [benchResumeKey]) => {
         engines = createEnginePair();
         first = await createCallerBench({ engines });
         second = await createCallerBench({ engines, resumeKeys });
@@ -62,7 +62,7 @@
 
     const readCode = (text: string) => (JSON.parse(text) as { error: { code: string; }; }).error.code;
 
-    const keepStream = () => {
+    const scriptResume = () => {
         engines[0].resumeScript = (streamId, offset) => {
             assert.equal(streamId, engines[0].received[0]?.streamId);
             return ok(yieldAnswer(offset, 8));
@@ -72,8 +72,8 @@
     afterEach(() => second.server.stop());
 
     test("the engine's stream goes on at the caller's offset", async () => {
-        const token = await beginAndKill();
-        keepStream();
+        const token = await startAndStopFirst();
+        scriptResume();
         const resumed = readStream((await resume(token)).text);
         assert.equal(answerText(3) + resumed.text, answerText(8));
         assert.ok(resumed.isDone);
@@ -82,8 +82,8 @@
     });
 
     test("the same request with the token in its header goes on too", async () => {
-        const token = await beginAndKill();
-        keepStream();
+        const token = await startAndStopFirst();
+        scriptResume();
         const headers = { "X-Resume-Token": token, "Last-Event-ID": "3" };
         const resumed = await streamCompletion(second.url, original, headers);
         assert.equal(answerText(3) + resumed.text, answerText(8));
@@ -91,13 +91,13 @@
     });
 
     test("a second key is accepted while keys are changed", async () => {
-        const token = await beginAndKill(["key-of-tomorrow", benchResumeKey]);
-        keepStream();
+        const token = await startAndStopFirst(["key-of-tomorrow", benchResumeKey]);
+        scriptResume();
         assert.equal((await resume(token)).status, 200);
     });
 
     test("a lost stream is made again from the offset if the request is repeated and deterministic", async () => {
-        const token = await beginAndKill();
+        const token = await startAndStopFirst();
         const request = { ...original, model: "valuation", messages: [{ role: "user", content: "What is it worth?" }] };
         const resumed = readStream((await resume(token, { request })).text);
         assert.equal(answerText(3) + resumed.text, answerText(8));
@@ -122,7 +122,7 @@
     });
 
     test("an offset before the beginning of the token's stream is refused", async () => {
-        const token = await beginAndKill();
+        const token = await startAndStopFirst();
         const request = { ...original, model: "valuation", messages: [{ role: "user", content: "What is it worth?" }] };
         const moved = readStream((await resume(token, { request })).text).resumeToken ?? "";
         assert.notEqual(moved, "");
@@ -131,14 +131,14 @@
     });
 
     test("a lost stream without the request is refused with what to do", async () => {
-        const refused = await resume(await beginAndKill());
+        const refused = await resume(await startAndStopFirst());
         assert.equal(refused.status, 502);
         assert.match(refused.text, /send the original request/);
     });
 
     test("tokens that are forged, foreign, expired or of another request are refused", async () => {
-        const token = await beginAndKill();
-        keepStream();
+        const token = await startAndStopFirst();
+        scriptResume();
         const [payload, signature] = token.split(".") as [string, string];
         const ticket = JSON.parse(Buffer.from(payload, "base64url").toString()) as object;
         const altered = Buffer.from(JSON.stringify({ ...ticket, streamId: "str-other-1" })).toString("base64url");
--- a/packages/daisyturn/src/connection/caller/createCallerListener.ts
+++ b/packages/daisyturn/src/connection/caller/createCallerListener.ts
@@ -21,7 +21,7 @@
 ) => void;
 
 /** How often node looks for requests that have not arrived in time, in milliseconds. */
-const longestCheckInterval = 1_000;
+const maxCheckIntervalMilliseconds = 1_000;
 
 /** Creates the HTTP listener, with node's own limits set so that a caller can't hold a connection for nothing. */
 export function createCallerListener(
@@ -33,8 +33,8 @@
         maxHeaderSize: limits.maxHeaderBytes,
         headersTimeout: limits.headerMilliseconds,
         // A slow body is refused by its own deadline with an answer; this one, without an answer, comes after it.
-        requestTimeout: limits.headerMilliseconds + limits.bodyMilliseconds + longestCheckInterval,
-        connectionsCheckingInterval: Math.min(longestCheckInterval, limits.headerMilliseconds / 2),
+        requestTimeout: limits.headerMilliseconds + limits.bodyMilliseconds + maxCheckIntervalMilliseconds,
+        connectionsCheckingInterval: Math.min(maxCheckIntervalMilliseconds, limits.headerMilliseconds / 2),
         keepAliveTimeout: limits.keepAliveMilliseconds,
     };
     const server = tls
--- a/packages/daisyturn/src/connection/caller/createCallerServer.ts
+++ b/packages/daisyturn/src/connection/caller/createCallerServer.ts
@@ -6,10 +6,10 @@
 import { createResumeTokens } from "../../request/resumption/resumeToken.js";
 import { listenAt } from "../listenAt.js";
 import { type CallerServerOptions, defaultCallerLimits } from "./callerServerOptions.js";
-import { checkHeader } from "./checkHeader.js";
 import { type CallerConnection, createCallerListener } from "./createCallerListener.js";
 import { createHttpExchange, type HttpExchange } from "./httpExchange.js";
 import { refuseExchange, serveExchange } from "./serveExchange.js";
+import { validateHeaderFields } from "./validateHeaderFields.js";
 
 /** The server for callers. */
 export interface CallerServer {
@@ -27,7 +27,7 @@
 enum ServerPhase {
     Serving,
     /** Still taking requests, but no longer ready. */
-    Leaving,
+    NotReady,
     Refusing,
 }
 
@@ -41,9 +41,9 @@
         resumeTokens: createResumeTokens(options.resumeKeys, clock),
     };
     const running = new Set<HttpExchange>();
-    let heldBodyBytes = 0;
+    let reservedBodyBytes = 0;
     let phase = ServerPhase.Serving;
-    let noteIdle: (() => void) | undefined;
+    let notifyIdle: (() => void) | undefined;
 
     const serve = async (
         incoming: IncomingMessage,
@@ -57,8 +57,8 @@
             connection,
             reserveBody: byteCount => {
                 bodyBytes += byteCount;
-                heldBodyBytes += byteCount;
-                return heldBodyBytes <= limits.maxTotalBodyBytes;
+                reservedBodyBytes += byteCount;
+                return reservedBodyBytes <= limits.maxTotalBodyBytes;
             },
             isClosing: () => phase !== ServerPhase.Serving,
         });
@@ -70,15 +70,15 @@
             reportFault(exchange, error);
         }
         await exchange.closed;
-        heldBodyBytes -= bodyBytes;
+        reservedBodyBytes -= bodyBytes;
         running.delete(exchange);
         if (running.size === 0) {
-            noteIdle?.();
+            notifyIdle?.();
         }
     };
 
     const handle = async (incoming: IncomingMessage, exchange: HttpExchange) => {
-        const fault = checkHeader(incoming, limits.maxHeaderCount);
+        const fault = validateHeaderFields(incoming, limits.maxHeaderCount);
         if (fault) {
             refuseExchange(parts, exchange, fault);
             return;
@@ -109,7 +109,7 @@
     };
 
     const drain = async (deadline: number) => {
-        phase = ServerPhase.Leaving;
+        phase = ServerPhase.NotReady;
         eventLog.record(EventKind.ProcessDraining, { running: running.size });
         await clock.sleepUntil(Math.min(deadline, clock.monotonicNow() + limits.balancerNoticeMilliseconds));
         phase = ServerPhase.Refusing;
@@ -119,7 +119,7 @@
 
     const waitUntilIdle = async (deadline: number) => {
         const idle = new AbortController();
-        noteIdle = () => idle.abort();
+        notifyIdle = () => idle.abort();
         if (running.size > 0) {
             await clock.sleepUntil(deadline, idle.signal);
         }
--- a/packages/daisyturn/src/connection/caller/eventWriter.ts
+++ b/packages/daisyturn/src/connection/caller/eventWriter.ts
@@ -11,17 +11,17 @@
     return {
         write: event => {
             outgoing.write(event);
-            return outgoing.writableLength > limits.maxBufferedBytes ? waitForReader(outgoing, limits) : undefined;
+            return outgoing.writableLength > limits.maxBufferedBytes ? waitForDrain(outgoing, limits) : undefined;
         },
         end: () => {
             outgoing.end();
-            limitFlush(outgoing, limits);
+            limitFlushTime(outgoing, limits);
         },
     };
 }
 
 /** Waits until a slow caller has caught up; closes the connection if that takes too long. */
-function waitForReader(outgoing: ServerResponse, limits: CallerLimits): Promise<void> {
+function waitForDrain(outgoing: ServerResponse, limits: CallerLimits): Promise<void> {
     return new Promise(resolve => {
         const timer = setTimeout(() => outgoing.destroy(), limits.slowReaderMilliseconds);
         const finish = () => {
@@ -34,7 +34,7 @@
 }
 
 /** Closes the connection of a caller who does not read the last of a finished answer. */
-function limitFlush(outgoing: ServerResponse, limits: CallerLimits): void {
+function limitFlushTime(outgoing: ServerResponse, limits: CallerLimits): void {
     if (outgoing.writableFinished || outgoing.destroyed) {
         return;
     }
--- a/packages/daisyturn/src/connection/caller/httpExchange.ts
+++ b/packages/daisyturn/src/connection/caller/httpExchange.ts
@@ -35,7 +35,7 @@
     options: HttpExchangeOptions,
 ): HttpExchange {
     const { limits, requestId } = options;
-    const life = new AbortController();
+    const cancellation = new AbortController();
     const { path, query } = splitUrl(incoming.url ?? "/");
 
     const closed = new Promise<void>(resolve => {
@@ -43,7 +43,7 @@
         const finish = () => {
             closeListeners.delete(finish);
             if (!outgoing.writableFinished) {
-                life.abort(mayHaveRun(FailureReason.Cancelled, "The caller has closed the connection."));
+                cancellation.abort(mayHaveRun(FailureReason.Cancelled, "The caller has closed the connection."));
             }
             resolve();
         };
@@ -79,7 +79,7 @@
             return;
         }
         outgoing.write(answer.body);
-        endLingering(incoming, outgoing, limits.lingerMilliseconds);
+        endAfterDrainingBody(incoming, outgoing, limits.lingerMilliseconds);
     };
 
     return {
@@ -87,7 +87,7 @@
         method: incoming.method ?? "",
         path,
         query,
-        signal: life.signal,
+        signal: cancellation.signal,
         closed,
         header: name => {
             const value = incoming.headers[name];
@@ -98,14 +98,14 @@
                 maxBytes: limits.maxBodyBytes,
                 milliseconds: limits.bodyMilliseconds,
                 reserve: options.reserveBody,
-                askForBody: () => askForBody(incoming, outgoing),
+                sendContinue: () => askForBody(incoming, outgoing),
             }),
         answer,
         openEventStream: headers => {
             outgoing.writeHead(200, buildHeaders("text/event-stream", { "Cache-Control": "no-store", ...headers }));
             return createEventWriter(outgoing, limits);
         },
-        abort: failure => life.abort(failure),
+        abort: failure => cancellation.abort(failure),
     };
 }
 
@@ -123,7 +123,7 @@
 }
 
 /** Closing a connection with unread bytes resets it, and the caller might never see why it was refused. */
-function endLingering(incoming: IncomingMessage, outgoing: ServerResponse, milliseconds: number): void {
+function endAfterDrainingBody(incoming: IncomingMessage, outgoing: ServerResponse, milliseconds: number): void {
     const end = () => {
         clearTimeout(timer);
         outgoing.end();
--- a/packages/daisyturn/src/connection/caller/readBody.ts
+++ b/packages/daisyturn/src/connection/caller/readBody.ts
@@ -9,7 +9,7 @@
     /** Takes room for bytes of the body; false if the process has none left. */
     readonly reserve: (byteCount: number) => boolean;
     /** Called when the body's announced length is within the limit. */
-    readonly askForBody: () => void;
+    readonly sendContinue: () => void;
 }
 
 const utf8 = new TextDecoder("utf-8", { fatal: true, ignoreBOM: true });
@@ -25,34 +25,35 @@
     if (announced > limits.maxBytes) {
         return Promise.resolve(err(tooLarge(limits.maxBytes)));
     }
-    limits.askForBody();
+    limits.sendContinue();
     return new Promise(resolve => {
-        const pieces: Buffer[] = [];
+        const chunks: Buffer[] = [];
         let byteCount = 0;
 
         const finish = (result: Result<Buffer, Failure>) => {
             clearTimeout(timer);
-            incoming.off("data", take).off("end", end).off("close", cut);
+            incoming.off("data", addChunk).off("end", end).off("close", handleClose);
             resolve(result);
         };
-        const take = (piece: Buffer) => {
-            byteCount += piece.length;
+        const addChunk = (chunk: Buffer) => {
+            byteCount += chunk.length;
             if (byteCount > limits.maxBytes) {
                 finish(err(tooLarge(limits.maxBytes)));
             }
-            else if (!limits.reserve(piece.length)) {
+            else if (!limits.reserve(chunk.length)) {
                 finish(err(notRun(FailureReason.Overloaded, "The process holds too many bodies at the moment.")));
             }
             else {
-                pieces.push(piece);
+                chunks.push(chunk);
             }
         };
-        const end = () => finish(ok(pieces.length === 1 && pieces[0] ? pieces[0] : Buffer.concat(pieces)));
-        const cut = () => finish(err(notRun(FailureReason.Cancelled, "The connection closed within the body.")));
+        const end = () => finish(ok(chunks.length === 1 && chunks[0] ? chunks[0] : Buffer.concat(chunks)));
+        const handleClose = () =>
+            finish(err(notRun(FailureReason.Cancelled, "The connection closed within the body.")));
         const expire = () => finish(err(notRun(FailureReason.BadRequest, "The body did not arrive in time.")));
 
         const timer = setTimeout(expire, limits.milliseconds);
-        incoming.on("data", take).on("end", end).on("close", cut);
+        incoming.on("data", addChunk).on("end", end).on("close", handleClose);
     });
 }
 
--- a/packages/daisyturn/src/connection/caller/serveExchange.ts
+++ b/packages/daisyturn/src/connection/caller/serveExchange.ts
@@ -24,7 +24,7 @@
 interface Route {
     readonly method: string;
     readonly handle: Handler;
-    readonly takesJson: boolean;
+    readonly requiresJson: boolean;
 }
 
 const livePath = "/healthz";
@@ -37,17 +37,17 @@
     "/v1/chat/completions": {
         method: "POST",
         handle: (parts, exchange) => handleCompletion(parts, exchange, CompletionForm.Chat),
-        takesJson: true,
+        requiresJson: true,
     },
     "/v1/completions": {
         method: "POST",
         handle: (parts, exchange) => handleCompletion(parts, exchange, CompletionForm.Text),
-        takesJson: true,
+        requiresJson: true,
     },
-    "/v1/resume": { method: "POST", handle: handleResume, takesJson: false },
+    "/v1/resume": { method: "POST", handle: handleResume, requiresJson: false },
 };
 
-const claimRoute: Route = { method: "GET", handle: handleClaimQuestion, takesJson: false };
+const claimRoute: Route = { method: "GET", handle: handleClaimQuestion, requiresJson: false };
 
 /** Serves one request by its path and refuses it where that fails. */
 export async function serveExchange(
@@ -63,8 +63,8 @@
 
 /** Answers a request with its failure. */
 export function refuseExchange(parts: RequestParts, exchange: CallerExchange, failure: Failure): void {
-    const hasGone = failure.reason === FailureReason.Cancelled;
-    parts.eventLog.record(hasGone ? EventKind.RequestCancelled : EventKind.RequestRefused, {
+    const isCancelled = failure.reason === FailureReason.Cancelled;
+    parts.eventLog.record(isCancelled ? EventKind.RequestCancelled : EventKind.RequestRefused, {
         request: exchange.requestId,
         reason: failure.reason,
         verdict: failure.verdict,
@@ -120,7 +120,7 @@
         return ok(undefined);
     }
     const encoding = exchange.header("content-encoding") ?? "identity";
-    if (encoding !== "identity" || (route.takesJson && !jsonPattern.test(exchange.header("content-type") ?? ""))) {
+    if (encoding !== "identity" || (route.requiresJson && !jsonPattern.test(exchange.header("content-type") ?? ""))) {
         const failure = notRun(FailureReason.BadRequest, "The body must be application/json without an encoding.");
         exchange.answer({ ...buildRefusal(failure, parts.clock), status: unsupportedMediaType });
         return ok(undefined);
--- a/packages/daisyturn/src/connection/caller/checkHeader.ts
+++ b/packages/daisyturn/src/connection/caller/validateHeaderFields.ts
@@ -2,7 +2,7 @@
 import type { IncomingMessage } from "node:http";
 
 /** Fields that decide what a request means: of two, nobody could say which one counts. */
-const singleFields: ReadonlySet<string> = new Set([
+const singletonFields: ReadonlySet<string> = new Set([
     "authorization",
     "content-type",
     "idempotency-key",
@@ -12,7 +12,7 @@
 ]);
 
 /** What is wrong with a header as a whole; undefined if nothing is. */
-export function checkHeader(incoming: IncomingMessage, maxHeaderCount: number): Failure | undefined {
+export function validateHeaderFields(incoming: IncomingMessage, maxHeaderCount: number): Failure | undefined {
     const { rawHeaders } = incoming;
     if (rawHeaders.length / 2 > maxHeaderCount) {
         return notRun(FailureReason.BadRequest, `The request has more than ${maxHeaderCount} header fields.`);
@@ -20,7 +20,7 @@
     const seen = new Set<string>();
     for (let index = 0; index < rawHeaders.length; index += 2) {
         const name = rawHeaders[index]?.toLowerCase() ?? "";
-        if (singleFields.has(name) && seen.has(name)) {
+        if (singletonFields.has(name) && seen.has(name)) {
             return notRun(FailureReason.BadRequest, `The header field ${name} may stand only once.`);
         }
         seen.add(name);
--- a/packages/daisyturn/src/connection/createPeerNetwork.ts
+++ b/packages/daisyturn/src/connection/createPeerNetwork.ts
@@ -20,7 +20,7 @@
 } from "../process/peers/index.js";
 import { createPeerAcceptor } from "./peerAcceptor.js";
 import { createPeerDialer } from "./peerDialer.js";
-import { HandshakeMethod, introduceTo } from "./peerHandshake.js";
+import { HandshakeMethod, performHandshake } from "./peerHandshake.js";
 import { createPeerLinks, type PeerLink } from "./peerLinks.js";
 import { type PeerNetworkSettingsInput, peerNetworkSettingsSchema } from "./peerNetworkSettings.js";
 import { createPeerServer, openPeerSocket } from "./peerSockets.js";
@@ -28,8 +28,8 @@
     createRefusal,
     createRpcConnection,
     createTrafficCounters,
-    type RpcAnswerer,
     type RpcConnection,
+    type RpcHandler,
     type TrafficCounters,
 } from "./rpcConnection.js";
 
@@ -64,10 +64,10 @@
     const traffic = createTrafficCounters();
     const stopping = new AbortController();
     const links = createPeerLinks(givenSelf, clock);
-    const unproved = new Set<RpcConnection>();
+    const unauthenticated = new Set<RpcConnection>();
     let self = givenSelf;
 
-    const openConnection = (socket: Socket, answer: RpcAnswerer): RpcConnection => {
+    const openConnection = (socket: Socket, answer: RpcHandler): RpcConnection => {
         const connection = createRpcConnection({
             socket,
             clock,
@@ -77,8 +77,8 @@
             answer,
             counters: traffic,
         });
-        unproved.add(connection);
-        void connection.closed.then(() => unproved.delete(connection));
+        unauthenticated.add(connection);
+        void connection.closed.then(() => unauthenticated.delete(connection));
         return connection;
     };
 
@@ -86,8 +86,8 @@
         if (stopping.signal.aborted || !links.add(link)) {
             return false;
         }
-        unproved.delete(link.connection);
-        link.connection.trust();
+        unauthenticated.delete(link.connection);
+        link.connection.markAuthenticated();
         void link.connection.closed.then(() => links.remove(link));
         helloListeners.forEach(listener => listener(link.peer));
         return true;
@@ -103,23 +103,23 @@
 
     /** Connects and proves. */
     const dial = async (address: string, deadline: number, signal: AbortSignal): Promise<PeerLink | string> =>
-        await introduce(await openPeerSocket(address, settings.tls, signal), deadline);
+        await authenticate(await openPeerSocket(address, settings.tls, signal), deadline);
 
-    const introduce = async (socket: Socket, deadline: number): Promise<PeerLink | string> => {
+    const authenticate = async (socket: Socket, deadline: number): Promise<PeerLink | string> => {
         let peer: ProcessIdentity | undefined;
-        const answer: RpcAnswerer = async (method, parameters) => {
+        const answer: RpcHandler = async (method, parameters) => {
             if (!peer) {
                 throw createRefusal("the peer has not proved who it is");
             }
             return await callHandler(peer, method, parameters);
         };
         const connection = openConnection(socket, answer);
-        const proved = await introduceTo(connection, self, settings, deadline, identity => {
-            connection.trust();
+        const outcome = await performHandshake(connection, self, settings, deadline, identity => {
+            connection.markAuthenticated();
             peer = identity;
         });
-        const refusal = typeof proved === "string" ? proved : undefined;
-        const link = typeof proved === "string" ? undefined : { peer: proved, connection };
+        const refusal = typeof outcome === "string" ? outcome : undefined;
+        const link = typeof outcome === "string" ? undefined : { peer: outcome, connection };
         if (!link || !addLink(link)) {
             connection.destroy("the handshake failed");
             return refusal ?? "a later incarnation of the peer is connected";
@@ -167,7 +167,7 @@
             stopping.abort();
             dialer.stop();
             server.close();
-            unproved.forEach(connection => connection.destroy("this process stops"));
+            unauthenticated.forEach(connection => connection.destroy("this process stops"));
             const open = links.all().map(link => link.connection);
             open.forEach(connection => connection.close());
             await Promise.all(open.map(connection => connection.closed));
--- a/packages/daisyturn/src/connection/forwarding/createForwardServer.ts
+++ b/packages/daisyturn/src/connection/forwarding/createForwardServer.ts
@@ -37,7 +37,7 @@
 /** Node's own limit is set once for all; the configured one is smaller and checked request by request. */
 const listenerHeaderBytes = 128 * 1024;
 /** Where a caller does not say how long it waits. */
-const defaultPatienceMilliseconds = 30_000;
+const defaultTimeoutMilliseconds = 30_000;
 /** The balancer asks once a second and gives up after two misses; connections under way arrive a little later. */
 const balancerNoticeMilliseconds = 2_400;
 const drainPollMilliseconds = 50;
@@ -55,16 +55,16 @@
     /** Monotonic time at which the process ends; what may last longer is refused once the balancer has noticed. */
     let endsAt = Infinity;
     let running = 0;
-    let heldBodyBytes = 0;
+    let reservedBodyBytes = 0;
 
-    const take = async (incoming: IncomingMessage, outgoing: ServerResponse, connection: CallerConnection) => {
+    const serveRequest = async (incoming: IncomingMessage, outgoing: ServerResponse, connection: CallerConnection) => {
         running += 1;
         const exchange = createForwardExchange(outgoing, connection, () => isClosing, () => clock.monotonicNow());
         let bodyBytes = 0;
         const reserve = (byteCount: number) => {
             bodyBytes += byteCount;
-            heldBodyBytes += byteCount;
-            return heldBodyBytes <= defaultCallerLimits.maxTotalBodyBytes;
+            reservedBodyBytes += byteCount;
+            return reservedBodyBytes <= defaultCallerLimits.maxTotalBodyBytes;
         };
         try {
             await handle(incoming, outgoing, exchange, reserve);
@@ -73,7 +73,7 @@
             reportFault(exchange, error);
         }
         await exchange.closed;
-        heldBodyBytes -= bodyBytes;
+        reservedBodyBytes -= bodyBytes;
         running -= 1;
     };
 
@@ -99,14 +99,14 @@
             maxBytes: limits?.maxBodyBytes ?? defaultCallerLimits.maxBodyBytes,
             milliseconds: defaultCallerLimits.bodyMilliseconds,
             reserve,
-            askForBody: () => incoming.headers.expect !== undefined && outgoing.writeContinue(),
+            sendContinue: () => incoming.headers.expect !== undefined && outgoing.writeContinue(),
         });
         if (body.isErr) {
             refuseUnread(outgoing, exchange, body.error);
             return;
         }
-        const patience = described.value.patienceMilliseconds ?? defaultPatienceMilliseconds;
-        if (arrivedAt + patience > endsAt) {
+        const timeout = described.value.patienceMilliseconds ?? defaultTimeoutMilliseconds;
+        if (arrivedAt + timeout > endsAt) {
             const message = "This process is stopping; ask again elsewhere.";
             refuseCall(exchange, notRun(FailureReason.OutOfService, message, clock.wallNow()), clock);
             return;
@@ -118,7 +118,7 @@
             url: incoming.url ?? "/",
             body: body.value,
             arrivedAt,
-            deadline: arrivedAt + patience,
+            deadline: arrivedAt + timeout,
         }, exchange);
     };
 
@@ -137,7 +137,7 @@
     const server: Server = createCallerListener(
         undefined,
         { ...defaultCallerLimits, maxHeaderBytes: listenerHeaderBytes },
-        (incoming, outgoing, connection) => void take(incoming, outgoing, connection),
+        (incoming, outgoing, connection) => void serveRequest(incoming, outgoing, connection),
     );
 
     const start = () => listenAt(server, options.listen, connectionBacklog);
--- a/packages/daisyturn/src/connection/forwarding/forwardExchange.ts
+++ b/packages/daisyturn/src/connection/forwarding/forwardExchange.ts
@@ -22,7 +22,7 @@
     /** Ends an answer that was begun, as complete. */
     end(): void;
     /** Breaks the answer off, so that it can't be taken for complete. */
-    breakOff(): void;
+    abort(): void;
     /** Resolves once the answer is sent or the caller is gone. */
     readonly closed: Promise<void>;
 }
@@ -37,26 +37,26 @@
     isClosing: () => boolean,
     now: () => number,
 ): ForwardExchange {
-    const gone = new AbortController();
+    const cancellation = new AbortController();
     let firstByteAt: number | undefined;
-    let lastPieceAt: number | undefined;
+    let lastChunkAt: number | undefined;
     let longestPause = 0;
-    let firstPieceAt: number | undefined;
-    let pieces = 0;
+    let firstChunkAt: number | undefined;
+    let chunkCount = 0;
     const closed = new Promise<void>(resolve => {
         const finish = () => {
-            connection.closeListeners.delete(leave);
+            connection.closeListeners.delete(handleClose);
             resolve();
         };
-        const leave = () => {
+        const handleClose = () => {
             if (!outgoing.writableFinished) {
-                gone.abort(notRun(FailureReason.Cancelled, "The caller closed the connection."));
+                cancellation.abort(notRun(FailureReason.Cancelled, "The caller closed the connection."));
             }
             finish();
         };
-        connection.closeListeners.add(leave);
+        connection.closeListeners.add(handleClose);
         outgoing.once("finish", finish);
-        outgoing.once("error", leave);
+        outgoing.once("error", handleClose);
     });
 
     const writeHead = (status: number, fields: HeaderFields) => {
@@ -69,14 +69,14 @@
     };
 
     return {
-        signal: gone.signal,
+        signal: cancellation.signal,
         closed,
         firstByteAt: () => firstByteAt,
         longestPause: () => longestPause,
-        meanPause: () => pieces < 2 ? undefined : ((lastPieceAt ?? 0) - (firstPieceAt ?? 0)) / (pieces - 1),
+        meanPause: () => chunkCount < 2 ? undefined : ((lastChunkAt ?? 0) - (firstChunkAt ?? 0)) / (chunkCount - 1),
         isHeadSent: () => outgoing.headersSent,
         answer: (status, fields, body) => {
-            if (outgoing.headersSent || gone.signal.aborted) {
+            if (outgoing.headersSent || cancellation.signal.aborted) {
                 return;
             }
             writeHead(status, [...fields, "Content-Length", String(body.length)]);
@@ -85,17 +85,17 @@
         begin: writeHead,
         write: chunk => {
             const at = now();
-            longestPause = Math.max(longestPause, at - (lastPieceAt ?? at));
-            lastPieceAt = at;
-            firstPieceAt ??= at;
-            pieces += 1;
+            longestPause = Math.max(longestPause, at - (lastChunkAt ?? at));
+            lastChunkAt = at;
+            firstChunkAt ??= at;
+            chunkCount += 1;
             outgoing.write(chunk);
             if (outgoing.writableLength > maxBufferedBytes) {
                 outgoing.destroy();
             }
         },
         end: () => outgoing.end(),
-        breakOff: () => outgoing.destroy(),
+        abort: () => outgoing.destroy(),
     };
 }
 
--- a/packages/daisyturn/src/connection/lineReader.ts
+++ b/packages/daisyturn/src/connection/lineReader.ts
@@ -23,19 +23,19 @@
 export function createLineReader(maximumBytes: number): LineReader {
     const decoder = new TextDecoder("utf-8", { fatal: true, ignoreBOM: true });
     let limit = maximumBytes;
-    let held: Uint8Array[] = [];
-    let heldBytes = 0;
+    let pending: Uint8Array[] = [];
+    let pendingBytes = 0;
 
-    const hold = (piece: Uint8Array): boolean => {
-        held.push(piece);
-        heldBytes += piece.length;
-        return heldBytes <= limit;
+    const append = (piece: Uint8Array): boolean => {
+        pending.push(piece);
+        pendingBytes += piece.length;
+        return pendingBytes <= limit;
     };
 
-    const takeLine = (): string => {
-        const line = decoder.decode(held.length === 1 ? held[0] : Buffer.concat(held));
-        held = [];
-        heldBytes = 0;
+    const drainLine = (): string => {
+        const line = decoder.decode(pending.length === 1 ? pending[0] : Buffer.concat(pending));
+        pending = [];
+        pendingBytes = 0;
         return line;
     };
 
@@ -43,18 +43,18 @@
         const lines: string[] = [];
         let start = 0;
         for (let end = chunk.indexOf(lineFeed); end >= 0; end = chunk.indexOf(lineFeed, start)) {
-            if (!hold(chunk.subarray(start, end))) {
+            if (!append(chunk.subarray(start, end))) {
                 return err(LineFault.TooLong);
             }
             try {
-                lines.push(takeLine());
+                lines.push(drainLine());
             }
             catch {
                 return err(LineFault.NotUtf8);
             }
             start = end + 1;
         }
-        if (start < chunk.length && !hold(chunk.subarray(start))) {
+        if (start < chunk.length && !append(chunk.subarray(start))) {
             return err(LineFault.TooLong);
         }
         return ok(lines);
--- a/packages/daisyturn/src/connection/operator/configurationRoutes.ts
+++ b/packages/daisyturn/src/connection/operator/configurationRoutes.ts
@@ -5,7 +5,7 @@
 import { createItemRoutes } from "./createItemRoutes.js";
 import { createRetirementRoutes } from "./createRetirementRoutes.js";
 import { createTargetRoutes } from "./createTargetRoutes.js";
-import { answerWith } from "./operatorAnswers.js";
+import { buildAnswer } from "./operatorAnswers.js";
 import { OperatorMethod, type OperatorRoutes } from "./operatorRoutes.js";
 
 /** What the routes work on. */
@@ -30,7 +30,7 @@
 
 async function showFleet({ configurationManager, membership, self }: ConfigurationRoutesOptions) {
     const usage = await configurationManager.usage();
-    return answerWith({
+    return buildAnswer({
         self: toJson(self),
         generation: configurationManager.current().generation,
         members: membership.others().map(toJson),
--- a/packages/daisyturn/src/connection/operator/createChangeRoutes.ts
+++ b/packages/daisyturn/src/connection/operator/createChangeRoutes.ts
@@ -2,16 +2,16 @@
 import { z } from "zod";
 import type { FleetConfigurationManager } from "../../process/configuration/index.js";
 import { changeBodySchema, writeIdSchema } from "../../version/itemSchemas.js";
-import { showChange } from "./itemVisibility.js";
-import { refuseProblem } from "./operatorAnswers.js";
+import { redactChange } from "./itemVisibility.js";
+import { buildInvalidInput } from "./operatorAnswers.js";
 import { OperatorMethod, type OperatorRequest, type OperatorRoutes } from "./operatorRoutes.js";
 import { publishForOperator } from "./publishForOperator.js";
 
-const defaultHistory = 50;
-const longestHistory = 500;
+const defaultHistoryLength = 50;
+const maxHistoryLength = 500;
 
 const historyQuerySchema = z.object({
-    limit: z.coerce.number().int().min(1).max(longestHistory).default(defaultHistory),
+    limit: z.coerce.number().int().min(1).max(maxHistoryLength).default(defaultHistoryLength),
 });
 
 /** What the routes work on. */
@@ -25,7 +25,7 @@
     const postChange = async ({ operator, query, body }: OperatorRequest) => {
         const parsed = changeBodySchema.safeParse(body);
         if (!parsed.success) {
-            return refuseProblem(parsed.error);
+            return buildInvalidInput(parsed.error);
         }
         const { changes, ...guards } = parsed.data;
         if (query.get("dry-run") !== "true") {
@@ -43,23 +43,23 @@
         const writeId = writeIdSchema.safeParse(parameters["writeId"]);
         return writeId.success
             ? (await configurationManager.outcomeOf(operator.partner, writeId.data)).map(toJson)
-            : refuseProblem(writeId.error);
+            : buildInvalidInput(writeId.error);
     };
 
     const cancelChange = async ({ operator, parameters }: OperatorRequest) => {
         const writeId = writeIdSchema.safeParse(parameters["writeId"]);
         return writeId.success
             ? (await configurationManager.cancel(operator.partner, writeId.data)).map(toJson)
-            : refuseProblem(writeId.error);
+            : buildInvalidInput(writeId.error);
     };
 
     const showHistory = async ({ operator, query }: OperatorRequest) => {
         const parsed = historyQuerySchema.safeParse(Object.fromEntries(query));
         if (!parsed.success) {
-            return refuseProblem(parsed.error);
+            return buildInvalidInput(parsed.error);
         }
         const changes = await configurationManager.history(parsed.data.limit);
-        return changes.map(list => toJson({ changes: list.map(change => showChange(operator, change)) }));
+        return changes.map(list => toJson({ changes: list.map(change => redactChange(operator, change)) }));
     };
 
     return [
--- a/packages/daisyturn/src/connection/operator/createIdentityRoutes.ts
+++ b/packages/daisyturn/src/connection/operator/createIdentityRoutes.ts
@@ -1,4 +1,4 @@
-import { answerWith } from "./operatorAnswers.js";
+import { buildAnswer } from "./operatorAnswers.js";
 import { OperatorMethod, type OperatorRoutes } from "./operatorRoutes.js";
 
 /** Tells whose key a client uses: changes name the partner, and only the server knows it for sure. */
@@ -6,6 +6,6 @@
     return [{
         method: OperatorMethod.Get,
         path: "/v1/operator",
-        handle: ({ operator }) => answerWith({ partner: operator.partner, name: operator.name }),
+        handle: ({ operator }) => buildAnswer({ partner: operator.partner, name: operator.name }),
     }];
 }
--- a/packages/daisyturn/src/connection/operator/createItemRoutes.ts
+++ b/packages/daisyturn/src/connection/operator/createItemRoutes.ts
@@ -4,19 +4,19 @@
 import { ChangeAction } from "../../version/configurationChange.js";
 import { formatItemIdentity, type ItemIdentity, ItemKind } from "../../version/configurationItems.js";
 import { identitySchema, itemSchema } from "../../version/itemSchemas.js";
-import { isVisible, listSorted } from "./itemVisibility.js";
-import { answerWith, refuseForm, refuseProblem, refuseUnknown } from "./operatorAnswers.js";
+import { canViewItem, listSortedItems } from "./itemVisibility.js";
+import { buildAnswer, buildBadRequest, buildInvalidInput, buildNotFound } from "./operatorAnswers.js";
 import { OperatorMethod, type OperatorRequest, type OperatorRoutes } from "./operatorRoutes.js";
 import { publishForOperator, readGuards } from "./publishForOperator.js";
 
-const defaultPage = 200;
-const longestPage = 1_000;
+const defaultPageSize = 200;
+const maxPageSize = 1_000;
 
 const listQuerySchema = z.object({
     kind: z.enum(ItemKind).optional(),
     /** `next` of the page before. */
     after: z.string().default(""),
-    limit: z.coerce.number().int().min(1).max(longestPage).default(defaultPage),
+    limit: z.coerce.number().int().min(1).max(maxPageSize).default(defaultPageSize),
 });
 
 /** What the routes work on. */
@@ -30,17 +30,17 @@
     const listItems = ({ operator, query }: OperatorRequest) => {
         const parsed = listQuerySchema.safeParse(Object.fromEntries(query));
         if (!parsed.success) {
-            return refuseProblem(parsed.error);
+            return buildInvalidInput(parsed.error);
         }
         const { kind, after, limit } = parsed.data;
         const version = configurationManager.current();
-        const found = listSorted(version).filter(item =>
-            isVisible(operator, item) && (kind === undefined || item.kind === kind)
+        const found = listSortedItems(version).filter(item =>
+            canViewItem(operator, item) && (kind === undefined || item.kind === kind)
             && formatItemIdentity(item) > after
         );
         const page = found.slice(0, limit);
         const last = found.length > limit ? page.at(-1) : undefined;
-        return answerWith({
+        return buildAnswer({
             generation: version.generation,
             items: page.map(toJson),
             ...(last && { next: formatItemIdentity(last) }),
@@ -49,10 +49,10 @@
 
     const showItem = ({ operator, parameters, query }: OperatorRequest) => {
         const identity = identitySchema.safeParse({ partner: query.get("partner") ?? operator.partner, ...parameters });
-        const isShown = identity.success && isVisible(operator, identity.data);
+        const isShown = identity.success && canViewItem(operator, identity.data);
         const version = configurationManager.current();
         const item = isShown ? version.findItem(identity.data) : undefined;
-        return item ? answerWith({ generation: version.generation, item }) : refuseUnknown("item");
+        return item ? buildAnswer({ generation: version.generation, item }) : buildNotFound("item");
     };
 
     const putItem = async ({ operator, parameters, query, body }: OperatorRequest) => {
@@ -61,10 +61,10 @@
         const item = itemSchema.safeParse({ ...named, ...(body instanceof Object ? body : {}) });
         const guards = readGuards(query);
         if (!item.success || !guards.success) {
-            return refuseProblem((item.error ?? guards.error) as z.ZodError);
+            return buildInvalidInput((item.error ?? guards.error) as z.ZodError);
         }
         if (formatItemIdentity(item.data) !== formatItemIdentity(named as unknown as ItemIdentity)) {
-            return refuseForm("the body names another item than the path");
+            return buildBadRequest("the body names another item than the path");
         }
         const changes = [{ action: ChangeAction.Put as const, item: item.data }];
         return await publishForOperator(configurationManager, ids, operator, changes, guards.data);
@@ -74,7 +74,7 @@
         const identity = identitySchema.safeParse({ ...parameters, partner: operator.partner });
         const guards = readGuards(query);
         if (!identity.success || !guards.success) {
-            return refuseProblem((identity.error ?? guards.error) as z.ZodError);
+            return buildInvalidInput((identity.error ?? guards.error) as z.ZodError);
         }
         const changes = [{ action: ChangeAction.Remove as const, identity: identity.data }];
         return await publishForOperator(configurationManager, ids, operator, changes, guards.data);
--- a/packages/daisyturn/src/connection/operator/createRetirementRoutes.ts
+++ b/packages/daisyturn/src/connection/operator/createRetirementRoutes.ts
@@ -4,15 +4,15 @@
 import { ChangeAction, type RemoveItem } from "../../version/configurationChange.js";
 import { type ItemIdentity, ItemKind, type Service } from "../../version/configurationItems.js";
 import { identitySchema } from "../../version/itemSchemas.js";
-import { answerWith, refuseProblem } from "./operatorAnswers.js";
+import { buildAnswer, buildInvalidInput } from "./operatorAnswers.js";
 import { type OperatorIdentity, OperatorMethod, type OperatorRequest, type OperatorRoutes } from "./operatorRoutes.js";
 import { publishForOperator, publishGuardsSchema } from "./publishForOperator.js";
 
 /** Kinds under which requests run, and which are therefore retired rather than just removed. */
 const retirableKinds = [ItemKind.Profile, ItemKind.Service, ItemKind.CallerAccount] as const;
-const longestWaitMilliseconds = 30_000;
+const maxWaitMilliseconds = 30_000;
 /** Between two questions to all processes while an operator waits. */
-const askIntervalMilliseconds = 250;
+const pollIntervalMilliseconds = 250;
 
 const retireBodySchema = publishGuardsSchema.extend({
     kind: z.enum(retirableKinds),
@@ -23,7 +23,7 @@
 
 const reportQuerySchema = z.object({
     generation: z.coerce.number().int().positive().optional(),
-    waitMilliseconds: z.coerce.number().int().min(0).max(longestWaitMilliseconds).default(0),
+    waitMilliseconds: z.coerce.number().int().min(0).max(maxWaitMilliseconds).default(0),
 });
 
 /** What the routes work on. */
@@ -38,7 +38,7 @@
     const retire = async ({ operator, body }: OperatorRequest) => {
         const parsed = retireBodySchema.safeParse(body);
         if (!parsed.success) {
-            return refuseProblem(parsed.error);
+            return buildInvalidInput(parsed.error);
         }
         const { kind, name, withServices, ...guards } = parsed.data;
         const repeated = await findRepeated(operator, guards.writeId);
@@ -57,7 +57,7 @@
             ? undefined
             : await configurationManager.outcomeOf(operator.partner, writeId);
         const known = outcome?.unwrapOr(undefined);
-        return known?.state === ChangeState.Accepted ? answerWith({ writeId, ...known }) : undefined;
+        return known?.state === ChangeState.Accepted ? buildAnswer({ writeId, ...known }) : undefined;
     };
 
     const findServicesUnder = ({ partner, name }: ItemIdentity) =>
@@ -72,7 +72,7 @@
             waitMilliseconds: query.get("wait-milliseconds") ?? undefined,
         });
         if (!identity.success || !parsed.success) {
-            return refuseProblem((identity.error ?? parsed.error) as z.ZodError);
+            return buildInvalidInput((identity.error ?? parsed.error) as z.ZodError);
         }
         const { generation, waitMilliseconds } = parsed.data;
         const report = await waitForReport(identity.data, generation, clock.monotonicNow() + waitMilliseconds);
@@ -86,7 +86,7 @@
             if (isOver) {
                 return report;
             }
-            await clock.sleepUntil(Math.min(deadline, clock.monotonicNow() + askIntervalMilliseconds));
+            await clock.sleepUntil(Math.min(deadline, clock.monotonicNow() + pollIntervalMilliseconds));
         }
     };
 
--- a/packages/daisyturn/src/connection/operator/createTargetRoutes.ts
+++ b/packages/daisyturn/src/connection/operator/createTargetRoutes.ts
@@ -3,7 +3,7 @@
 import { ChangeAction, type ItemChange } from "../../version/configurationChange.js";
 import { HoldKind, ItemKind } from "../../version/configurationItems.js";
 import { holdSchema } from "../../version/itemSchemas.js";
-import { answerWith, refuseProblem, refuseUnknown } from "./operatorAnswers.js";
+import { buildAnswer, buildInvalidInput, buildNotFound } from "./operatorAnswers.js";
 import { type OperatorHandler, OperatorMethod, type OperatorRequest, type OperatorRoutes } from "./operatorRoutes.js";
 import { publishForOperator, publishGuardsSchema } from "./publishForOperator.js";
 
@@ -23,7 +23,7 @@
     const listTargets = () => {
         const version = configurationManager.current();
         const targets = version.targets.map(target => ({ target, holds: version.holdsOn(target.name) }));
-        return answerWith({ generation: version.generation, targets: targets.map(toJson) });
+        return buildAnswer({ generation: version.generation, targets: targets.map(toJson) });
     };
 
     const showTarget = ({ parameters }: OperatorRequest) => {
@@ -31,15 +31,15 @@
         const name = parameters["name"] ?? "";
         const target = version.findTarget(name);
         return target
-            ? answerWith({ generation: version.generation, target, holds: version.holdsOn(name) })
-            : refuseUnknown("target");
+            ? buildAnswer({ generation: version.generation, target, holds: version.holdsOn(name) })
+            : buildNotFound("target");
     };
 
     /** @param holdKind absent: the hold is lifted */
     const changeHold = (holdKind: HoldKind | undefined): OperatorHandler => async ({ operator, parameters, body }) => {
         const parsed = holdBodySchema.safeParse(body ?? {});
         if (!parsed.success) {
-            return refuseProblem(parsed.error);
+            return buildInvalidInput(parsed.error);
         }
         const { note, replacement, ...guards } = parsed.data;
         const identity = { kind: ItemKind.Hold as const, partner: operator.partner, name: parameters["name"] ?? "" };
--- a/packages/daisyturn/src/connection/operator/itemVisibility.ts
+++ b/packages/daisyturn/src/connection/operator/itemVisibility.ts
@@ -11,15 +11,15 @@
 import type { OperatorIdentity } from "./operatorRoutes.js";
 
 /** Targets and holds concern both partners; everything else is seen by its owner only. */
-export function isVisible(operator: OperatorIdentity, identity: ItemIdentity): boolean {
+export function canViewItem(operator: OperatorIdentity, identity: ItemIdentity): boolean {
     return identity.partner === operator.partner
         || identity.kind === ItemKind.Target
         || identity.kind === ItemKind.Hold;
 }
 
 /** A change as an operator may see it: another partner's is shown without its items, write id and operator. */
-export function showChange(operator: OperatorIdentity, change: AcceptedChange): JsonObject {
-    const visible = change.changes.filter(step => isVisible(operator, identityOf(step)));
+export function redactChange(operator: OperatorIdentity, change: AcceptedChange): JsonObject {
+    const visible = change.changes.filter(step => canViewItem(operator, identityOf(step)));
     const { generation, partner, acceptedAt } = change;
     const own = change.partner === operator.partner && { writeId: change.writeId, operator: change.operator };
     return { generation, partner, acceptedAt, ...own, changes: visible.map(toJson) };
@@ -29,7 +29,7 @@
 const sortedItems = new WeakMap<ConfigurationVersion, readonly ConfigurationItem[]>();
 
 /** A version's items, ordered by kind, partner and name. */
-export function listSorted(version: ConfigurationVersion): readonly ConfigurationItem[] {
+export function listSortedItems(version: ConfigurationVersion): readonly ConfigurationItem[] {
     const known = sortedItems.get(version);
     if (known) {
         return known;
--- a/packages/daisyturn/src/connection/operator/operatorAnswers.ts
+++ b/packages/daisyturn/src/connection/operator/operatorAnswers.ts
@@ -5,21 +5,21 @@
 import type { OperatorAnswer } from "./operatorRoutes.js";
 
 /** A successful answer. */
-export function answerWith(value: object): OperatorAnswer {
+export function buildAnswer(value: object): OperatorAnswer {
     return ok<JsonObject, Failure>(toJson(value));
 }
 
 /** Refuses a call for its form. */
-export function refuseForm(message: string): OperatorAnswer {
+export function buildBadRequest(message: string): OperatorAnswer {
     return err(notRun(FailureReason.BadRequest, message));
 }
 
 /** Refuses a call for the first problem of its body or query. */
-export function refuseProblem(error: z.ZodError): OperatorAnswer {
-    return refuseForm(describeProblem(error));
+export function buildInvalidInput(error: z.ZodError): OperatorAnswer {
+    return buildBadRequest(describeProblem(error));
 }
 
 /** Refuses a call for something that is not there, or not to be seen by this operator. */
-export function refuseUnknown(what: string): OperatorAnswer {
+export function buildNotFound(what: string): OperatorAnswer {
     return err(notRun(FailureReason.NotFound, `there is no such ${what}`));
 }
--- a/packages/daisyturn/src/connection/operator/readOperatorBody.ts
+++ b/packages/daisyturn/src/connection/operator/readOperatorBody.ts
@@ -3,7 +3,7 @@
 import { err, ok, type Result } from "true-myth/result";
 
 /** A change this long would not fit into one message between peers beside others. */
-const longestBodyBytes = 1_048_576;
+const maxBodyBytes = 1_048_576;
 
 /** Reads a JSON body; undefined where there is none. */
 export async function readOperatorBody(request: IncomingMessage): Promise<Result<unknown, Failure>> {
@@ -12,12 +12,12 @@
     for await (const piece of request as AsyncIterable<Buffer>) {
         length += piece.length;
         // The rest is read and dropped: a connection closed in the middle would keep the operator from the answer.
-        if (length <= longestBodyBytes) {
+        if (length <= maxBodyBytes) {
             pieces.push(piece);
         }
     }
-    if (length > longestBodyBytes) {
-        return err(notRun(FailureReason.BodyTooLarge, `a body holds at most ${longestBodyBytes} bytes`));
+    if (length > maxBodyBytes) {
+        return err(notRun(FailureReason.BodyTooLarge, `a body holds at most ${maxBodyBytes} bytes`));
     }
     const text = Buffer.concat(pieces).toString("utf8");
     return text === "" ? ok(undefined) : parseBody(text);
--- a/packages/daisyturn/src/connection/peerDialer.ts
+++ b/packages/daisyturn/src/connection/peerDialer.ts
@@ -2,8 +2,8 @@
 import type { PeerLink } from "./peerLinks.js";
 
 /** Milliseconds before the second try to connect; doubled with each further one up to the longest. */
-const shortestBackoff = 100;
-const longestBackoff = 5_000;
+const minBackoffMilliseconds = 100;
+const maxBackoffMilliseconds = 5_000;
 
 export interface PeerDialerOptions {
     readonly clock: Clock;
@@ -29,11 +29,11 @@
     const tasks = new Map<string, AbortController>();
 
     /** The task of one address: connect, wait until the connection ends, connect again. */
-    const keepConnected = async (address: string, signal: AbortSignal) => {
+    const maintainConnection = async (address: string, signal: AbortSignal) => {
         let failures = 0;
         let lastReason: string | undefined;
         while (!signal.aborted) {
-            const link = findLink(address) ?? await dialInTime(address, signal);
+            const link = findLink(address) ?? await dialWithDeadline(address, signal);
             if (typeof link !== "string") {
                 failures = 0;
                 lastReason = undefined;
@@ -46,29 +46,29 @@
                 }
                 lastReason = link;
             }
-            await clock.sleepUntil(clock.monotonicNow() + chooseBackoff(failures), signal);
+            await clock.sleepUntil(clock.monotonicNow() + computeBackoff(failures), signal);
         }
     };
 
-    const dialInTime = async (address: string, signal: AbortSignal): Promise<PeerLink | string> => {
+    const dialWithDeadline = async (address: string, signal: AbortSignal): Promise<PeerLink | string> => {
         const deadline = clock.monotonicNow() + limitMilliseconds;
-        const late = new AbortController();
-        const giveUp = AbortSignal.any([signal, late.signal]);
-        void clock.sleepUntil(deadline, giveUp).then(() => late.abort());
+        const expiry = new AbortController();
+        const abortSignal = AbortSignal.any([signal, expiry.signal]);
+        void clock.sleepUntil(deadline, abortSignal).then(() => expiry.abort());
         try {
-            return await dial(address, deadline, giveUp);
+            return await dial(address, deadline, abortSignal);
         }
         catch (error) {
             return error instanceof Error ? error.message : String(error);
         }
         finally {
-            late.abort();
+            expiry.abort();
         }
     };
 
-    const chooseBackoff = (failures: number) => {
-        const longest = Math.min(longestBackoff, shortestBackoff * 2 ** failures);
-        return longest / 2 + random.fraction() * longest / 2;
+    const computeBackoff = (failures: number) => {
+        const limit = Math.min(maxBackoffMilliseconds, minBackoffMilliseconds * 2 ** failures);
+        return limit / 2 + random.fraction() * limit / 2;
     };
 
     return {
@@ -76,7 +76,7 @@
             if (!tasks.has(address)) {
                 const task = new AbortController();
                 tasks.set(address, task);
-                void keepConnected(address, task.signal);
+                void maintainConnection(address, task.signal);
             }
         },
         disconnect: address => {
--- a/packages/daisyturn/src/connection/peerHandshake.ts
+++ b/packages/daisyturn/src/connection/peerHandshake.ts
@@ -19,8 +19,8 @@
 }
 
 const nonceBytes = 16;
-const maximumTextLength = 256;
-const text = z.string().min(1).max(maximumTextLength);
+const maxTextLength = 256;
+const text = z.string().min(1).max(maxTextLength);
 const helloSchema = z.object({ identity: processIdentitySchema, nonce: text });
 const welcomeSchema = helloSchema.extend({ proof: text });
 const proofSchema = z.object({ proof: text });
@@ -42,15 +42,15 @@
 /**
  * Shows who this process is and demands proof of the other side.
  * The dialing side proves itself last, so that a stranger who dials gets the other's proof for a nonce of its own only.
- * @param onProved called once the other side has proved itself: it may send at once after it has taken this side's proof
+ * @param onAuthenticated called once the other side has proved itself: it may send at once after it has taken this side's proof
  * @returns the peer, or why either side refused
  */
-export async function introduceTo(
+export async function performHandshake(
     connection: RpcConnection,
     self: ProcessIdentity,
     key: CellKey,
     deadline: number,
-    onProved: (peer: ProcessIdentity) => void,
+    onAuthenticated: (peer: ProcessIdentity) => void,
 ): Promise<ProcessIdentity | string> {
     const dialing = createHello(self);
     const answer = await connection.request(HandshakeMethod.Hello, toJson(dialing), deadline);
@@ -59,24 +59,24 @@
         return answer.isErr ? answer.error.message : "the answer to hello is malformed";
     }
     const exchange = { dialing, accepting: { identity: welcome.data.identity, nonce: welcome.data.nonce } };
-    const isGenuine = equalInConstantTime(welcome.data.proof, prove(key, Side.Accepting, exchange));
+    const isGenuine = equalInConstantTime(welcome.data.proof, computeProof(key, Side.Accepting, exchange));
     if (!isGenuine) {
         return "the peer has not proved that it knows the cell's secret";
     }
-    onProved(welcome.data.identity);
-    const proof = prove(key, Side.Dialing, exchange);
+    onAuthenticated(welcome.data.identity);
+    const proof = computeProof(key, Side.Dialing, exchange);
     const accepted = await connection.request(HandshakeMethod.Prove, { proof }, deadline);
     return accepted.isOk ? welcome.data.identity : accepted.error.message;
 }
 
 /** The accepting side of one handshake. */
-export interface HandshakeAnswerer {
+export interface HandshakeResponder {
     answerHello(parameters: JsonObject): JsonObject;
     /** The peer if its proof is right. */
     checkProof(parameters: JsonObject): ProcessIdentity | undefined;
 }
 
-export function createHandshakeAnswerer(self: ProcessIdentity, key: CellKey): HandshakeAnswerer {
+export function createHandshakeResponder(self: ProcessIdentity, key: CellKey): HandshakeResponder {
     let exchange: Exchange | undefined;
     return {
         answerHello: parameters => {
@@ -85,12 +85,12 @@
                 throw createRefusal("not a hello");
             }
             exchange = { dialing: hello.data, accepting: createHello(self) };
-            return { ...toJson(exchange.accepting), proof: prove(key, Side.Accepting, exchange) };
+            return { ...toJson(exchange.accepting), proof: computeProof(key, Side.Accepting, exchange) };
         },
         checkProof: parameters => {
             const given = proofSchema.safeParse(parameters);
             const isRight = exchange !== undefined && given.success
-                && equalInConstantTime(given.data.proof, prove(key, Side.Dialing, exchange));
+                && equalInConstantTime(given.data.proof, computeProof(key, Side.Dialing, exchange));
             return isRight ? exchange?.dialing.identity : undefined;
         },
     };
@@ -101,7 +101,7 @@
 }
 
 /** HMAC over the cell, the side and both hellos: it holds for this connection and these identities only. */
-function prove({ cell, secret }: CellKey, side: Side, exchange: Exchange): string {
+function computeProof({ cell, secret }: CellKey, side: Side, exchange: Exchange): string {
     const { dialing, accepting } = exchange;
     const parts = [cell, side, ...describeHello(dialing), ...describeHello(accepting)];
     return createHmac("sha256", secret).update(JSON.stringify(parts)).digest("hex");
--- a/packages/daisyturn/src/connection/peerLinks.ts
+++ b/packages/daisyturn/src/connection/peerLinks.ts
@@ -30,7 +30,7 @@
 export function createPeerLinks(self: ProcessIdentity, clock: Clock): PeerLinks {
     const links = new Map<string, PeerLink[]>();
 
-    const choosesFor = (processId: string) => self.processId < processId;
+    const selectsLinkFor = (processId: string) => self.processId < processId;
     const openLinks = (processId: string) => (links.get(processId) ?? []).filter(link => link.connection.isOpen());
 
     const add = (link: PeerLink): boolean => {
@@ -42,7 +42,7 @@
         present.filter(other => other.peer.incarnation !== incarnation)
             .forEach(other => other.connection.destroy("the peer runs under a newer incarnation"));
         links.set(processId, [...present, link]);
-        if (choosesFor(processId)) {
+        if (selectsLinkFor(processId)) {
             present.forEach(other => void closeAfterOverlap(other, link));
         }
         return true;
@@ -64,7 +64,7 @@
 
     const find = (processId: string): PeerLink | undefined => {
         const open = openLinks(processId);
-        return choosesFor(processId) ? open.at(-1) : open.reduce<PeerLink | undefined>(chooseMoreRecent, undefined);
+        return selectsLinkFor(processId) ? open.at(-1) : open.reduce<PeerLink | undefined>(chooseMoreRecent, undefined);
     };
 
     const all = () => [...links.values()].flat();
--- a/packages/daisyturn/src/connection/peerSockets.ts
+++ b/packages/daisyturn/src/connection/peerSockets.ts
@@ -8,14 +8,14 @@
 import type { PeerTlsSettings } from "./peerNetworkSettings.js";
 
 /** Connections that may be open at once, proved or not. */
-const maximumConnections = 1_024;
+const maxConnections = 1_024;
 
 /** Listens for sockets, with mutual TLS where it is set. */
 export function createPeerServer(tls: PeerTlsSettings | undefined, onSocket: (socket: Socket) => void): Server {
     const server = tls
         ? createTlsServer(listeningTlsOptions(tls), onSocket)
         : createTcpServer(onSocket);
-    server.maxConnections = maximumConnections;
+    server.maxConnections = maxConnections;
     return server;
 }
 
--- a/packages/daisyturn/src/connection/rpcConnection.ts
+++ b/packages/daisyturn/src/connection/rpcConnection.ts
@@ -28,7 +28,7 @@
 const noAnswerCode = -32_001;
 
 /** Longest line taken before the other side has proved who it is. */
-const unprovedLineBytes = 4_096;
+const maxUnauthenticatedLineBytes = 4_096;
 
 /** Time for bytes that wait to leave when a connection is closed in good order. */
 const closeLimitMilliseconds = 500;
@@ -47,7 +47,7 @@
 }
 
 /** Answers the calls that come in. Throw {@link createRefusal} for a call that did not begin. */
-export type RpcAnswerer = (method: string, parameters: JsonObject) => Promise<JsonObject>;
+export type RpcHandler = (method: string, parameters: JsonObject) => Promise<JsonObject>;
 
 export interface RpcConnectionOptions {
     readonly socket: Socket;
@@ -55,7 +55,7 @@
     readonly hybridClock: HybridLogicalClock;
     readonly settings: PeerNetworkSettings;
     readonly methods: readonly string[];
-    readonly answer: RpcAnswerer;
+    readonly answer: RpcHandler;
     readonly counters: TrafficCounters;
 }
 
@@ -65,7 +65,7 @@
     request(method: string, parameters: JsonObject, deadline: number): Promise<Result<JsonObject, Failure>>;
     notify(method: string, parameters: JsonObject): void;
     /** Takes long lines and the peer's stamps from now on. */
-    trust(): void;
+    markAuthenticated(): void;
     isOpen(): boolean;
     /** Monotonic time of the last bytes. */
     lastReceivedAt(): number;
@@ -83,7 +83,7 @@
 }
 
 /** What the sending function learns about one message, and tells of it. */
-interface Dispatch {
+interface MessageStatus {
     readonly isNotification: boolean;
     isWritten: boolean;
 }
@@ -91,13 +91,13 @@
 /** Wraps a socket that is connected. */
 export function createRpcConnection(options: RpcConnectionOptions): RpcConnection {
     const { socket, clock, hybridClock, settings, counters } = options;
-    const reader = createLineReader(unprovedLineBytes);
+    const reader = createLineReader(maxUnauthenticatedLineBytes);
     let nextId = 0;
     let runningCalls = 0;
     let lastReceivedAt = clock.monotonicNow();
     let closeReason: string | undefined;
-    let isTrusted = false;
-    const over = new AbortController();
+    let isAuthenticated = false;
+    const closing = new AbortController();
 
     const destroy = (reason: string) => {
         closeReason ??= reason;
@@ -106,14 +106,14 @@
 
     const isOpen = () => !socket.destroyed && socket.writable && closeReason === undefined;
 
-    const write = (message: object, dispatch: Dispatch) => {
-        const limit = dispatch.isNotification ? settings.maximumOutgoingBytes / 2 : settings.maximumOutgoingBytes;
+    const write = (message: object, status: MessageStatus) => {
+        const limit = status.isNotification ? settings.maximumOutgoingBytes / 2 : settings.maximumOutgoingBytes;
         if (!isOpen() || socket.writableLength > limit) {
-            counters.notificationsDropped += dispatch.isNotification ? 1 : 0;
+            counters.notificationsDropped += status.isNotification ? 1 : 0;
             throw new Error(isOpen() ? "too many bytes wait for the peer" : "the connection is closed");
         }
         const line = `${JSON.stringify({ ...message, stamp: hybridClock.stamp() })}\n`;
-        dispatch.isWritten = true;
+        status.isWritten = true;
         counters.messagesSent += 1;
         counters.bytesSent += Buffer.byteLength(line);
         socket.write(line);
@@ -129,11 +129,11 @@
         }
     };
 
-    const rpc = new JSONRPCServerAndClient<void, Dispatch | undefined>(
+    const rpc = new JSONRPCServerAndClient<void, MessageStatus | undefined>(
         new JSONRPCServer({ errorListener: () => undefined }),
-        new JSONRPCClient((message: object, dispatch: Dispatch | undefined) => {
-            if (dispatch) {
-                write(message, dispatch);
+        new JSONRPCClient((message: object, status: MessageStatus | undefined) => {
+            if (status) {
+                write(message, status);
             }
             else {
                 writeAnswer(message);
@@ -158,7 +158,7 @@
 
     const receiveLine = (line: string) => {
         const message = JSON.parse(line) as JSONRPCRequest & JSONRPCResponse & { stamp?: unknown; };
-        if (isTrusted && typeof message.stamp === "string") {
+        if (isAuthenticated && typeof message.stamp === "string") {
             hybridClock.observe(message.stamp);
         }
         counters.messagesReceived += 1;
@@ -186,7 +186,7 @@
     const closed = new Promise<string>(resolve => {
         socket.on("close", () => {
             closeReason ??= "closed";
-            over.abort();
+            closing.abort();
             rpc.rejectAllPendingRequests(closeReason);
             resolve(closeReason);
         });
@@ -202,21 +202,21 @@
         }
         nextId += 1;
         const id = nextId;
-        const dispatch: Dispatch = { isNotification: false, isWritten: false };
+        const status: MessageStatus = { isNotification: false, isWritten: false };
         const answered = new AbortController();
         void clock.sleepUntil(deadline, answered.signal).then(() =>
             rpc.client.receive(createJSONRPCErrorResponse(id, noAnswerCode, "no answer before the deadline"))
         );
-        const response = await rpc.requestAdvanced(createJSONRPCRequest(id, method, parameters), dispatch);
+        const response = await rpc.requestAdvanced(createJSONRPCRequest(id, method, parameters), status);
         answered.abort();
-        return readAnswer(response, dispatch);
+        return readAnswer(response, status);
     };
 
     /** After a pause the timer fires before the bytes that came meanwhile are read; hence the second look. */
     const watchSilence = async () => {
-        while (!over.signal.aborted) {
-            await clock.sleepUntil(lastReceivedAt + settings.silenceLimitMilliseconds, over.signal);
-            await clock.sleepUntil(clock.monotonicNow() + settings.silenceLimitMilliseconds / 10, over.signal);
+        while (!closing.signal.aborted) {
+            await clock.sleepUntil(lastReceivedAt + settings.silenceLimitMilliseconds, closing.signal);
+            await clock.sleepUntil(clock.monotonicNow() + settings.silenceLimitMilliseconds / 10, closing.signal);
             if (clock.monotonicNow() >= lastReceivedAt + settings.silenceLimitMilliseconds) {
                 destroy("nothing received for too long");
                 return;
@@ -229,8 +229,8 @@
         request,
         notify: (method, parameters) =>
             rpc.client.notify(method, parameters, { isNotification: true, isWritten: false }),
-        trust: () => {
-            isTrusted = true;
+        markAuthenticated: () => {
+            isAuthenticated = true;
             reader.setMaximumBytes(settings.maximumLineBytes);
         },
         isOpen,
@@ -238,7 +238,7 @@
         close: () => {
             closeReason ??= "closed by this process";
             socket.end();
-            void clock.sleepUntil(clock.monotonicNow() + closeLimitMilliseconds, over.signal).then(() =>
+            void clock.sleepUntil(clock.monotonicNow() + closeLimitMilliseconds, closing.signal).then(() =>
                 socket.destroy()
             );
         },
@@ -247,13 +247,13 @@
     };
 }
 
-function readAnswer(response: JSONRPCResponse, dispatch: Dispatch): Result<JsonObject, Failure> {
+function readAnswer(response: JSONRPCResponse, status: MessageStatus): Result<JsonObject, Failure> {
     const { error, result } = response;
     if (!error) {
         return ok(isJsonObject(result) ? result : {});
     }
     const isRefused = error.code === refusedCode || error.code === JSONRPCErrorCode.MethodNotFound;
-    const fail = !dispatch.isWritten || isRefused ? notRun : mayHaveRun;
+    const fail = !status.isWritten || isRefused ? notRun : mayHaveRun;
     return err(fail(FailureReason.PeerUnavailable, error.message));
 }
 
--- a/packages/daisyturn/src/connection/target/__tests__/openTargetConnection.test.ts
+++ b/packages/daisyturn/src/connection/target/__tests__/openTargetConnection.test.ts
@@ -6,7 +6,7 @@
 import { type RawTarget, startRawTarget } from "../__fixtures__/rawTarget.js";
 import { openTargetConnection, type TargetConnection } from "../openTargetConnection.js";
 
-const gaveUp = notRun(FailureReason.Cancelled, "given up by the test");
+const cancellation = notRun(FailureReason.Cancelled, "given up by the test");
 
 interface Exchange {
     readonly result: Result<void, Failure>;
@@ -142,7 +142,7 @@
             while (!target.received()) {
                 await new Promise(resolve => setTimeout(resolve, 5));
             }
-            controller.abort(gaveUp);
+            controller.abort(cancellation);
             const { result } = await pending;
             assert.ok(result.isErr);
             assert.equal(result.error.verdict, ExecutionVerdict.MayHaveRun);
@@ -155,6 +155,6 @@
     const connection = open("127.0.0.1:9");
     const controller = new AbortController();
     const pending = exchange(connection, controller.signal);
-    controller.abort(gaveUp);
+    controller.abort(cancellation);
     assertFailed(await pending, ExecutionVerdict.NotRun);
 });
--- a/packages/daisyturn/src/connection/target/openTargetConnection.ts
+++ b/packages/daisyturn/src/connection/target/openTargetConnection.ts
@@ -5,7 +5,7 @@
 import type { HeaderFields, IncomingFields, OutgoingHead } from "../../ports/forwardedCall.js";
 
 /** Takes an answer as it arrives. */
-export interface ReplySink {
+export interface AnswerSink {
     /** @returns what is wrong with the answer; the connection is then closed and the send fails with it */
     onHead(status: number, fields: IncomingFields): Failure | undefined;
     onChunk(chunk: Buffer): void;
@@ -15,7 +15,7 @@
 export interface TargetSend {
     readonly head: OutgoingHead;
     readonly body: Buffer | undefined;
-    readonly sink: ReplySink;
+    readonly sink: AnswerSink;
     /** Aborted with a `Failure` as its reason. */
     readonly signal: AbortSignal;
 }
@@ -46,8 +46,8 @@
  */
 const connectTimeoutMilliseconds = 400;
 /** Targets close idle connections and say when in whole seconds; one that says nothing may do so within a second. */
-const unstatedIdleMilliseconds = 400;
-const longestIdleMilliseconds = 20_000;
+const defaultIdleMilliseconds = 400;
+const maxIdleMilliseconds = 20_000;
 /** Taken off the stated time, so that a call does not cross the target's close. */
 const idleMarginMilliseconds = 300;
 
@@ -80,8 +80,8 @@
         pipelining: 1,
         headersTimeout: 0,
         bodyTimeout: 0,
-        keepAliveTimeout: unstatedIdleMilliseconds,
-        keepAliveMaxTimeout: longestIdleMilliseconds,
+        keepAliveTimeout: defaultIdleMilliseconds,
+        keepAliveMaxTimeout: maxIdleMilliseconds,
         keepAliveTimeoutThreshold: idleMarginMilliseconds,
     });
 
@@ -98,7 +98,7 @@
 
     const send = ({ head, body, sink, signal }: TargetSend) =>
         new Promise<Result<void, Failure>>(resolve => {
-            let isBegun = false;
+            let isStarted = false;
             let fault: Failure | undefined;
 
             const settle = (result: Result<void, Failure>) => {
@@ -106,11 +106,11 @@
                 resolve(result);
             };
             const fail = (error: Error) => {
-                const build = isBegun ? mayHaveRun : notRun;
+                const build = isStarted ? mayHaveRun : notRun;
                 settle(err(fault ?? build(FailureReason.TargetFailed, `The connection failed: ${describe(error)}.`)));
             };
             const abandon = () => {
-                const build = isBegun ? mayHaveRun : notRun;
+                const build = isStarted ? mayHaveRun : notRun;
                 const { reason, message } = signal.reason as Failure;
                 fault ??= build(reason, message);
                 settle(err(fault));
@@ -119,7 +119,7 @@
             };
             const handler: Dispatcher.DispatchHandler = {
                 onRequestStart: () => {
-                    isBegun = true;
+                    isStarted = true;
                 },
                 onResponseStart: (controller, status, fields) => {
                     fault = sink.onHead(status, fields as IncomingFields)
--- a/packages/daisyturn/src/request/forwarding/__tests__/eventRelay.test.ts
+++ b/packages/daisyturn/src/request/forwarding/__tests__/eventRelay.test.ts
@@ -23,7 +23,7 @@
         end: () => {
             ended += 1;
         },
-        breakOff: () => undefined,
+        abort: () => undefined,
     };
     return { exchange, written, counts: () => ({ begun, ended }) };
 }
--- a/packages/daisyturn/src/request/forwarding/__tests__/refuseCall.test.ts
+++ b/packages/daisyturn/src/request/forwarding/__tests__/refuseCall.test.ts
@@ -18,7 +18,7 @@
         begin: () => undefined,
         write: () => undefined,
         end: () => undefined,
-        breakOff: () => {
+        abort: () => {
             seen.isBrokenOff = true;
         },
         closed: Promise.resolve(),
--- a/packages/daisyturn/src/request/forwarding/refuseCall.ts
+++ b/packages/daisyturn/src/request/forwarding/refuseCall.ts
@@ -11,7 +11,7 @@
 /** Answers a call with its failure, or breaks an answer off that has begun. */
 export function refuseCall(exchange: ForwardExchange, failure: Failure, clock: Clock): void {
     if (exchange.isHeadSent()) {
-        exchange.breakOff();
+        exchange.abort();
         return;
     }
     const fields = ["Content-Type", "application/json"];
--- a/packages/daisyturn/src/request/forwarding/runPromptCall.ts
+++ b/packages/daisyturn/src/request/forwarding/runPromptCall.ts
@@ -1,6 +1,6 @@
 import { EventKind, ExecutionVerdict, type Failure, FailureReason, mayHaveRun, notRun } from "daisyturn-utils";
 import { err, ok, type Result } from "true-myth/result";
-import { ConnectionCare } from "../../connection/target/createTargetConnections.js";
+import { ConnectionPolicy } from "../../connection/target/createTargetConnections.js";
 import type { KvSource, PromptDescription } from "../../ports/forwardedCall.js";
 import { EngineStage, type ListedTarget } from "../../ports/listedTarget.js";
 import {
@@ -217,7 +217,7 @@
         signal: controller.signal,
         sink,
     };
-    void parts.connections.send(source.address, ConnectionCare.Reuse, send).then(result => {
+    void parts.connections.send(source.address, ConnectionPolicy.Reuse, send).then(result => {
         clearTimeout(timer);
         if (result.isErr) {
             parts.eventLog.record(EventKind.KvReleaseFailed, {
--- a/packages/daisyturn/src/request/forwarding/sendToTarget.ts
+++ b/packages/daisyturn/src/request/forwarding/sendToTarget.ts
@@ -8,7 +8,7 @@
     notRun,
 } from "daisyturn-utils";
 import { err, ok, type Result } from "true-myth/result";
-import { ConnectionCare } from "../../connection/target/createTargetConnections.js";
+import { ConnectionPolicy } from "../../connection/target/createTargetConnections.js";
 import type { ReplyHead, SendTerms } from "../../ports/forwardedCall.js";
 import type { ListedTarget } from "../../ports/listedTarget.js";
 import { type CallCost, TargetEvidence, type TargetHealth } from "../../process/forwarding/index.js";
@@ -77,7 +77,7 @@
     };
     const result = await parts.connections.send(
         target.address,
-        send.isRepeatable ? ConnectionCare.Reuse : ConnectionCare.Proven,
+        send.isRepeatable ? ConnectionPolicy.Reuse : ConnectionPolicy.RecentlyVerified,
         {
             head: protocol.encodeCall(run.call, {
                 ...send.terms,
