--- a/packages/daisyturn/src/connection/createPeerNetwork.ts
+++ b/packages/daisyturn/src/connection/createPeerNetwork.ts
@@ -87,7 +87,7 @@
             return false;
         }
         unauthenticated.delete(link.connection);
-        link.connection.markAuthenticated();
+        link.connection.trust();
         void link.connection.closed.then(() => links.remove(link));
         helloListeners.forEach(listener => listener(link.peer));
         return true;
@@ -115,7 +115,7 @@
         };
         const connection = openConnection(socket, answer);
         const outcome = await performHandshake(connection, self, settings, deadline, identity => {
-            connection.markAuthenticated();
+            connection.trust();
             peer = identity;
         });
         const refusal = typeof outcome === "string" ? outcome : undefined;
--- a/packages/daisyturn/src/connection/forwarding/__tests__/forwardExchange.test.ts
+++ b/packages/daisyturn/src/connection/forwarding/__tests__/forwardExchange.test.ts
@@ -5,7 +5,7 @@
 import type { CallerConnection } from "../../caller/createCallerListener.js";
 import { createForwardExchange } from "../forwardExchange.js";
 
-/** An answer whose pieces are written at the given times, in milliseconds. */
+/** Creates an exchange whose chunks are written at the given times, in milliseconds. */
 function writeAt(times: readonly number[]) {
     let now = 0;
     const outgoing = Object.assign(new EventEmitter(), {
@@ -23,13 +23,13 @@
     return exchange;
 }
 
-test("the longest pause of an answer lies between two of its pieces", () => {
+test("measures pauses between the chunks of an answer, not before the first chunk", () => {
     const exchange = writeAt([500, 540, 760, 800]);
     assert.equal(exchange.longestPause(), 220);
     assert.equal(exchange.meanPause(), 100);
 });
 
-test("an answer of one piece has no pause, however late it began", () => {
+test("reports no pause for an answer of one chunk, however late it began", () => {
     const exchange = writeAt([5_000]);
     assert.equal(exchange.longestPause(), 0);
     assert.equal(exchange.meanPause(), undefined);
--- a/packages/daisyturn/src/connection/forwarding/createForwardServer.ts
+++ b/packages/daisyturn/src/connection/forwarding/createForwardServer.ts
@@ -9,41 +9,45 @@
 import { listenAt } from "../listenAt.js";
 import { createForwardExchange, type ForwardExchange } from "./forwardExchange.js";
 
-/** The server for calls that are forwarded as they are. */
+/** The server for calls that are forwarded unchanged to targets. */
 export interface ForwardServer {
     start(): Promise<void>;
-    /** Puts other limits in force; connections that are open keep those of their last request. */
+    /** Applies new limits. Open connections keep the limits of their last request. */
     setLimits(limits: ForwardLimits): void;
     /**
-     * Stops without cutting a request: takes requests until the balancer has noticed that the process is not ready,
-     * closing each connection after its answer, then only those that are sure to end in time, and finishes what runs.
-     * @param deadline monotonic time after which what still runs is given up
+     * Stops gracefully. Until the load balancer has detected that the process is not ready, requests are still accepted
+     * and each connection is closed after its answer. After that, only requests whose timeout ends before the deadline
+     * are accepted. Running requests are completed.
+     * @param deadline monotonic time after which running requests are abandoned
      */
     drain(deadline: number): Promise<void>;
     running(): number;
 }
 
-/** What {@link createForwardServer} needs. */
+/** Options of {@link createForwardServer}. */
 export interface ForwardServerOptions {
     readonly listen: ListenAddress;
     readonly protocol: CallerProtocol;
     readonly serve: (call: ForwardedCall, exchange: ForwardExchange) => Promise<void>;
-    /** Whether a call that arrives now is to be refused unread, since the process is behind. */
+    /** Whether a call that arrives now is refused without reading it, because the process is overloaded. */
     readonly shouldRefuse: () => boolean;
     readonly clock: Clock;
     readonly eventLog: EventLog;
 }
 
-/** Node's own limit is set once for all; the configured one is smaller and checked request by request. */
+/** Node's limit can't change after start. The configured limit is smaller and is checked for each request. */
 const listenerHeaderBytes = 128 * 1024;
-/** Where a caller does not say how long it waits. */
+/** Used for callers that do not state how long they wait. */
 const defaultTimeoutMilliseconds = 30_000;
-/** The balancer asks once a second and gives up after two misses; connections under way arrive a little later. */
+/**
+ * The load balancer probes once a second and removes the process after two failed probes. Connections that are being
+ * opened then arrive a little later.
+ */
 const balancerNoticeMilliseconds = 2_400;
 const drainPollMilliseconds = 50;
 /**
- * Connections that wait to be taken. A process at its limit takes a few hundred a second; those behind would wait longer
- * than their callers do, who are better served by another process.
+ * Connections that may wait to be accepted. A process at its limit accepts a few hundred a second. Connections beyond
+ * the backlog would wait longer than their callers do, and another process can serve these callers sooner.
  */
 const connectionBacklog = 128;
 
@@ -52,7 +56,10 @@
     const { clock, eventLog, protocol } = options;
     let limits: ForwardLimits | undefined;
     let isClosing = false;
-    /** Monotonic time at which the process ends; what may last longer is refused once the balancer has noticed. */
+    /**
+     * Monotonic time at which the process ends, set once the load balancer has detected the shutdown. Requests that may
+     * take longer are then refused.
+     */
     let endsAt = Infinity;
     let running = 0;
     let reservedBodyBytes = 0;
@@ -122,7 +129,7 @@
         }, exchange);
     };
 
-    /** The rest of the request is not read, so no other request may follow on the connection. */
+    /** Refuses a request whose body is not read, so that the connection can't be reused for another request. */
     const refuseUnread = (outgoing: ServerResponse, exchange: ForwardExchange, failure: Failure | undefined) => {
         outgoing.shouldKeepAlive = false;
         refuseCall(exchange, failure ?? notRun(FailureReason.BadRequest, "The request can't be read."), clock);
@@ -147,7 +154,7 @@
         const noticedAt = Math.min(deadline, clock.monotonicNow() + balancerNoticeMilliseconds);
         await clock.sleepUntil(noticedAt);
         endsAt = deadline;
-        // Requests on new connections still come where the balancer has nobody else.
+        // Requests on new connections still arrive if the load balancer has no other process.
         server.closeIdleConnections();
         while (running > 0 && clock.monotonicNow() < deadline) {
             await clock.sleepUntil(clock.monotonicNow() + drainPollMilliseconds);
@@ -172,7 +179,7 @@
     if (!limits) {
         return undefined;
     }
-    // Two bytes between name and value, two at the end of the line.
+    // Two bytes separate name and value, and two end the line.
     const bytes = incoming.rawHeaders.reduce((sum, text) => sum + text.length + 2, 0);
     return bytes > limits.maxHeaderBytes
         ? notRun(FailureReason.HeaderTooLarge, `The header is longer than ${limits.maxHeaderBytes} bytes.`)
--- a/packages/daisyturn/src/connection/forwarding/forwardExchange.ts
+++ b/packages/daisyturn/src/connection/forwarding/forwardExchange.ts
@@ -3,34 +3,34 @@
 import type { HeaderFields } from "../../ports/forwardedCall.js";
 import type { CallerConnection } from "../caller/createCallerListener.js";
 
-/** The way back to one caller. */
+/** Sends the answer to one forwarded request. */
 export interface ForwardExchange {
-    /** Aborted once the caller is gone; the reason is a `Failure`. */
+    /** Aborted once the caller has closed the connection; the reason is a `Failure`. */
     readonly signal: AbortSignal;
     isHeadSent(): boolean;
     /** Monotonic time at which the first byte of the answer was sent; undefined before. */
     firstByteAt(): number | undefined;
-    /** Longest time between two pieces of an answer that was begun, in milliseconds. */
+    /** Longest time between two chunks of a streamed answer, in milliseconds. */
     longestPause(): number;
-    /** Mean time between two pieces, in milliseconds; undefined where there were fewer. */
+    /** Mean time between two chunks, in milliseconds; undefined with fewer than two chunks. */
     meanPause(): number | undefined;
-    /** Sends a whole answer. */
+    /** Sends a complete answer. */
     answer(status: number, fields: HeaderFields, body: Buffer): void;
-    /** Begins an answer whose length is not known yet. */
+    /** Begins a streamed answer, whose length is not known yet. */
     begin(status: number, fields: HeaderFields): void;
     write(chunk: Buffer): void;
-    /** Ends an answer that was begun, as complete. */
+    /** Ends a streamed answer as complete. */
     end(): void;
-    /** Breaks the answer off, so that it can't be taken for complete. */
+    /** Closes the connection without ending the answer, so that the caller detects the truncation. */
     abort(): void;
-    /** Resolves once the answer is sent or the caller is gone. */
+    /** Resolves once the answer is sent or the caller has closed the connection. */
     readonly closed: Promise<void>;
 }
 
-/** Bytes kept for a caller that reads slowly; one that lets more pile up is cut off. */
+/** Bytes buffered for a caller that reads slowly. Its connection is closed if more accumulate. */
 const maxBufferedBytes = 1024 * 1024;
 
-/** Creates the exchange of one request. */
+/** Creates the exchange for one request. */
 export function createForwardExchange(
     outgoing: ServerResponse,
     connection: CallerConnection,
@@ -99,7 +99,7 @@
     };
 }
 
-/** The failure for which an aborted signal was aborted. */
+/** Returns the failure that is the reason of an aborted signal. */
 export function abortFailure(signal: AbortSignal): Failure {
     return signal.reason as Failure;
 }
--- a/packages/daisyturn/src/connection/forwarding/openDatagramChannel.ts
+++ b/packages/daisyturn/src/connection/forwarding/openDatagramChannel.ts
@@ -2,13 +2,13 @@
 import { createSocket } from "node:dgram";
 import { DatagramChannel, type PeerAddress } from "../../process/forwarding/index.js";
 
-/** A channel over UDP, and its end. */
+/** A channel over UDP, with a function that closes its socket. */
 export interface OpenDatagramChannel {
     readonly channel: DatagramChannel;
     close(): void;
 }
 
-/** Opens a UDP socket. What can't be sent or received is lost, as datagrams may be at any time. */
+/** Opens a UDP socket. Datagrams that can't be sent or received are lost. Only the socket's first error is logged. */
 export function openDatagramChannel(host: string, port: number, eventLog: EventLog): OpenDatagramChannel {
     const socket = createSocket("udp4");
     let hasFailed = false;
@@ -22,7 +22,7 @@
 
     class UdpChannel extends DatagramChannel {
         override send(to: PeerAddress, datagram: Buffer): void {
-            // The callback takes the errors of a peer that can't be reached: it is missed by its silence.
+            // Errors for an unreachable peer are ignored here: its failure is detected by the absence of its datagrams.
             socket.send(datagram, to.port, to.host, () => undefined);
         }
 
--- a/packages/daisyturn/src/connection/rpcConnection.ts
+++ b/packages/daisyturn/src/connection/rpcConnection.ts
@@ -65,7 +65,7 @@
     request(method: string, parameters: JsonObject, deadline: number): Promise<Result<JsonObject, Failure>>;
     notify(method: string, parameters: JsonObject): void;
     /** Takes long lines and the peer's stamps from now on. */
-    markAuthenticated(): void;
+    trust(): void;
     isOpen(): boolean;
     /** Monotonic time of the last bytes. */
     lastReceivedAt(): number;
@@ -229,7 +229,7 @@
         request,
         notify: (method, parameters) =>
             rpc.client.notify(method, parameters, { isNotification: true, isWritten: false }),
-        markAuthenticated: () => {
+        trust: () => {
             isAuthenticated = true;
             reader.setMaximumBytes(settings.maximumLineBytes);
         },
--- a/packages/daisyturn/src/connection/target/__fixtures__/rawTarget.ts
+++ b/packages/daisyturn/src/connection/target/__fixtures__/rawTarget.ts
@@ -1,17 +1,17 @@
 import { once } from "node:events";
 import { type AddressInfo, createServer, type Socket } from "node:net";
 
-/** A target that answers each request with bytes of the test's choice. */
+/** A target whose answers are raw bytes written by the test. */
 export interface RawTarget {
     readonly address: string;
     /** Connections accepted so far. */
     readonly connections: Socket[];
-    /** What the target has read, over all connections. */
+    /** The bytes received over all connections, as Latin-1 text. */
     received(): string;
     close(): Promise<void>;
 }
 
-/** Starts a target; `onRequest` is called with the connection once the head of a request has arrived. */
+/** Starts a target. `onRequest` is called with the connection once the head of a request has arrived. */
 export async function startRawTarget(onRequest: (socket: Socket, count: number) => void): Promise<RawTarget> {
     const connections: Socket[] = [];
     let text = "";
--- a/packages/daisyturn/src/connection/target/__tests__/openTargetConnection.test.ts
+++ b/packages/daisyturn/src/connection/target/__tests__/openTargetConnection.test.ts
@@ -6,7 +6,7 @@
 import { type RawTarget, startRawTarget } from "../__fixtures__/rawTarget.js";
 import { openTargetConnection, type TargetConnection } from "../openTargetConnection.js";
 
-const cancellation = notRun(FailureReason.Cancelled, "given up by the test");
+const cancellation = notRun(FailureReason.Cancelled, "cancelled by the test");
 
 interface Exchange {
     readonly result: Result<void, Failure>;
@@ -53,7 +53,7 @@
     assert.equal(result.error.verdict, verdict);
 }
 
-test("an answer with a length is whole", () =>
+test("accepts an answer with a Content-Length as complete", () =>
     withTarget(
         socket => void socket.write("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhello"),
         async connection => {
@@ -64,13 +64,13 @@
         },
     ));
 
-test("an answer without a length that ends with the connection is not taken for whole", () =>
+test("rejects an answer without a length that ends when the connection closes", () =>
     withTarget(
         socket => void socket.end("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nhello"),
         async connection => assertFailed(await exchange(connection), ExecutionVerdict.MayHaveRun),
     ));
 
-test("an answer without a length whose connection is reset is not whole", () =>
+test("rejects an answer without a length whose connection is reset", () =>
     withTarget(
         socket => {
             socket.write("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nhel");
@@ -79,14 +79,14 @@
         async connection => assertFailed(await exchange(connection), ExecutionVerdict.MayHaveRun),
     ));
 
-test("a chunked answer that is cut by the end of a connection announced as closing is not whole", () =>
+test("rejects a chunked answer that is truncated by the announced close of its connection", () =>
     withTarget(
         socket =>
             void socket.end("HTTP/1.1 200 OK\r\nConnection: close\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n"),
         async connection => assertFailed(await exchange(connection), ExecutionVerdict.MayHaveRun),
     ));
 
-test("a chunked answer that ends before its connection does is whole", () =>
+test("accepts a chunked answer that ends before its connection closes", () =>
     withTarget(
         socket =>
             void socket.end(
@@ -99,19 +99,19 @@
         },
     ));
 
-test("an answer shorter than its length is not whole", () =>
+test("rejects an answer that is shorter than its Content-Length", () =>
     withTarget(
         socket => void socket.end("HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 9\r\n\r\nhello"),
         async connection => assertFailed(await exchange(connection), ExecutionVerdict.MayHaveRun),
     ));
 
-test("an answer without a length that is cut within its head is none", () =>
+test("rejects an answer that is truncated within its head", () =>
     withTarget(
         socket => void socket.end("HTTP/1.1 200 OK\r\nConne"),
         async connection => assertFailed(await exchange(connection), ExecutionVerdict.MayHaveRun),
     ));
 
-test("bytes after a whole answer close the connection and reach no other call", () =>
+test("closes the connection when bytes follow a complete answer, so that they reach no other call", () =>
     withTarget(
         socket => {
             const answer = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhello";
@@ -125,7 +125,7 @@
         },
     ));
 
-test("a call to an address where nobody listens has not run", async () => {
+test("reports a call to an address without a listener as not run", async () => {
     const target = await startRawTarget(() => undefined);
     await target.close();
     const connection = open(target.address);
@@ -133,7 +133,7 @@
     assert.equal(connection.isAlive(), false);
 });
 
-test("a call that is given up before its answer may have run, and its connection is closed", () =>
+test("reports a call that is cancelled before its answer as may have run, and closes its connection", () =>
     withTarget(
         () => undefined,
         async (connection, target) => {
@@ -151,7 +151,7 @@
         },
     ));
 
-test("a call that is given up before the connection is made has not run", async () => {
+test("reports a call that is cancelled before the connection is established as not run", async () => {
     const connection = open("127.0.0.1:9");
     const controller = new AbortController();
     const pending = exchange(connection, controller.signal);
--- a/packages/daisyturn/src/connection/target/createTargetConnections.ts
+++ b/packages/daisyturn/src/connection/target/createTargetConnections.ts
@@ -2,37 +2,40 @@
 import type { Result } from "true-myth/result";
 import { openTargetConnection, type TargetConnection, type TargetSend } from "./openTargetConnection.js";
 
-/** Which connections may carry a call. */
+/** Which open connections may be reused for a call. */
 export enum ConnectionPolicy {
-    /** Any that is open. */
+    /** Any open connection. */
     Reuse = "reuse",
-    /** One that has carried an answer just now, or a new one: the call can't be repeated if the connection is dead. */
+    /**
+     * Only a connection that has just delivered a complete answer, or else a new one. For calls that can't be repeated
+     * if the connection turns out to be dead.
+     */
     RecentlyVerified = "proven",
 }
 
-/** The connections to all targets. */
+/** A pool of connections to all targets. */
 export interface TargetConnections {
-    send(address: string, care: ConnectionPolicy, send: TargetSend): Promise<Result<void, Failure>>;
-    /** Closes the idle connections to an address whose target is gone or does not answer. */
+    send(address: string, policy: ConnectionPolicy, send: TargetSend): Promise<Result<void, Failure>>;
+    /** Closes the idle connections to an address, for a target that was removed or does not answer. */
     closeIdle(address: string): void;
     close(): void;
 }
 
-/** An answer this recent, in milliseconds, shows that a connection still works in both directions. */
+/** An answer within this time shows that a connection still works in both directions. */
 const recentAnswerMilliseconds = 250;
-/** Idle connections kept for each target; more only pile up after a peak. */
+/** Idle connections retained for each target. More would only accumulate after a load peak. */
 const maxIdleConnections = 8;
 
-/** Creates the connections of one process, made on demand and kept while the target allows it. */
+/** Creates a pool that opens connections on demand and retains them for as long as the target allows. */
 export function createTargetConnections(clock: Clock): TargetConnections {
     const idleByAddress = new Map<string, TargetConnection[]>();
 
-    /** The one used last is the surest to work; those that are not needed grow old and are closed. */
-    const acquire = (address: string, care: ConnectionPolicy): TargetConnection => {
+    /** Prefers the most recently used connection, which most likely still works; surplus ones idle until they close. */
+    const acquire = (address: string, policy: ConnectionPolicy): TargetConnection => {
         const idle = idleByAddress.get(address) ?? [];
         for (let index = idle.length - 1; index >= 0; index--) {
             const candidate = idle[index];
-            if (candidate?.isAlive() && (care === ConnectionPolicy.Reuse || isRecentlyVerified(candidate))) {
+            if (candidate?.isAlive() && (policy === ConnectionPolicy.Reuse || isRecentlyVerified(candidate))) {
                 idle.splice(index, 1);
                 return candidate;
             }
@@ -74,8 +77,8 @@
     };
 
     return {
-        send: async (address, care, send) => {
-            const connection = acquire(address, care);
+        send: async (address, policy, send) => {
+            const connection = acquire(address, policy);
             const result = await connection.send(send);
             if (result.isOk) {
                 release(address, connection);
--- a/packages/daisyturn/src/connection/target/openTargetConnection.ts
+++ b/packages/daisyturn/src/connection/target/openTargetConnection.ts
@@ -4,9 +4,9 @@
 import { Client, type Dispatcher } from "undici";
 import type { HeaderFields, IncomingFields, OutgoingHead } from "../../ports/forwardedCall.js";
 
-/** Takes an answer as it arrives. */
+/** Receives an answer as it arrives. */
 export interface AnswerSink {
-    /** @returns what is wrong with the answer; the connection is then closed and the send fails with it */
+    /** @returns a failure if the answer is not acceptable; the connection is then closed and the send fails with it */
     onHead(status: number, fields: IncomingFields): Failure | undefined;
     onChunk(chunk: Buffer): void;
 }
@@ -20,18 +20,18 @@
     readonly signal: AbortSignal;
 }
 
-/** One connection to a target; it carries one call at a time. */
+/** A connection to a target. It carries one call at a time. */
 export interface TargetConnection {
     readonly openedAt: number;
-    /** Monotonic time at which the last answer was whole; undefined before the first one. */
+    /** Monotonic time at which the last answer was complete; undefined before the first one. */
     lastAnsweredAt(): number | undefined;
     isAlive(): boolean;
-    /** Resolves once the answer is whole, or with what is known about whether the call may have run. */
+    /** Resolves once the answer is complete, or with a failure whose verdict says whether the call may have run. */
     send(send: TargetSend): Promise<Result<void, Failure>>;
     close(): void;
 }
 
-/** What {@link openTargetConnection} needs. */
+/** Options of {@link openTargetConnection}. */
 export interface TargetConnectionOptions {
     /** IP number and port. */
     readonly address: string;
@@ -41,17 +41,20 @@
 }
 
 /**
- * Milliseconds that a connection may take to be made. Round trips take a few; a lost first packet is sent again only
- * after a second, when another target has long answered.
+ * Round trips take a few milliseconds. A lost first packet is retransmitted only after a second, and by then another
+ * target would have answered.
  */
 const connectTimeoutMilliseconds = 400;
-/** Targets close idle connections and say when in whole seconds; one that says nothing may do so within a second. */
+/**
+ * Used where a target states no idle timeout. Targets state it in whole seconds, so one that states none may close an
+ * idle connection within a second.
+ */
 const defaultIdleMilliseconds = 400;
 const maxIdleMilliseconds = 20_000;
-/** Taken off the stated time, so that a call does not cross the target's close. */
+/** Subtracted from the stated idle timeout, so that no call is sent while the target closes the connection. */
 const idleMarginMilliseconds = 300;
 
-/** Opens a connection. Calls handed over before it is made wait for it. */
+/** Opens a connection. Calls that are sent before it is established wait for it. */
 export function openTargetConnection(options: TargetConnectionOptions): TargetConnection {
     const { now } = options;
     let socket: Socket | undefined;
@@ -90,7 +93,7 @@
             isAlive = false;
             options.onClosed();
         }
-        // undici would connect anew for the next call; closing ends that. The call under way has its own error.
+        // Without this, undici would reconnect for the next call. The running call reports its own error.
         void client.destroy().catch(() => undefined);
     };
     client.on("disconnect", close);
@@ -159,7 +162,7 @@
 
 const firstBodyStatus = 200;
 
-/** undici's connector demands null where there is no value. */
+/** undici's connector requires null where there is no value. */
 // eslint-disable-next-line no-restricted-syntax
 const noError = null;
 // eslint-disable-next-line no-restricted-syntax
@@ -171,8 +174,8 @@
 }
 
 /**
- * A body that lasts until the connection closes looks whole wherever it is cut, so it is never taken for an answer: a
- * target that crashes ends its connection like one that has finished.
+ * Rejects a body that is delimited only by the close of the connection. Its truncation can't be detected, since a
+ * target that crashes closes its connection like one that has finished.
  */
 function checkLength(status: number, fields: IncomingFields): Failure | undefined {
     const isBodyless = status < firstBodyStatus || status === 204 || status === 304;
@@ -182,7 +185,7 @@
         : mayHaveRun(FailureReason.TargetFailed, "The answer's length is not given.");
 }
 
-/** Only the code is told: a message may hold what a caller wrote. */
+/** Prefers the error code, because a message may contain text that a caller wrote. */
 function describe(error: Error & { code?: string; }): string {
     return error.code ?? error.message.slice(0, 60);
 }
