--- a/packages/daisyturn/src/connection/caller/__fixtures__/callerRequests.ts
+++ b/packages/daisyturn/src/connection/caller/__fixtures__/callerRequests.ts
@@ -1,10 +1,10 @@
 import { connect, type Socket } from "node:net";
 import { callerKey } from "./createCallerBench.js";
 
-/** A completion of the bench's model service. */
+/** A completion request for the bench's model service. */
 export const completionBody = { model: "valuation", messages: [{ role: "user", content: "What is it worth?" }] };
 
-/** Headers of a JSON request of the bench's caller. */
+/** Headers of a JSON request from the bench's caller. */
 export const jsonHeaders = { Authorization: `Bearer ${callerKey}`, "Content-Type": "application/json" };
 
 /** One server-sent event. */
@@ -13,14 +13,14 @@
     readonly data: string;
 }
 
-/** What a caller got from a stream. */
+/** What a caller received from a stream. */
 export interface ReceivedStream {
     readonly events: readonly ReceivedEvent[];
     readonly text: string;
-    /** The newest token for resuming. */
+    /** The latest resume token. */
     readonly resumeToken?: string;
     readonly errorCode?: string;
-    /** Whether the end mark came. */
+    /** Whether the stream ended with `[DONE]`. */
     readonly isDone: boolean;
 }
 
@@ -55,7 +55,7 @@
     return readStream(await response.text());
 }
 
-/** Reads the events of a whole stream. */
+/** Parses the events of a complete stream. */
 export function readStream(text: string): ReceivedStream {
     const events = text.split("\n\n").filter(block => block !== "").map(readEvent);
     const chunks = events.filter(event => event.data !== "[DONE]").map(event => JSON.parse(event.data) as Chunk);
@@ -68,7 +68,7 @@
     };
 }
 
-/** Sends raw bytes on a connection of their own. */
+/** Opens a connection and sends raw bytes on it. */
 export function openRaw(port: number, text: string): Socket {
     const socket = connect({ port, host: "127.0.0.1", allowHalfOpen: true });
     socket.on("error", () => undefined);
@@ -76,7 +76,7 @@
     return socket;
 }
 
-/** Everything that comes back until the other side ends. */
+/** Reads everything until the other side ends the connection. */
 export async function readToEnd(socket: Socket): Promise<string> {
     let text = "";
     socket.setEncoding("utf8");
@@ -88,7 +88,7 @@
     return text;
 }
 
-/** Waits until a condition holds; the test's own limit ends it otherwise. */
+/** Waits until a condition holds. If it never does, the time limit of the test applies. */
 export async function waitUntil(condition: () => boolean): Promise<void> {
     while (!condition()) {
         await new Promise(resolve => setTimeout(resolve, 1));
--- a/packages/daisyturn/src/connection/caller/__fixtures__/createCallerBench.ts
+++ b/packages/daisyturn/src/connection/caller/__fixtures__/createCallerBench.ts
@@ -21,7 +21,7 @@
 export const benchResumeKey = "resume-key-of-the-bench";
 export const otherPartnerKey = "key-of-the-volunteer";
 
-/** What a placement was told. */
+/** What was recorded for a placement. */
 export interface PlacementRecord {
     readonly request: RoutingRequest;
     readonly engine: string;
@@ -97,15 +97,15 @@
     };
 }
 
-/** What a test changes of the bench. */
+/** Overrides of the bench's defaults. */
 export interface BenchOptions extends Partial<CallerServerOptions> {
-    /** Shared by two benches where a test is about two entry processes. */
+    /** Shared by two benches in tests of two entry processes. */
     readonly engines?: readonly [ScriptedEngine, ScriptedEngine];
-    /** Runs the prefill part of every placement. */
+    /** Engine for the prefill of every placement. */
     readonly prefillEngine?: string;
 }
 
-/** A caller server over scripted targets, and what they saw. */
+/** Starts a caller server with scripted targets, and gives access to what they received. */
 export async function createCallerBench(overrides: BenchOptions = {}) {
     const engines = overrides.engines ?? createEnginePair();
     const plainServices = new Map<string, PlainService>();
@@ -171,12 +171,12 @@
     };
 }
 
-/** Two engines that give the same answer of eight tokens. */
+/** Creates two engines that give the same answer of eight tokens. */
 export function createEnginePair(): readonly [ScriptedEngine, ScriptedEngine] {
     return [createScriptedEngine("engine-1", 8), createScriptedEngine("engine-2", 8)];
 }
 
-/** Keeps no claims: every call is sent. */
+/** Creates a claim manager that stores no claims and sends every call. */
 function createPassThroughClaims(): ClaimManager {
     return {
         runOnce: (request, send) => send(request.call, { mayStart: () => true }),
--- a/packages/daisyturn/src/connection/caller/__fixtures__/createScriptedEngine.ts
+++ b/packages/daisyturn/src/connection/caller/__fixtures__/createScriptedEngine.ts
@@ -15,29 +15,29 @@
     signal: AbortSignal,
 ) => Result<AsyncIterable<StreamEvent>, Failure>;
 
-/** An engine that does what a test tells it to. */
+/** An engine whose behavior is scripted by the test. */
 export interface ScriptedEngine extends Engine {
-    /** Everything it was asked to generate. */
+    /** All requests passed to `generate`. */
     readonly received: readonly GenerateRequest[];
-    /** Streams whose signal was aborted or that were cancelled by name. */
+    /** Streams whose signal was aborted or that were cancelled by id. */
     readonly cancelled: readonly string[];
-    /** What `generate` does; the last one stays. */
+    /** Scripts of consecutive calls of `generate`; the last one is repeated. */
     script: EngineScript[];
-    /** What `resume` does; absent: the stream is not known any more. */
+    /** Script of `resume`. If absent, the stream is no longer known. */
     resumeScript?: (streamId: string, offset: number) => Result<AsyncIterable<StreamEvent>, Failure>;
 }
 
-/** The token at an offset of every answer. */
+/** Returns the token at an offset, the same in every answer. */
 export function tokenText(offset: number): string {
     return `t${offset} `;
 }
 
-/** The text of the first tokens of every answer. */
+/** Returns the text of the first `count` tokens, the same in every answer. */
 export function answerText(count: number): string {
     return Array.from(Array(count).keys(), tokenText).join("");
 }
 
-/** Events of a stream from `start` to `end`, one token each, without an end mark. */
+/** Yields the tokens from `start` to `end`, one per event, without an end event. */
 export async function* yieldTokens(start: number, end: number): AsyncGenerator<StreamEvent> {
     for (let offset = start; offset < end; offset++) {
         await Promise.resolve();
@@ -45,7 +45,7 @@
     }
 }
 
-/** The end mark of an answer of `count` tokens. */
+/** Creates the end event of an answer of `count` tokens. */
 export function endMark(count: number): StreamEvent {
     return {
         kind: StreamEventKind.End,
@@ -56,19 +56,19 @@
     };
 }
 
-/** A proper stream from `start` to `count`. */
+/** Yields a complete stream from `start` to `count`. */
 export async function* yieldAnswer(start: number, count: number): AsyncGenerator<StreamEvent> {
     yield* yieldTokens(start, count);
     yield endMark(count);
 }
 
-/** A stream from `start` that breaks before the token `end`. */
+/** Yields a stream from `start` that breaks before the token `end`. */
 export async function* yieldBroken(start: number, end: number): AsyncGenerator<StreamEvent> {
     yield* yieldTokens(start, end);
     yield { kind: StreamEventKind.Broken, failure: mayHaveRun(FailureReason.StreamBroken, "Cut.") };
 }
 
-/** A stream from `start` to `end` that then stays silent until its work is cancelled. */
+/** Yields the tokens from `start` to `end`, then nothing until the request is cancelled. */
 export async function* yieldUntilCancelled(
     start: number,
     end: number,
@@ -81,12 +81,12 @@
     yield { kind: StreamEventKind.Broken, failure: mayHaveRun(FailureReason.Cancelled, "Cancelled.") };
 }
 
-/** A script that answers whole, with `count` tokens. */
+/** Returns a script that gives a complete answer of `count` tokens. */
 export function answerWhole(count: number): EngineScript {
     return request => ok(yieldAnswer(request.startOffset ?? 0, count));
 }
 
-/** Creates an engine that answers `count` tokens until its script says otherwise. */
+/** Creates an engine that answers with `count` tokens unless its script is replaced. */
 export function createScriptedEngine(engineId: string, count: number): ScriptedEngine {
     const received: GenerateRequest[] = [];
     const cancelled: string[] = [];
--- a/packages/daisyturn/src/connection/caller/__tests__/badInput.test.ts
+++ b/packages/daisyturn/src/connection/caller/__tests__/badInput.test.ts
@@ -43,9 +43,9 @@
 
     const badBodies: readonly [string, string | Uint8Array, number][] = [
         ["broken JSON", "{\"model\": ", 400],
-        ["no object", "[]", 400],
+        ["an array instead of an object", "[]", 400],
         ["an unknown service", JSON.stringify({ ...completionBody, model: "nobody" }), 404],
-        ["a service of others", JSON.stringify({ ...completionBody, model: "closed" }), 403],
+        ["a service of another account", JSON.stringify({ ...completionBody, model: "closed" }), 403],
         ["no messages", JSON.stringify({ ...completionBody, messages: [] }), 400],
         ["a wrong type", JSON.stringify({ ...completionBody, max_tokens: "many" }), 400],
         [
@@ -55,7 +55,7 @@
         ],
         ["tools", JSON.stringify({ ...completionBody, tools: [{ type: "function" }] }), 400],
         ["several answers", JSON.stringify({ ...completionBody, n: 2 }), 400],
-        ["bytes that are no UTF-8", Uint8Array.of(0x22, 0xff, 0x22), 400],
+        ["invalid UTF-8", Uint8Array.of(0x22, 0xff, 0x22), 400],
     ];
     for (const [name, text, status] of badBodies) {
         test(`a body with ${name} is refused as not run`, async () => {
@@ -70,7 +70,7 @@
         });
     }
 
-    test("deadlines that are absurd or have passed are refused", async () => {
+    test("deadlines that are malformed, too far away or in the past are refused", async () => {
         const { url } = await open();
         const now = Date.now();
         const statuses: readonly [string, number][] = [
@@ -88,7 +88,7 @@
         }
     });
 
-    test("methods and content types that nobody serves are named", async () => {
+    test("unsupported methods, content types, encodings and paths are refused with their own status", async () => {
         const { url } = await open();
         const wrongMethod = await fetch(`${url}${path}`, { headers: jsonHeaders });
         assert.deepEqual([wrongMethod.status, wrongMethod.headers.get("allow")], [405, "POST"]);
@@ -108,7 +108,7 @@
         assert.match(asking, /^HTTP\/1.1 413 /);
     });
 
-    test("a refused sender may still send its body, so that no reset hides the refusal", async () => {
+    test("the body of a refused request is still read, so that no connection reset hides the refusal", async () => {
         const { url } = await open({ limits: { maxBodyBytes: 100, lingerMilliseconds: 60_000 } });
         const socket = openRaw(bench.port, `${head}Content-Length: 101\r\n\r\n`);
         const answer = readToEnd(socket);
@@ -119,14 +119,14 @@
         assert.match(await answer, /^HTTP\/1.1 413 /);
     });
 
-    test("a body without announced length is refused while it is read", async () => {
+    test("a body without announced length is refused once it exceeds the limit", async () => {
         await open({ limits: { maxBodyBytes: 100 } });
         const chunk = `40\r\n${"x".repeat(0x40)}\r\n`;
         const answer = await sendRaw(`${head}Transfer-Encoding: chunked\r\n\r\n${chunk}${chunk}`);
         assert.match(answer, /^HTTP\/1.1 413 .*Connection: close/s);
     });
 
-    test("bodies of all requests together have a limit", async () => {
+    test("the total size of the bodies of all running requests is limited", async () => {
         const { url, engines } = await open({ limits: { maxTotalBodyBytes: body.length + 50 } });
         engines[0].script = [(request, signal) => ok(yieldUntilCancelled(0, 1, signal))];
         const caller = new AbortController();
@@ -139,7 +139,7 @@
         assert.equal((await postCompletion(url, {})).status, 200);
     });
 
-    test("senders that are slow with header or body are cut off", async () => {
+    test("requests whose header or body arrives too slowly are refused", async () => {
         await open({ limits: { headerMilliseconds: 60, bodyMilliseconds: 60 } });
         const slowHeader = sendRaw(`POST ${path} HTTP/1.1\r\nHost: en`);
         const slowBody = sendRaw(`${head}Content-Length: 400\r\n\r\n{"mod`);
@@ -147,14 +147,14 @@
         assert.match(await slowBody, /^HTTP\/1.1 400 .*did not arrive in time/s);
     });
 
-    test("floods of header fields are refused, none is dropped unseen", async () => {
+    test("too many or too long header fields are refused rather than silently dropped", async () => {
         await open({ limits: { maxHeaderCount: 20, maxHeaderBytes: 2_000 } });
         const many = Array.from({ length: 21 }, (value, index) => `X-${index}: 1\r\n`).join("");
         assert.match(await sendRaw(`${head}${many}Connection: close\r\n\r\n`), /^HTTP\/1.1 400 .*header fields/s);
         assert.match(await sendRaw(`${head}X-Long: ${"x".repeat(3_000)}\r\n\r\n`), /^HTTP\/1.1 431 /);
     });
 
-    test("doubled fields that decide the meaning are refused", async () => {
+    test("repeated singleton header fields are refused", async () => {
         await open();
         for (const field of ["Authorization: Bearer other", "Idempotency-Key: a\r\nIdempotency-Key: b"]) {
             const answer = await sendRaw(`${head}${field}\r\nConnection: close\r\n\r\n`);
@@ -162,7 +162,7 @@
         }
     });
 
-    test("bytes that are no request are refused", async () => {
+    test("bytes that are not a valid request are refused", async () => {
         await open();
         assert.match(await sendRaw("nonsense\r\n\r\n"), /^HTTP\/1.1 400 .*bad_request/s);
         const smuggled = `${head}Content-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n`;
@@ -185,7 +185,7 @@
         ]);
     });
 
-    test("nonsense behind a running request never gets into its answer", async () => {
+    test("invalid bytes after a running request add nothing to its answer", async () => {
         const { engines } = await open();
         engines[0].script = [(request, signal) => ok(yieldUntilCancelled(0, 2, signal))];
         const socket = openRaw(bench.port, withLength(JSON.stringify({ ...completionBody, stream: true })));
@@ -195,7 +195,7 @@
         await waitUntil(() => engines[0].cancelled.length === 1);
     });
 
-    test("callers that close, half or whole, end the work of all their pipelined requests", async () => {
+    test("a caller that half-closes or closes its connection cancels all its pipelined requests", async () => {
         const { engines } = await open();
         engines[0].script = [(request, signal) => ok(yieldUntilCancelled(0, 0, signal))];
         for (const close of ["end", "destroy"] as const) {
@@ -208,7 +208,7 @@
         await waitUntil(() => bench.admitted() === 0);
     });
 
-    test("a slow reader holds the stream back and is cut off in the end", async () => {
+    test("a slow reader applies backpressure to the stream and is disconnected after the time limit", async () => {
         const { engines } = await open({ limits: { maxBufferedBytes: 10_000, slowReaderMilliseconds: 100 } });
         let yielded = 0;
         const endless = async function*(): AsyncGenerator<StreamEvent> {
@@ -225,7 +225,7 @@
         socket.destroy();
     });
 
-    test("a reader that catches up gets the whole answer", async () => {
+    test("a reader that catches up receives the complete answer", async () => {
         const { engines } = await open({ limits: { maxBufferedBytes: 1_000, slowReaderMilliseconds: 5_000 } });
         const count = 400;
         const long = async function*(): AsyncGenerator<StreamEvent> {
--- a/packages/daisyturn/src/connection/caller/__tests__/continuedAnswers.test.ts
+++ b/packages/daisyturn/src/connection/caller/__tests__/continuedAnswers.test.ts
@@ -59,7 +59,7 @@
 
     afterEach(() => bench.server.stop());
 
-    test("a broken stream is resumed at its engine", async () => {
+    test("a broken stream is resumed on its engine", async () => {
         const { engines, url } = await open();
         engines[0].script = [breakAfter(3)];
         engines[0].resumeScript = (streamId, offset) => ok(yieldAnswer(offset, 8));
@@ -91,8 +91,8 @@
     });
 
     const faultyStreams: readonly [string, () => AsyncGenerator<StreamEvent>][] = [
-        ["no end mark", () => yieldTokens(0, 8)],
-        ["an end mark that counts more tokens", async function*() {
+        ["no end event", () => yieldTokens(0, 8)],
+        ["an end event that counts more tokens", async function*() {
             yield* yieldTokens(0, 5);
             yield endMark(8);
         }],
@@ -106,7 +106,7 @@
         }],
     ];
     for (const [fault, stream] of faultyStreams) {
-        test(`a stream with ${fault} is made good elsewhere`, async () => {
+        test(`a stream with ${fault} is completed on another engine`, async () => {
             const { engines, url } = await open();
             engines[0].script = [() => ok(stream())];
             const received = await streamCompletion(url);
@@ -116,7 +116,7 @@
         });
     }
 
-    test("an answer that can't be made whole ends with an error and without an end mark", async () => {
+    test("an answer that can't be completed ends with an error and without [DONE]", async () => {
         const { engines, url } = await open();
         engines.forEach(engine => engine.script = [breakAfter(3)]);
         const received = await streamCompletion(url);
@@ -126,7 +126,7 @@
         await assertNothingRuns();
     });
 
-    test("an answer that is not streamed is whole or refused", async () => {
+    test("an answer that is not streamed is either complete or refused", async () => {
         const { engines, url } = await open();
         engines[0].script = [breakAfter(3)];
         const whole = await postCompletion(url, {});
@@ -141,7 +141,7 @@
         assert.ok(error.retry_at > Date.now() - 60_000);
     });
 
-    test("however streams break, the text is whole or a marked beginning", async () => {
+    test("wherever streams break, the text is complete or is a prefix that ends with an error", async () => {
         const engines = createEnginePair();
         await open({ engines, retries: { fraction: 0, maxSaved: 1_000 } });
         const cuts = fc.array(fc.record({ cut: fc.integer({ min: 0, max: 8 }), resumes: fc.boolean() }), {
@@ -168,7 +168,7 @@
         await assertNothingRuns();
     });
 
-    test("without retries left a request is given up on at once", async () => {
+    test("a request without a retry left in the budget fails at once", async () => {
         const { engines, url } = await open({ retries: { fraction: 0, maxSaved: 0 } });
         engines[0].script = [failAtOnce];
         const refused = await postCompletion(url, {});
@@ -177,7 +177,7 @@
         assert.equal(engines[1].received.length, 0);
     });
 
-    test("the verdict tells of any attempt that may have run", async () => {
+    test("the verdict is may_have_run if any attempt may have run", async () => {
         const { engines, url } = await open();
         engines[0].script = [failAtOnce];
         engines[1].script = [() => err(notRun(FailureReason.BadRequest, "No."))];
@@ -187,7 +187,7 @@
         assert.deepEqual([error.code, error.verdict], ["bad_request", "may_have_run"]);
     });
 
-    test("an engine that closes after the choice gets nothing", async () => {
+    test("an engine that is closed after placement receives no request", async () => {
         const { engines, url, closedTargets } = await open();
         closedTargets.add("engine-1");
         const received = await streamCompletion(url);
@@ -195,7 +195,7 @@
         assert.equal(engines[0].received.length, 0);
     });
 
-    test("a caller that goes away ends the engine's work", async () => {
+    test("a caller that disconnects cancels the request on the engine", async () => {
         const { engines, url } = await open();
         engines[0].script = [(request, signal) => ok(yieldUntilCancelled(0, 2, signal))];
         const caller = new AbortController();
@@ -211,7 +211,7 @@
         assert.deepEqual(bench.placements.map(record => record.outcome), [PlacementOutcome.Cancelled]);
     });
 
-    test("the deadline ends an answer that does not come", async () => {
+    test("a request without an answer fails at its deadline and is cancelled on the engine", async () => {
         const { engines, url } = await open();
         engines[0].script = [(request, signal) => ok(yieldUntilCancelled(0, 0, signal))];
         const deadline = Date.now() + 50;
@@ -239,7 +239,7 @@
         await assertNothingRuns();
     });
 
-    test("a failed export or import makes the decode engine do the whole", async () => {
+    test("the decode engine runs the whole request if the KV export or import fails", async () => {
         const failures: readonly [EngineScript, readonly EngineScript[]][] = [
             [failAtOnce, [answerWhole(8)]],
             [() => ok(yieldTokens(0, 0)), [answerWhole(8)]],
--- a/packages/daisyturn/src/connection/caller/__tests__/createCallerServer.test.ts
+++ b/packages/daisyturn/src/connection/caller/__tests__/createCallerServer.test.ts
@@ -25,7 +25,7 @@
 
     afterEach(() => bench.server.stop());
 
-    test("answers a chat completion whole", async () => {
+    test("answers a chat completion in one response", async () => {
         await open();
         const completion = await connect().chat.completions.create({ model: "valuation", messages: [...messages] });
         assert.equal(completion.choices[0]?.message.content, answerText(8));
@@ -47,7 +47,7 @@
         assert.ok(pieces.length >= 8);
     });
 
-    test("the public client meets its own error types, with the verdict in them", async () => {
+    test("the OpenAI client throws its own error types, which contain the verdict", async () => {
         await open();
         const client = connect();
         const ask = (model: string) => client.chat.completions.create({ model, messages: [...messages] });
@@ -63,7 +63,7 @@
         });
     });
 
-    test("the public client throws where a stream ends with an error", async () => {
+    test("the OpenAI client throws when a stream ends with an error", async () => {
         await open();
         bench.engines.forEach(engine => engine.script = [() => ok(yieldBroken(0, 3))]);
         const stream = await connect().chat.completions.create({
@@ -78,7 +78,7 @@
         }, OpenAI.APIError);
     });
 
-    test("the public client's abort and timeout cancel the engine's work", async () => {
+    test("abort and timeout of the OpenAI client cancel the request on the engine", async () => {
         await open();
         const [engine] = bench.engines;
         engine.script = [(request, signal) => ok(yieldUntilCancelled(0, 2, signal))];
@@ -93,7 +93,7 @@
         await waitUntil(() => engine.cancelled.length === 2);
     });
 
-    test("the public client repeats no request where the answer says that it makes no sense", async () => {
+    test("the OpenAI client does not retry a request whose answer says that it should not", async () => {
         await open();
         const client = new OpenAI({ apiKey: callerKey, baseURL: `${bench.url}/v1`, maxRetries: 3 });
         const headers = { "X-Deadline": String(Date.now() - 5) };
--- a/packages/daisyturn/src/connection/caller/__tests__/drainCallers.test.ts
+++ b/packages/daisyturn/src/connection/caller/__tests__/drainCallers.test.ts
@@ -11,7 +11,7 @@
 const limits = { balancerNoticeMilliseconds: noticeMilliseconds };
 
 describe("draining", () => {
-    test("goes from not ready over refusing to stopped, and cuts nothing", async () => {
+    test("becomes not ready, then refuses requests, then stops, and completes running requests", async () => {
         const clock = new FakeClock();
         const bench = await createCallerBench({ clock, limits });
         let release: () => void = () => undefined;
@@ -29,8 +29,8 @@
         const drained = bench.server.drain(clock.monotonicNow() + 60_000);
         assert.equal((await fetch(`${bench.url}/readyz`)).status, 503);
         assert.equal((await fetch(`${bench.url}/healthz`)).status, 200);
-        const taken = await postCompletion(bench.url, {});
-        assert.deepEqual([taken.status, taken.headers.get("connection")], [200, "close"]);
+        const accepted = await postCompletion(bench.url, {});
+        assert.deepEqual([accepted.status, accepted.headers.get("connection")], [200, "close"]);
 
         await clock.advance(noticeMilliseconds);
         const refused = await postCompletion(bench.url, {});
@@ -46,7 +46,7 @@
         assert.equal(bench.eventLog.of(EventKind.ProcessDraining).length, 1);
     });
 
-    test("gives up what still runs at its deadline and cancels it at the engine", async () => {
+    test("aborts requests that still run at the deadline and cancels them on the engine", async () => {
         const clock = new FakeClock();
         const bench = await createCallerBench({ clock, limits });
         bench.engines[0].script = [(request, signal) => ok(yieldUntilCancelled(0, 2, signal))];
--- a/packages/daisyturn/src/connection/caller/__tests__/pinnedVersions.test.ts
+++ b/packages/daisyturn/src/connection/caller/__tests__/pinnedVersions.test.ts
@@ -6,7 +6,7 @@
 import { callerKey, createCallerBench } from "../__fixtures__/createCallerBench.js";
 import { yieldUntilCancelled } from "../__fixtures__/createScriptedEngine.js";
 
-test("a request counts as running under its version until its answer has ended", { timeout: 10_000 }, async t => {
+test("a request counts for its configuration version until its answer has ended", { timeout: 10_000 }, async t => {
     const bench = await createCallerBench();
     t.after(() => bench.server.stop());
     bench.engines[0].script = [(...[, signal]) => ok(yieldUntilCancelled(0, 2, signal))];
--- a/packages/daisyturn/src/connection/caller/__tests__/plainCalls.test.ts
+++ b/packages/daisyturn/src/connection/caller/__tests__/plainCalls.test.ts
@@ -17,7 +17,7 @@
     let bench: Awaited<ReturnType<typeof createCallerBench>>;
     let calls: { target: string; call: ServiceCall; signal: AbortSignal; }[];
 
-    /** Opens a bench whose targets answer in turn. */
+    /** Opens a bench whose targets return the given outcomes in order. */
     const open = async (outcomes: readonly (Outcome | Promise<Outcome>)[], options?: BenchOptions) => {
         bench = await createCallerBench(options);
         calls = [];
@@ -44,7 +44,7 @@
 
     afterEach(() => bench.server.stop());
 
-    test("an answer is passed on as it is", async () => {
+    test("an answer is passed on unchanged", async () => {
         await open([]);
         const answer = await confirm({ headers: { "Content-Type": "text/plain" } });
         assert.deepEqual([answer.status, await answer.text()], [201, "{\"quote\":1}"]);
@@ -64,7 +64,7 @@
         assert.equal(error.verdict, "may_have_run");
     });
 
-    test("an idempotent call is sent again after any failure of a target, at another one first", async () => {
+    test("an idempotent call is retried after any failure of a target, preferring another target", async () => {
         await open([reset, confirmed]);
         assert.equal((await call("/quotes/models/2014?trim=b")).status, 201);
         assert.deepEqual(calls.map(sent => [sent.target, sent.call.path]), [
@@ -74,13 +74,13 @@
         assert.notEqual(calls[0]?.call.callId, calls[1]?.call.callId);
     });
 
-    test("retries end with the budget", async () => {
+    test("calls are not retried once the retry budget is used up", async () => {
         await open([reset, reset, reset], { retries: { fraction: 0, maxSaved: 1 } });
         assert.equal((await call("/quotes/models/2014")).status, 502);
         assert.equal(calls.length, 2);
     });
 
-    test("only a whole segment matches a route, and paths that can be read in two ways are refused", async () => {
+    test("a route matches whole path segments only, and ambiguous paths are refused", async () => {
         await open([reset, reset, reset]);
         assert.equal((await call("/quotes/models-confirm")).status, 502);
         assert.equal(calls.length, 1);
@@ -92,7 +92,7 @@
             "/models;a",
         ];
         for (const path of ambiguous) {
-            // fetch would put the path into its plain form itself.
+            // fetch would normalize the path.
             const head = `GET /services/quotes${path} HTTP/1.1\r\nHost: entry\r\nAuthorization: Bearer ${callerKey}`;
             const answer = await readToEnd(openRaw(bench.port, `${head}\r\nConnection: close\r\n\r\n`));
             assert.match(answer, /^HTTP\/1.1 400 /, path);
@@ -100,7 +100,7 @@
         assert.equal(calls.length, 1);
     });
 
-    test("a call whose claim has become too old is not sent, and is told as not run", async () => {
+    test("a call whose claim has expired is not sent, and is reported as not run", async () => {
         await open([], {
             claims: {
                 runOnce: (request, send) => send(request.call, { mayStart: () => false }),
@@ -112,7 +112,7 @@
         assert.equal(calls.length, 0);
     });
 
-    test("a key makes the claim keeper run the call, and asks for it later", async () => {
+    test("a call with an idempotency key runs through the claim manager, which also answers queries", async () => {
         const claims: ClaimRequest[] = [];
         await open([], {
             claims: {
@@ -136,7 +136,7 @@
         assert.equal((await confirm({ headers: { "Idempotency-Key": "two words" } })).status, 400);
     });
 
-    test("a caller that goes away ends an idempotent call only", async () => {
+    test("a caller that disconnects cancels only its idempotent calls", async () => {
         await open([new Promise(() => undefined), new Promise(() => undefined)]);
         const head = `HTTP/1.1\r\nHost: entry\r\nAuthorization: Bearer ${callerKey}\r\n\r\n`;
         const socket = openRaw(
@@ -149,7 +149,7 @@
         assert.deepEqual(calls.map(sent => sent.signal.aborted), [false, true]);
     });
 
-    test("a closed target gets no call, and without another one the call did not run", async () => {
+    test("a closed target receives no call, and without another target the call is reported as not run", async () => {
         await open([]);
         bench.closedTargets.add("desk-1");
         assert.equal((await confirm()).status, 201);
@@ -160,12 +160,12 @@
         assert.match(await refusal.text(), /"no_target","verdict":"not_run"/);
     });
 
-    test("a status that can't be passed on is a failure of the target", async () => {
+    test("a status that can't be passed on is reported as a failure of the target", async () => {
         await open([ok({ status: 101, contentType: "", body: "" })]);
         assert.equal((await confirm()).status, 502);
     });
 
-    test("an answer without body keeps its status", async () => {
+    test("an answer without a body keeps its status", async () => {
         await open([ok({ status: 204, contentType: "", body: "" })]);
         assert.equal((await confirm()).status, 204);
     });
--- a/packages/daisyturn/src/connection/caller/__tests__/resumedAnswers.test.ts
+++ b/packages/daisyturn/src/connection/caller/__tests__/resumedAnswers.test.ts
@@ -20,12 +20,12 @@
 
 const original = { stream: true, temperature: 0 };
 
-describe("answers resumed at another entry process", () => {
+describe("answers resumed on another entry process", () => {
     let engines: readonly [ScriptedEngine, ScriptedEngine];
     let first: Bench;
     let second: Bench;
 
-    /** Begins an answer at the first process and kills that after three tokens. */
+    /** Starts an answer on the first process and stops that process after three tokens. */
     const startAndStopFirst = async (resumeKeys = [benchResumeKey]) => {
         engines = createEnginePair();
         first = await createCallerBench({ engines });
@@ -71,7 +71,7 @@
 
     afterEach(() => second.server.stop());
 
-    test("the engine's stream goes on at the caller's offset", async () => {
+    test("the engine's stream continues at the caller's offset", async () => {
         const token = await startAndStopFirst();
         scriptResume();
         const resumed = readStream((await resume(token)).text);
@@ -81,7 +81,7 @@
         assert.equal(second.running.get("engine-1"), 0);
     });
 
-    test("the same request with the token in its header goes on too", async () => {
+    test("repeating the request with the resume token in its header continues the stream as well", async () => {
         const token = await startAndStopFirst();
         scriptResume();
         const headers = { "X-Resume-Token": token, "Last-Event-ID": "3" };
@@ -90,13 +90,13 @@
         assert.equal(engines[0].received.length, 1);
     });
 
-    test("a second key is accepted while keys are changed", async () => {
+    test("tokens signed with the second key are accepted during a key rotation", async () => {
         const token = await startAndStopFirst(["key-of-tomorrow", benchResumeKey]);
         scriptResume();
         assert.equal((await resume(token)).status, 200);
     });
 
-    test("a lost stream is made again from the offset if the request is repeated and deterministic", async () => {
+    test("a lost stream is regenerated from the offset if the request is repeated and deterministic", async () => {
         const token = await startAndStopFirst();
         const request = { ...original, model: "valuation", messages: [{ role: "user", content: "What is it worth?" }] };
         const resumed = readStream((await resume(token, { request })).text);
@@ -105,7 +105,7 @@
         assert.match(Buffer.from(resumed.resumeToken ?? "", "base64url").toString(), /"engine":"engine-2"/);
     });
 
-    test("a lost stream that was sampled needs the text that the caller has", async () => {
+    test("a lost stream with sampling is regenerated only with the text that the caller has received", async () => {
         engines = createEnginePair();
         const sampled = { ...original, temperature: 1 };
         first = await createCallerBench({ engines });
@@ -121,7 +121,7 @@
         assert.equal(engines[1].received[0]?.precedingText, answerText(3));
     });
 
-    test("an offset before the beginning of the token's stream is refused", async () => {
+    test("an offset before the start of the stream named by the token is refused", async () => {
         const token = await startAndStopFirst();
         const request = { ...original, model: "valuation", messages: [{ role: "user", content: "What is it worth?" }] };
         const moved = readStream((await resume(token, { request })).text).resumeToken ?? "";
@@ -130,13 +130,13 @@
         assert.equal(answer.status, 400);
     });
 
-    test("a lost stream without the request is refused with what to do", async () => {
+    test("resuming a lost stream without the request is refused with instructions", async () => {
         const refused = await resume(await startAndStopFirst());
         assert.equal(refused.status, 502);
         assert.match(refused.text, /send the original request/);
     });
 
-    test("tokens that are forged, foreign, expired or of another request are refused", async () => {
+    test("tokens that are forged, malformed, of another partner or of another request are refused", async () => {
         const token = await startAndStopFirst();
         scriptResume();
         const [payload, signature] = token.split(".") as [string, string];
--- a/packages/daisyturn/src/connection/caller/answerProtocolError.ts
+++ b/packages/daisyturn/src/connection/caller/answerProtocolError.ts
@@ -2,7 +2,7 @@
 import type { Duplex } from "node:stream";
 import { buildErrorBody } from "../../request/answer/answer.js";
 
-/** What node tells about bytes that are no HTTP request. */
+/** Node's error for bytes that are not a valid HTTP request. */
 export interface ProtocolError extends Error {
     readonly code?: string;
 }
@@ -19,8 +19,8 @@
 const malformed: ProtocolRefusal = { status: "400 Bad Request", message: "This is not a valid HTTP/1.1 request." };
 
 /**
- * Answers bytes that node could not read as a request, and closes the connection.
- * @param isAnswering whether an answer is under way on the connection: then nothing may be written into it
+ * Answers bytes that Node could not parse as a request, and closes the connection.
+ * @param isAnswering whether an answer is being sent on the connection; the connection is then closed without an answer
  */
 export function answerProtocolError(error: ProtocolError, socket: Duplex, isAnswering: boolean): void {
     if (!socket.writable || isAnswering || error.code === "ECONNRESET") {
--- a/packages/daisyturn/src/connection/caller/callerServerOptions.ts
+++ b/packages/daisyturn/src/connection/caller/callerServerOptions.ts
@@ -5,7 +5,7 @@
 export interface ListenAddress {
     /** IP number. */
     readonly address: string;
-    /** 0 takes a free port. */
+    /** 0 selects a free port. */
     readonly port: number;
 }
 
@@ -15,10 +15,10 @@
     readonly certificate: string;
 }
 
-/** What callers may cost the process. */
+/** Limits on the resources that callers may use. */
 export interface CallerLimits {
     readonly maxBodyBytes: number;
-    /** Bytes of the bodies of all running requests together. */
+    /** Total size of the bodies of all running requests. */
     readonly maxTotalBodyBytes: number;
     readonly maxHeaderBytes: number;
     readonly maxHeaderCount: number;
@@ -27,20 +27,19 @@
     readonly headerMilliseconds: number;
     /** Time in which the body must have arrived, counted from the header. */
     readonly bodyMilliseconds: number;
-    /** Time for which the rest of a refused body is read and dropped, so that the refusal gets through. */
+    /** Time for which the rest of a refused body is read and dropped, so that the caller receives the refusal. */
     readonly lingerMilliseconds: number;
     readonly keepAliveMilliseconds: number;
-    /** Bytes of an answer that are kept for a caller who reads slowly. */
+    /** Bytes of an answer that are buffered for a caller that reads slowly. */
     readonly maxBufferedBytes: number;
-    /** Time in which such a caller must catch up, or its connection is closed. */
+    /** Time within which such a caller must have read the buffered bytes; otherwise its connection is closed. */
     readonly slowReaderMilliseconds: number;
-    /** Time for which a stopping process still takes requests, until the balancer has noticed. */
+    /** Time for which a stopping process still accepts requests, until the load balancer has detected the shutdown. */
     readonly balancerNoticeMilliseconds: number;
 }
 
 const mebibyte = 1024 * 1024;
 
-/** Limits that suit the sizes of today. */
 export const defaultCallerLimits: CallerLimits = {
     maxBodyBytes: 4 * mebibyte,
     maxTotalBodyBytes: 48 * mebibyte,
@@ -60,11 +59,11 @@
 export interface CallerServerOptions extends ProcessParts {
     readonly listen: ListenAddress;
     readonly tls?: TlsMaterial;
-    /** Whether the process may be sent requests; asked by `/readyz`. */
+    /** Whether the process may receive requests. `/readyz` reports it. */
     readonly isReady: () => boolean;
     /** Limits that differ from {@link defaultCallerLimits}. */
     readonly limits?: Partial<CallerLimits>;
-    /** Keys of the resume tokens, the same at all entry processes; the first one signs, all are accepted. */
+    /** Keys of the resume tokens, identical on all entry processes. The first one signs; all are accepted. */
     readonly resumeKeys: readonly string[];
     readonly retries?: RetryBudgetOptions;
 }
--- a/packages/daisyturn/src/connection/caller/createCallerListener.ts
+++ b/packages/daisyturn/src/connection/caller/createCallerListener.ts
@@ -4,26 +4,26 @@
 import { answerProtocolError, type ProtocolError } from "./answerProtocolError.js";
 import type { CallerLimits, TlsMaterial } from "./callerServerOptions.js";
 
-/** One connection of a caller. */
+/** A connection of a caller. */
 export interface CallerConnection {
     /**
-     * Called once the connection is closed, one for each answer that is not finished. Node tells only the answer
-     * whose turn it is, not those of pipelined requests behind it.
+     * Called once the connection is closed, one for each unfinished answer. Node emits `close` only for the answer that
+     * is currently being sent, not for those of the pipelined requests behind it.
      */
     readonly closeListeners: Set<() => void>;
 }
 
-/** Takes one request. */
+/** Handles one request. */
 export type RequestListener = (
     incoming: IncomingMessage,
     outgoing: ServerResponse,
     connection: CallerConnection,
 ) => void;
 
-/** How often node looks for requests that have not arrived in time, in milliseconds. */
+/** Upper limit of the interval at which Node checks for requests that have not arrived in time. */
 const maxCheckIntervalMilliseconds = 1_000;
 
-/** Creates the HTTP listener, with node's own limits set so that a caller can't hold a connection for nothing. */
+/** Creates the HTTP listener. Node's limits are set so that a caller can't occupy a connection without a request. */
 export function createCallerListener(
     tls: TlsMaterial | undefined,
     limits: CallerLimits,
@@ -32,7 +32,7 @@
     const httpOptions = {
         maxHeaderSize: limits.maxHeaderBytes,
         headersTimeout: limits.headerMilliseconds,
-        // A slow body is refused by its own deadline with an answer; this one, without an answer, comes after it.
+        // A slow body is first refused with an answer, by readBody. This later limit closes the connection without one.
         requestTimeout: limits.headerMilliseconds + limits.bodyMilliseconds + maxCheckIntervalMilliseconds,
         connectionsCheckingInterval: Math.min(maxCheckIntervalMilliseconds, limits.headerMilliseconds / 2),
         keepAliveTimeout: limits.keepAliveMilliseconds,
@@ -61,7 +61,7 @@
     const listen = (incoming: IncomingMessage, outgoing: ServerResponse) =>
         listener(incoming, outgoing, findConnection(incoming.socket));
 
-    // Node would drop the fields beyond its own limit unseen, an Idempotency-Key among them; checkHeader refuses them.
+    // Node would silently drop fields beyond its limit, possibly an Idempotency-Key. validateHeaderFields refuses them.
     server.maxHeadersCount = 0;
     server.maxConnections = limits.maxConnections;
     server.on("request", listen);
--- a/packages/daisyturn/src/connection/caller/createCallerServer.ts
+++ b/packages/daisyturn/src/connection/caller/createCallerServer.ts
@@ -15,18 +15,18 @@
 export interface CallerServer {
     start(): Promise<{ readonly port: number; }>;
     /**
-     * Stops without cutting a request: not ready, then taking requests until the balancer has noticed, then refusing
-     * them and finishing what runs.
-     * @param deadline monotonic time after which what still runs is given up
+     * Stops gracefully. The process first reports itself as not ready and accepts requests until the load balancer has
+     * detected that. It then refuses new requests and completes the running ones.
+     * @param deadline monotonic time after which running requests are aborted
      */
     drain(deadline: number): Promise<void>;
-    /** Stops at once and cuts what still runs. */
+    /** Stops at once and aborts running requests. */
     stop(): Promise<void>;
 }
 
 enum ServerPhase {
     Serving,
-    /** Still taking requests, but no longer ready. */
+    /** Requests are still accepted, but `/readyz` reports that the process is not ready. */
     NotReady,
     Refusing,
 }
--- a/packages/daisyturn/src/connection/caller/eventWriter.ts
+++ b/packages/daisyturn/src/connection/caller/eventWriter.ts
@@ -3,9 +3,9 @@
 import type { CallerLimits } from "./callerServerOptions.js";
 
 /**
- * Creates the writer of a stream of events. One event is one write: the caller gets each token as it comes. A caller
- * who reads slowly has a bounded buffer and a bounded time, so that it holds neither the process's memory nor the
- * engine for ever.
+ * Creates the writer of an event stream. Each event is written separately, so that the caller receives each token as it
+ * is generated. Buffer and time are limited for a caller that reads slowly, so that it can't occupy the process's
+ * memory or the engine indefinitely.
  */
 export function createEventWriter(outgoing: ServerResponse, limits: CallerLimits): EventWriter {
     return {
@@ -20,7 +20,7 @@
     };
 }
 
-/** Waits until a slow caller has caught up; closes the connection if that takes too long. */
+/** Waits until a slow caller has read the buffered bytes. Closes the connection if that takes too long. */
 function waitForDrain(outgoing: ServerResponse, limits: CallerLimits): Promise<void> {
     return new Promise(resolve => {
         const timer = setTimeout(() => outgoing.destroy(), limits.slowReaderMilliseconds);
@@ -33,7 +33,7 @@
     });
 }
 
-/** Closes the connection of a caller who does not read the last of a finished answer. */
+/** Closes the connection of a caller that does not read the rest of a completed answer in time. */
 function limitFlushTime(outgoing: ServerResponse, limits: CallerLimits): void {
     if (outgoing.writableFinished || outgoing.destroyed) {
         return;
--- a/packages/daisyturn/src/connection/caller/httpExchange.ts
+++ b/packages/daisyturn/src/connection/caller/httpExchange.ts
@@ -6,11 +6,11 @@
 import { createEventWriter } from "./eventWriter.js";
 import { readBody } from "./readBody.js";
 
-/** What an exchange needs beside the request itself. */
+/** Options of {@link createHttpExchange}. */
 export interface HttpExchangeOptions {
     readonly requestId: string;
     readonly limits: CallerLimits;
-    /** Takes room for a body; false if the process has none left. */
+    /** Reserves memory for a body; false if the limit of the process is exceeded. */
     readonly reserveBody: (byteCount: number) => boolean;
     readonly connection: CallerConnection;
     /** Whether connections are to be closed after their answer. */
@@ -19,16 +19,16 @@
 
 /** An exchange over HTTP/1.1. */
 export interface HttpExchange extends CallerExchange {
-    /** Ends the exchange for a reason other than the caller's. */
+    /** Aborts the exchange for a reason on this side, such as a fault or a shutdown. */
     abort(failure: Failure): void;
-    /** Resolves once the answer has left or the connection is closed. */
+    /** Resolves once the answer is sent or the connection is closed. */
     readonly closed: Promise<void>;
 }
 
 /** Statuses whose answers have no body. */
 const bodylessStatuses: ReadonlySet<number> = new Set([204, 205, 304]);
 
-/** Creates the exchange of one HTTP request. */
+/** Creates the exchange for one HTTP request. */
 export function createHttpExchange(
     incoming: IncomingMessage,
     outgoing: ServerResponse,
@@ -56,7 +56,7 @@
         if (contentType !== "") {
             fields["Content-Type"] = contentType;
         }
-        // An unread body would be taken for the next request, and a stopping process wants no next request.
+        // Bytes of an unread body would be parsed as the next request, and a stopping process accepts no next request.
         if (options.isClosing() || !isBodyRead(incoming)) {
             fields["Connection"] = "close";
         }
@@ -98,7 +98,7 @@
                 maxBytes: limits.maxBodyBytes,
                 milliseconds: limits.bodyMilliseconds,
                 reserve: options.reserveBody,
-                sendContinue: () => askForBody(incoming, outgoing),
+                sendContinue: () => sendContinue(incoming, outgoing),
             }),
         answer,
         openEventStream: headers => {
@@ -109,8 +109,8 @@
     };
 }
 
-/** A caller that waits for leave to send its body gets it only once nothing speaks against the body. */
-function askForBody(incoming: IncomingMessage, outgoing: ServerResponse): void {
+/** Sends `100 Continue` to a caller that expects it, once the announced length of the body is accepted. */
+function sendContinue(incoming: IncomingMessage, outgoing: ServerResponse): void {
     if (incoming.headers.expect !== undefined) {
         outgoing.writeContinue();
     }
@@ -122,7 +122,10 @@
     return incoming.complete || !hasBody;
 }
 
-/** Closing a connection with unread bytes resets it, and the caller might never see why it was refused. */
+/**
+ * Reads and drops the rest of the body before ending the answer. Closing a connection with unread bytes resets it, and
+ * the caller might not receive the refusal.
+ */
 function endAfterDrainingBody(incoming: IncomingMessage, outgoing: ServerResponse, milliseconds: number): void {
     const end = () => {
         clearTimeout(timer);
--- a/packages/daisyturn/src/connection/caller/readBody.ts
+++ b/packages/daisyturn/src/connection/caller/readBody.ts
@@ -6,20 +6,20 @@
 export interface BodyLimits {
     readonly maxBytes: number;
     readonly milliseconds: number;
-    /** Takes room for bytes of the body; false if the process has none left. */
+    /** Reserves memory for bytes of the body; false if the limit of the process is exceeded. */
     readonly reserve: (byteCount: number) => boolean;
-    /** Called when the body's announced length is within the limit. */
+    /** Called once the body's announced length is known to be within the limit. */
     readonly sendContinue: () => void;
 }
 
 const utf8 = new TextDecoder("utf-8", { fatal: true, ignoreBOM: true });
 
-/** Reads a body as UTF-8 text, giving up as soon as it is known to break a limit. */
+/** Reads a body as UTF-8 text. Fails as soon as the body is known to exceed a limit. */
 export async function readBody(incoming: IncomingMessage, limits: BodyLimits): Promise<Result<string, Failure>> {
     return (await readBytes(incoming, limits)).andThen(decode);
 }
 
-/** Reads a body as it is, giving up as soon as it is known to break a limit. */
+/** Reads a body as bytes. Fails as soon as the body is known to exceed a limit. */
 export function readBytes(incoming: IncomingMessage, limits: BodyLimits): Promise<Result<Buffer, Failure>> {
     const announced = Number(incoming.headers["content-length"] ?? 0);
     if (announced > limits.maxBytes) {
--- a/packages/daisyturn/src/connection/caller/serveExchange.ts
+++ b/packages/daisyturn/src/connection/caller/serveExchange.ts
@@ -10,17 +10,17 @@
 import { handleResume } from "../../request/resumption/handleResume.js";
 import { servicePathPrefix } from "../../request/servicePath.js";
 
-/** What the process says about itself. */
+/** State of the process that determines which requests are served. */
 export interface ServingState {
-    /** Whether the balancer may send requests here. */
+    /** Whether the load balancer may send requests to this process. */
     readonly isReady: boolean;
-    /** Whether requests are refused because the process stops. */
+    /** Whether requests are refused because the process is stopping. */
     readonly isRefusing: boolean;
 }
 
 type Handler = (parts: RequestParts, exchange: CallerExchange) => Promise<Result<void, Failure>>;
 
-/** What is served under a path, and with which method. */
+/** The method and handler of a path. */
 interface Route {
     readonly method: string;
     readonly handle: Handler;
@@ -49,7 +49,7 @@
 
 const claimRoute: Route = { method: "GET", handle: handleClaimQuestion, requiresJson: false };
 
-/** Serves one request by its path and refuses it where that fails. */
+/** Routes one request by its path, and answers with a refusal if its handler fails. */
 export async function serveExchange(
     parts: RequestParts,
     exchange: CallerExchange,
@@ -61,7 +61,7 @@
     }
 }
 
-/** Answers a request with its failure. */
+/** Logs the refusal of a request and answers with its failure. */
 export function refuseExchange(parts: RequestParts, exchange: CallerExchange, failure: Failure): void {
     const isCancelled = failure.reason === FailureReason.Cancelled;
     parts.eventLog.record(isCancelled ? EventKind.RequestCancelled : EventKind.RequestRefused, {
--- a/packages/daisyturn/src/connection/caller/validateHeaderFields.ts
+++ b/packages/daisyturn/src/connection/caller/validateHeaderFields.ts
@@ -1,7 +1,7 @@
 import { type Failure, FailureReason, notRun } from "daisyturn-utils";
 import type { IncomingMessage } from "node:http";
 
-/** Fields that decide what a request means: of two, nobody could say which one counts. */
+/** Fields that determine the meaning of a request. If one is repeated, it is ambiguous which value applies. */
 const singletonFields: ReadonlySet<string> = new Set([
     "authorization",
     "content-type",
@@ -11,7 +11,7 @@
     "x-resume-token",
 ]);
 
-/** What is wrong with a header as a whole; undefined if nothing is. */
+/** Checks the number of header fields and rejects repeated singleton fields. Returns undefined for a valid header. */
 export function validateHeaderFields(incoming: IncomingMessage, maxHeaderCount: number): Failure | undefined {
     const { rawHeaders } = incoming;
     if (rawHeaders.length / 2 > maxHeaderCount) {
