--- a/packages/daisyturn/src/connection/__fixtures__/peerNetworks.ts
+++ b/packages/daisyturn/src/connection/__fixtures__/peerNetworks.ts
@@ -6,7 +6,7 @@
 const pollIntervalMilliseconds = 5;
 const maxWaitMilliseconds = 10_000;
 
-/** Makes an identity whose address gets its port when the network starts. */
+/** Creates an identity whose address gets its port when the network starts. */
 export function createLocalIdentity(processId: string, incarnation = `${processId}-1`): ProcessIdentity {
     return {
         processId,
@@ -39,7 +39,7 @@
     return network;
 }
 
-/** Waits until a condition holds; fails the test after a long while. */
+/** Waits until a condition holds. Fails the test after {@link maxWaitMilliseconds}. */
 export async function waitUntil(condition: () => boolean, clock: Clock = new SystemClock()): Promise<void> {
     const deadline = clock.monotonicNow() + maxWaitMilliseconds;
     while (!condition()) {
@@ -50,7 +50,7 @@
     }
 }
 
-/** Connects two networks and waits until both have heard the other's hello. */
+/** Connects two networks and waits until each has received the other's hello. */
 export async function connectNetworks(one: TcpPeerNetwork, other: TcpPeerNetwork): Promise<void> {
     const hellos = Promise.all([nextHello(one), nextHello(other)]);
     one.connect(other.self.peerAddress);
--- a/packages/daisyturn/src/connection/__tests__/createPeerNetwork.test.ts
+++ b/packages/daisyturn/src/connection/__tests__/createPeerNetwork.test.ts
@@ -31,7 +31,7 @@
     return result.isErr ? result.error.verdict : undefined;
 }
 
-/** Sends bytes as a stranger and resolves with what came back once the network has closed the connection. */
+/** Sends bytes without a handshake. Resolves with the bytes received once the network has closed the connection. */
 async function sendRaw(network: TcpPeerNetwork, bytes: string): Promise<string> {
     const socket = connect(splitAddress(network.self.peerAddress));
     let received = "";
@@ -49,17 +49,17 @@
     return { one, other };
 }
 
-/** Names the processes whose hello was taken, and the calls that were run. */
+/** Records the incarnations of accepted peers, and the calls that were run. */
 function recordAccepted(...networks: readonly TcpPeerNetwork[]): readonly string[] {
-    const taken: string[] = [];
+    const accepted: string[] = [];
     for (const network of networks) {
-        network.onHello(peer => taken.push(peer.incarnation));
+        network.onHello(peer => accepted.push(peer.incarnation));
         network.handle(PeerMethod.AskClaim, () => {
-            taken.push("a call");
+            accepted.push("a call");
             return {};
         });
     }
-    return taken;
+    return accepted;
 }
 
 async function createTls() {
@@ -77,7 +77,7 @@
         }
     });
 
-    it("says NotRun where nothing was written or the peer refused, and MayHaveRun otherwise", async context => {
+    it("reports NotRun if nothing was written or the peer refused, and MayHaveRun otherwise", async context => {
         const { one, other } = await startPair(context);
         other.handle(PeerMethod.AskClaim, () => {
             throw new Error("broke halfway");
@@ -97,7 +97,7 @@
         assert.equal(verdictOf(await ask("p2", PeerMethod.ReleaseEngine, within())), ExecutionVerdict.NotRun);
     });
 
-    it("gives every caller its own answer when answers come crossed, late or not at all", async context => {
+    it("returns the matching answer to each request when answers are reordered, late or missing", async context => {
         const { one, other } = await startPair(context);
         const held = new Map<number, () => void>();
         other.handle(PeerMethod.AskClaim, async (...[, { number }]) => {
@@ -115,23 +115,23 @@
         assert.deepEqual(answers.map(answer => answer.unwrapOr({})), [{ number: 1 }, { number: 2 }]);
     });
 
-    it("takes no stranger: not one with another secret or of another cell, nor calls before the proof", async context => {
+    it("refuses peers with another secret or of another cell, and calls before the proof", async context => {
         const network = await startPeerNetwork(context, "p2", { handshakeLimitMilliseconds: 100 });
-        const taken = recordAccepted(network);
+        const accepted = recordAccepted(network);
         for (const overrides of [{ secret: "quite another secret" }, { cell: "another cell" }]) {
             const eventLog = new MemoryEventLog();
-            const stranger = await startPeerNetwork(context, "p1", { ...overrides, eventLog });
-            stranger.connect(network.self.peerAddress);
-            await waitUntil(() => eventLog.events.length + taken.length > 0);
+            const unknownPeer = await startPeerNetwork(context, "p1", { ...overrides, eventLog });
+            unknownPeer.connect(network.self.peerAddress);
+            await waitUntil(() => eventLog.events.length + accepted.length > 0);
         }
         const call = { jsonrpc: "2.0", id: 1, method: PeerMethod.AskClaim, params: {} };
         const prove = { jsonrpc: "2.0", id: 2, method: "prove", params: { proof: "0".repeat(64) } };
         const received = await sendRaw(network, `${JSON.stringify(call)}\n${JSON.stringify(prove)}\n`);
         assert.equal(received.match(/"error"/g)?.length, 2);
-        assert.deepEqual(taken, []);
+        assert.deepEqual(accepted, []);
     });
 
-    it("does not stay with a peer that answers without knowing the secret", async context => {
+    it("disconnects from a peer that answers without knowing the secret", async context => {
         const proved: string[] = [];
         const impostor = createServer(socket => {
             socket.on("error", () => undefined);
@@ -147,15 +147,15 @@
         await once(impostor, "listening");
         const eventLog = new MemoryEventLog();
         const network = await startPeerNetwork(context, "p1", { eventLog });
-        const taken = recordAccepted(network);
+        const accepted = recordAccepted(network);
         network.connect(`127.0.0.1:${(impostor.address() as AddressInfo).port}`);
-        await waitUntil(() => eventLog.events.length + taken.length > 0);
-        assert.deepEqual([taken, new Set(proved)], [[], new Set(["hello"])]);
+        await waitUntil(() => eventLog.events.length + accepted.length > 0);
+        assert.deepEqual([accepted, new Set(proved)], [[], new Set(["hello"])]);
     });
 
-    it("does not accept its own proof sent back to it", async context => {
+    it("does not accept its own proof reflected by the peer", async context => {
         const network = await startPeerNetwork(context, "p2", { handshakeLimitMilliseconds: 100 });
-        const taken = recordAccepted(network);
+        const accepted = recordAccepted(network);
         const socket = connect(splitAddress(network.self.peerAddress));
         const hello = { identity: createLocalIdentity("p9"), nonce: "n" };
         socket.write(`${JSON.stringify({ jsonrpc: "2.0", id: 1, method: "hello", params: hello })}\n`);
@@ -164,10 +164,10 @@
         const params = { proof: result.proof };
         socket.write(`${JSON.stringify({ jsonrpc: "2.0", id: 2, method: "prove", params })}\n`);
         await once(socket, "close");
-        assert.deepEqual(taken, []);
+        assert.deepEqual(accepted, []);
     });
 
-    it("closes a connection that sends broken JSON, no message or too long a line, and keeps the others", async context => {
+    it("closes only the connection that sends invalid JSON, no message or too long a line", async context => {
         const { one, other } = await startPair(context);
         one.handle(PeerMethod.AskClaim, () => ({ fine: true }));
         for (const bytes of ["{\n", "1\n", "[]x\n", "\uFFFF{}\n", "a".repeat(5_000)]) {
@@ -177,7 +177,7 @@
         assert.deepEqual(answer.unwrapOr({}), { fine: true });
     });
 
-    it("connects again to a new incarnation at the same address, and refuses the earlier one", async context => {
+    it("reconnects to a new incarnation at the same address, and refuses the earlier one", async context => {
         const one = await startPeerNetwork(context, "p1");
         const earlier = await startPeerNetwork(context, "p2");
         await connectNetworks(one, earlier);
@@ -188,14 +188,14 @@
         await startPeerNetwork(context, "p2", { self, listen: { host: "127.0.0.1", port } });
         assert.equal((await hello).incarnation, "p2-2");
         const eventLog = new MemoryEventLog();
-        const zombie = await startPeerNetwork(context, "p2", { eventLog });
-        const taken = recordAccepted(one, zombie);
-        zombie.connect(one.self.peerAddress);
+        const earlierIncarnation = await startPeerNetwork(context, "p2", { eventLog });
+        const accepted = recordAccepted(one, earlierIncarnation);
+        earlierIncarnation.connect(one.self.peerAddress);
         await waitUntil(() => eventLog.events.length > 0);
-        assert.deepEqual(taken, []);
+        assert.deepEqual(accepted, []);
     });
 
-    it("settles on one connection when both dial at once, and does not lose both for silence", async context => {
+    it("retains one connection when both sides connect at once, and does not close both as idle", async context => {
         const silenceLimitMilliseconds = 500;
         const one = await startPeerNetwork(context, "p1", { silenceLimitMilliseconds });
         const other = await startPeerNetwork(context, "p2", { silenceLimitMilliseconds });
@@ -214,7 +214,7 @@
         assert.deepEqual(hellos, [2, 2]);
     });
 
-    it("carries hybrid logical stamps", async context => {
+    it("transfers stamps of the hybrid logical clock", async context => {
         const ahead = new FakeClock();
         ahead.jumpWall(10 * 365 * 86_400_000);
         const one = await startPeerNetwork(context, "p1", { hybridClock: createHybridLogicalClock(ahead) });
@@ -227,7 +227,7 @@
         assert.ok(hybridClock.stamp() > sentAt);
     });
 
-    it("refuses more calls of one peer than may run at once", async context => {
+    it("refuses calls of a peer beyond the limit of concurrent calls", async context => {
         const one = await startPeerNetwork(context, "p1");
         const other = await startPeerNetwork(context, "p2", { maximumRunningCalls: 1 });
         other.handle(PeerMethod.AskClaim, () => new Promise(() => undefined));
@@ -237,20 +237,20 @@
         assert.equal(verdictOf(refused), ExecutionVerdict.NotRun);
     });
 
-    it("speaks mutual TLS where it is set, and takes nobody without a certificate of the authority", async context => {
+    it("uses mutual TLS if configured, and refuses peers without a certificate of the authority", async context => {
         const tls = await createTls();
         const one = await startPeerNetwork(context, "p1", { tls });
         const other = await startPeerNetwork(context, "p2", { tls });
         other.handle(PeerMethod.AskClaim, () => ({ fine: true }));
         await connectNetworks(one, other);
         assert.ok((await one.request("p2", PeerMethod.AskClaim, {}, within())).isOk);
-        const taken = recordAccepted(other);
-        for (const strangerTls of [undefined, { ...await createTls(), authority: tls.authority }]) {
+        const accepted = recordAccepted(other);
+        for (const otherTls of [undefined, { ...await createTls(), authority: tls.authority }]) {
             const eventLog = new MemoryEventLog();
-            const stranger = await startPeerNetwork(context, "p3", { tls: strangerTls, eventLog });
-            stranger.connect(other.self.peerAddress);
+            const unknownPeer = await startPeerNetwork(context, "p3", { tls: otherTls, eventLog });
+            unknownPeer.connect(other.self.peerAddress);
             await waitUntil(() => eventLog.events.length > 0);
         }
-        assert.deepEqual(taken, []);
+        assert.deepEqual(accepted, []);
     });
 });
--- a/packages/daisyturn/src/connection/__tests__/lineReader.test.ts
+++ b/packages/daisyturn/src/connection/__tests__/lineReader.test.ts
@@ -25,7 +25,7 @@
 }
 
 describe("createLineReader", () => {
-    it("gives the same lines however the bytes are cut, up to the first that is too long", () => {
+    it("returns the same lines however the bytes are split, up to the first line that is too long", () => {
         const sizes = fastCheck.array(fastCheck.integer({ min: 1, max: 20 }), { minLength: 1 });
         fastCheck.assert(fastCheck.property(fastCheck.array(line), sizes, (lines, chunkSizes) => {
             const firstLong = lines.findIndex(text => Buffer.byteLength(text) > maximumBytes);
@@ -37,7 +37,7 @@
         }));
     });
 
-    it("never throws, whatever the bytes, and gives up on broken UTF-8", () => {
+    it("never throws for any bytes, and fails on invalid UTF-8", () => {
         fastCheck.assert(fastCheck.property(fastCheck.uint8Array(), bytes => {
             const { lines, fault } = readInChunks(bytes, [3]);
             assert.ok(fault !== undefined || lines.every(text => !text.includes("\n")));
@@ -45,7 +45,7 @@
         assert.equal(readInChunks(Buffer.from([0xff, 0x0a]), [2]).fault, LineFault.NotUtf8);
     });
 
-    it("does not hold more than the limit of a line without end", () => {
+    it("does not buffer more than the limit of a line without a line feed", () => {
         const reader = createLineReader(maximumBytes);
         assert.ok(reader.push(Buffer.alloc(maximumBytes, "a")).isOk);
         assert.ok(reader.push(Buffer.from("a")).isErr);
--- a/packages/daisyturn/src/connection/__tests__/rpcConnection.test.ts
+++ b/packages/daisyturn/src/connection/__tests__/rpcConnection.test.ts
@@ -14,7 +14,7 @@
     silenceLimitMilliseconds: 1_000,
 });
 
-/** A connection whose other end is a bare socket that nobody reads. */
+/** Opens a connection whose other end is a plain socket that is not read. */
 async function connectToStalledPeer(context: TestContext) {
     const server = createServer({ pauseOnConnect: true });
     context.after(() => server.close());
@@ -41,21 +41,21 @@
 const large = { text: "a".repeat(10_000) };
 
 describe("createRpcConnection", () => {
-    it("drops notifications for a peer that does not read, then refuses requests, and bounds what it holds", async context => {
+    it("drops notifications to a stalled peer, then refuses requests, and limits the buffered bytes", async context => {
         const { connection, counters, socket } = await connectToStalledPeer(context);
         await waitUntil(() => {
             connection.notify("work", large);
             return counters.notificationsDropped > 10;
         });
-        const heldByNotifications = socket.writableLength;
+        const bufferedNotificationBytes = socket.writableLength;
         const requests = Array.from({ length: 20 }, () => connection.request("work", large, 1_000));
         const refused = await Promise.any(requests);
         assert.ok(refused.isErr && refused.error.verdict === ExecutionVerdict.NotRun);
-        assert.ok(heldByNotifications < settings.maximumOutgoingBytes);
+        assert.ok(bufferedNotificationBytes < settings.maximumOutgoingBytes);
         assert.ok(socket.writableLength < settings.maximumOutgoingBytes + 2 * large.text.length);
     });
 
-    it("closes rather than lose an answer in silence", async context => {
+    it("closes the connection when an answer can't be sent", async context => {
         const { connection, peer } = await connectToStalledPeer(context);
         for (let id = 1; connection.isOpen(); id++) {
             peer.write(`${JSON.stringify({ jsonrpc: "2.0", id, method: "work", params: {} })}\n`);
@@ -64,7 +64,7 @@
         assert.match(await connection.closed, /too many bytes/);
     });
 
-    it("closes when nothing has come for too long, but not for its own pause", async context => {
+    it("closes when nothing is received for too long, but not because this process was stalled", async context => {
         const { clock, connection, counters, peer } = await connectToStalledPeer(context);
         await clock.advance(1_050);
         peer.write("{\"jsonrpc\":\"2.0\",\"method\":\"work\"}\n");
--- a/packages/daisyturn/src/connection/createPeerNetwork.ts
+++ b/packages/daisyturn/src/connection/createPeerNetwork.ts
@@ -37,7 +37,7 @@
 const peerMethods: readonly string[] = Object.values(PeerMethod);
 
 export interface PeerNetworkOptions extends PeerNetworkSettingsInput {
-    /** Its `peerAddress` is what peers dial. With port 0 it is filled in by `start`. */
+    /** Peers connect to its `peerAddress`. Port 0 is replaced with the actual port by `start`. */
     readonly self: ProcessIdentity;
     readonly clock: Clock;
     readonly hybridClock: HybridLogicalClock;
@@ -45,17 +45,17 @@
     readonly random: Random;
 }
 
-/** Calls between processes over TCP. */
+/** RPC between processes over TCP. */
 export abstract class TcpPeerNetwork extends DialingPeerNetwork {
-    /** Listens. Rejects if the address can't be had. */
+    /** Starts to listen. Rejects if the address is not available. */
     abstract start(): Promise<void>;
-    /** Closes the listener and all connections; bytes already written are let out first. */
+    /** Closes the listener and all connections. Bytes that are already written are flushed first. */
     abstract stop(): Promise<void>;
-    /** What all connections together have moved. */
+    /** Totals over all connections. */
     abstract readonly traffic: Readonly<TrafficCounters>;
 }
 
-/** Creates the connections of one process to its peers. Throws on settings that can't be taken. */
+/** Creates the connections of one process to its peers. Throws if the settings are invalid. */
 export function createPeerNetwork(options: PeerNetworkOptions): TcpPeerNetwork {
     const { self: givenSelf, clock, hybridClock, eventLog, random, ...input } = options;
     const settings = peerNetworkSettingsSchema.parse(input);
@@ -101,7 +101,7 @@
         return await handler(peer, parameters);
     };
 
-    /** Connects and proves. */
+    /** Connects to a peer and performs the handshake. */
     const dial = async (address: string, deadline: number, signal: AbortSignal): Promise<PeerLink | string> =>
         await authenticate(await openPeerSocket(address, settings.tls, signal), deadline);
 
--- a/packages/daisyturn/src/connection/lineReader.ts
+++ b/packages/daisyturn/src/connection/lineReader.ts
@@ -2,23 +2,23 @@
 
 const lineFeed = 0x0a;
 
-/** What made the reader give up. */
+/** Why a stream can't be read any further. */
 export enum LineFault {
     TooLong = "too_long",
     NotUtf8 = "not_utf8",
 }
 
-/** Cuts a stream of bytes into lines. */
+/** Splits a stream of bytes into lines. */
 export interface LineReader {
-    /** Takes bytes in; returns the lines that they completed, without line feeds, or why the stream can't go on. */
+    /** Adds bytes. Returns the lines that they complete, without line feeds, or a fault that ends the stream. */
     push(chunk: Uint8Array): Result<readonly string[], LineFault>;
-    /** Sets the limit for lines that are not complete yet. */
+    /** Sets the limit for lines that are not yet complete. */
     setMaximumBytes(maximumBytes: number): void;
 }
 
 /**
  * Creates a reader of one stream.
- * @param maximumBytes longest line taken, without its line feed; the reader never holds more
+ * @param maximumBytes maximum length of a line, without its line feed; the reader never buffers more
  */
 export function createLineReader(maximumBytes: number): LineReader {
     const decoder = new TextDecoder("utf-8", { fatal: true, ignoreBOM: true });
--- a/packages/daisyturn/src/connection/listenAt.ts
+++ b/packages/daisyturn/src/connection/listenAt.ts
@@ -2,8 +2,8 @@
 import type { ListenAddress } from "./caller/callerServerOptions.js";
 
 /**
- * Opens a server's port; rejects where it can't be opened.
- * @param backlog connections that wait to be taken; the system's own number if absent
+ * Opens a server's port. Rejects if it can't be opened.
+ * @param backlog maximum number of connections that wait to be accepted; the system's default if absent
  */
 export function listenAt(server: Server, { address, port }: ListenAddress, backlog?: number): Promise<void> {
     return new Promise((resolve, reject) => {
--- a/packages/daisyturn/src/connection/peerAcceptor.ts
+++ b/packages/daisyturn/src/connection/peerAcceptor.ts
@@ -10,7 +10,7 @@
     readonly key: CellKey;
     readonly clock: Clock;
     readonly eventLog: EventLog;
-    /** Longest time until the other side has proved who it is. */
+    /** Time within which the other side must have proved its identity. */
     readonly limitMilliseconds: number;
     readonly openConnection: (socket: Socket, answer: RpcHandler) => RpcConnection;
     /** False if the link is refused. */
@@ -18,10 +18,10 @@
     readonly callHandler: (peer: ProcessIdentity, method: string, parameters: JsonObject) => Promise<JsonObject>;
 }
 
-/** Strangers are logged once for each address, and only so many of them, so that they can't fill the log. */
+/** Unauthenticated peers are logged once per address, up to this number, so that they can't fill the log. */
 const maxReportedAddresses = 100;
 
-/** Creates what takes the sockets of peers that dial this process. */
+/** Creates the function that accepts the sockets of peers that connect to this process. */
 export function createPeerAcceptor(options: PeerAcceptorOptions): (socket: Socket) => void {
     const { clock, eventLog, openConnection, addLink, callHandler } = options;
     const reportedAddresses = new Set<string>();
--- a/packages/daisyturn/src/connection/peerDialer.ts
+++ b/packages/daisyturn/src/connection/peerDialer.ts
@@ -1,7 +1,7 @@
 import { type Clock, EventKind, type EventLog, type Random } from "daisyturn-utils";
 import type { PeerLink } from "./peerLinks.js";
 
-/** Milliseconds before the second try to connect; doubled with each further one up to the longest. */
+/** Upper bound of the delay before a reconnect. It doubles with each consecutive failure, up to the maximum. */
 const minBackoffMilliseconds = 100;
 const maxBackoffMilliseconds = 5_000;
 
@@ -9,15 +9,18 @@
     readonly clock: Clock;
     readonly random: Random;
     readonly eventLog: EventLog;
-    /** Longest time for one try. */
+    /** Time limit of one attempt. */
     readonly limitMilliseconds: number;
-    /** Connects and proves; a text tells why it failed, as does a rejection. The signal is aborted at the deadline. */
+    /**
+     * Connects and performs the handshake. Resolves with the reason as a text, or rejects, if that fails. The signal is
+     * aborted at the deadline.
+     */
     readonly dial: (address: string, deadline: number, signal: AbortSignal) => Promise<PeerLink | string>;
-    /** A link that the peer at this address has made from its side. */
+    /** Finds an open link with this address, such as one that the peer has opened from its side. */
     readonly findLink: (address: string) => PeerLink | undefined;
 }
 
-/** Keeps one task for each address that is to be connected. */
+/** Runs one task for each address that is to be connected. */
 export interface PeerDialer {
     connect(address: string): void;
     disconnect(address: string): void;
@@ -28,7 +31,7 @@
     const { clock, random, eventLog, limitMilliseconds, dial, findLink } = options;
     const tasks = new Map<string, AbortController>();
 
-    /** The task of one address: connect, wait until the connection ends, connect again. */
+    /** The task of one address: connects, waits until the connection ends, and reconnects. */
     const maintainConnection = async (address: string, signal: AbortSignal) => {
         let failures = 0;
         let lastReason: string | undefined;
--- a/packages/daisyturn/src/connection/peerHandshake.ts
+++ b/packages/daisyturn/src/connection/peerHandshake.ts
@@ -4,15 +4,15 @@
 import { type ProcessIdentity, processIdentitySchema } from "../process/peers/index.js";
 import { createRefusal, type RpcConnection } from "./rpcConnection.js";
 
-/** Calls of the handshake; no other call is taken before it is done. */
+/** Calls of the handshake. No other call is accepted before it is complete. */
 export enum HandshakeMethod {
-    /** Tells identity and nonce of the dialing side; answered with those of the other and its proof. */
+    /** Sends identity and nonce of the dialing side. The answer has those of the accepting side and its proof. */
     Hello = "hello",
-    /** Brings the proof of the dialing side. */
+    /** Sends the proof of the dialing side. */
     Prove = "prove",
 }
 
-/** Which side of a connection a proof is for, so that a proof can't be sent back as one's own. */
+/** The side of a connection that made a proof. It is part of the proof, so that a proof can't be reflected. */
 enum Side {
     Dialing = "dialing",
     Accepting = "accepting",
@@ -27,22 +27,24 @@
 
 type Hello = z.infer<typeof helloSchema>;
 
-/** What all processes of one cell know. */
+/** The cell's name and secret, known to all its processes. */
 export interface CellKey {
     readonly cell: string;
     readonly secret: string;
 }
 
-/** Both sides' hellos, over which the proofs are made. */
+/** The hellos of both sides, over which the proofs are computed. */
 interface Exchange {
     readonly dialing: Hello;
     readonly accepting: Hello;
 }
 
 /**
- * Shows who this process is and demands proof of the other side.
- * The dialing side proves itself last, so that a stranger who dials gets the other's proof for a nonce of its own only.
- * @param onAuthenticated called once the other side has proved itself: it may send at once after it has taken this side's proof
+ * Performs the handshake as the dialing side: authenticates this process and the other side to each other.
+ * The accepting side proves its identity first. It does so only over a nonce of the dialing side, so an unknown process
+ * that connects gets no proof that it could use elsewhere.
+ * @param onAuthenticated called once the other side has proved its identity, and before this side's proof is sent: the
+ * other side may send calls as soon as it has accepted that proof
  * @returns the peer, or why either side refused
  */
 export async function performHandshake(
@@ -72,7 +74,7 @@
 /** The accepting side of one handshake. */
 export interface HandshakeResponder {
     answerHello(parameters: JsonObject): JsonObject;
-    /** The peer if its proof is right. */
+    /** Returns the peer if its proof is valid. */
     checkProof(parameters: JsonObject): ProcessIdentity | undefined;
 }
 
@@ -100,7 +102,7 @@
     return { identity, nonce: randomBytes(nonceBytes).toString("hex") };
 }
 
-/** HMAC over the cell, the side and both hellos: it holds for this connection and these identities only. */
+/** HMAC over the cell, the side and both hellos, so that it is valid for this connection and these identities only. */
 function computeProof({ cell, secret }: CellKey, side: Side, exchange: Exchange): string {
     const { dialing, accepting } = exchange;
     const parts = [cell, side, ...describeHello(dialing), ...describeHello(accepting)];
--- a/packages/daisyturn/src/connection/peerLinks.ts
+++ b/packages/daisyturn/src/connection/peerLinks.ts
@@ -2,30 +2,31 @@
 import type { ProcessIdentity } from "../process/peers/index.js";
 import type { RpcConnection } from "./rpcConnection.js";
 
-/** A connection whose peer has proved who it is. */
+/** A connection whose peer has proved its identity. */
 export interface PeerLink {
     readonly peer: ProcessIdentity;
     readonly connection: RpcConnection;
 }
 
-/** The proved connections of this process. */
+/** The authenticated connections of this process. */
 export interface PeerLinks {
-    /** False if the peer may not be linked: it bears this process's own id, or a later run of it is linked. */
+    /** False if the peer is refused: it has the id of this process, or a later incarnation of it is linked. */
     add(link: PeerLink): boolean;
     remove(link: PeerLink): void;
-    /** The connection to send on. */
+    /** Returns the link on which to send. */
     find(processId: string): PeerLink | undefined;
     findByAddress(address: string): PeerLink | undefined;
     all(): readonly PeerLink[];
 }
 
-/** Time that the other side has to move over to the newer of two links before the older is closed. */
+/** Time for the other side to switch to the newer of two links before the older one is closed. */
 const overlapMilliseconds = 2_000;
 
 /**
- * Keeps the links. Two processes that dial each other at once get two links. If both sides chose which one stays, they
- * could choose differently and close both; so only the one whose id sorts first chooses: it sends on the newer link and
- * closes the older after a while, and the other sends on that where it last received something.
+ * Creates the set of links. Two processes that connect to each other simultaneously get two links. If both sides
+ * selected the one to retain, they could select different ones and close both. Therefore only the process whose id
+ * sorts first selects: it sends on the newer link and closes the older one after {@link overlapMilliseconds}. The other
+ * process sends on the link on which it last received something.
  */
 export function createPeerLinks(self: ProcessIdentity, clock: Clock): PeerLinks {
     const links = new Map<string, PeerLink[]>();
@@ -49,9 +50,9 @@
     };
 
     const closeAfterOverlap = async (older: PeerLink, newer: PeerLink) => {
-        const over = new AbortController();
-        void Promise.race([older.connection.closed, newer.connection.closed]).then(() => over.abort());
-        await clock.sleepUntil(clock.monotonicNow() + overlapMilliseconds, over.signal);
+        const closing = new AbortController();
+        void Promise.race([older.connection.closed, newer.connection.closed]).then(() => closing.abort());
+        await clock.sleepUntil(clock.monotonicNow() + overlapMilliseconds, closing.signal);
         if (newer.connection.isOpen()) {
             older.connection.close();
         }
--- a/packages/daisyturn/src/connection/peerNetworkSettings.ts
+++ b/packages/daisyturn/src/connection/peerNetworkSettings.ts
@@ -1,12 +1,12 @@
 import { z } from "zod";
 
-/** Where the peer listener stands. Port 0 takes any free port. */
+/** Address of the listener for peers. Port 0 selects any free port. */
 export interface PeerListenSettings {
     readonly host: string;
     readonly port: number;
 }
 
-/** Mutual TLS between peers, as PEM texts. A peer must show a certificate signed by `authority`. */
+/** Mutual TLS between peers, as PEM texts. A peer must present a certificate signed by `authority`. */
 export interface PeerTlsSettings {
     readonly certificate: string;
     readonly key: string;
@@ -16,29 +16,29 @@
 /** Settings of the connections to peers. */
 export interface PeerNetworkSettings {
     readonly listen: PeerListenSettings;
-    /** Known to all processes of the cell and to nobody else. */
+    /** Secret shared by all processes of the cell, and by nobody else. */
     readonly secret: string;
     /**
-     * Name of the cell, part of every proof. Cells that share a secret stay apart by it, also when a VM gets an address
-     * that was used in another cell.
+     * Name of the cell, part of every proof. It separates cells that share a secret, even if a VM gets an address that
+     * was used in another cell.
      */
     readonly cell: string;
     readonly tls?: PeerTlsSettings;
-    /** A connection whose peer has sent nothing for so long is closed and made anew. */
+    /** A connection on which nothing is received for this time is closed and reopened. */
     readonly silenceLimitMilliseconds: number;
-    /** Time for connecting and for proving who both sides are. */
+    /** Time limit for connecting and for the handshake. */
     readonly handshakeLimitMilliseconds: number;
-    /** Longest line taken from a peer. */
+    /** Maximum length of a line from a peer. */
     readonly maximumLineBytes: number;
-    /** Bytes that may wait for a slow peer; notifications are dropped from half of it on. */
+    /** Bytes that may be buffered for a slow peer. Notifications are dropped once half of it is used. */
     readonly maximumOutgoingBytes: number;
-    /** Calls of one peer that may run at once; further ones are refused as not run. */
+    /** Calls of one peer that may run concurrently. Further calls are refused as not run. */
     readonly maximumRunningCalls: number;
 }
 
 const minimumSecretLength = 16;
 
-/** Checks settings and fills in defaults. */
+/** Validates settings and applies defaults. */
 export const peerNetworkSettingsSchema = z.strictObject({
     listen: z.strictObject({
         host: z.string().min(1),
@@ -58,5 +58,5 @@
     maximumRunningCalls: z.int().min(1).default(256),
 });
 
-/** Settings as a caller gives them, before defaults. */
+/** Settings as given, before defaults are applied. */
 export type PeerNetworkSettingsInput = z.input<typeof peerNetworkSettingsSchema>;
--- a/packages/daisyturn/src/connection/peerSockets.ts
+++ b/packages/daisyturn/src/connection/peerSockets.ts
@@ -7,10 +7,10 @@
 } from "node:tls";
 import type { PeerTlsSettings } from "./peerNetworkSettings.js";
 
-/** Connections that may be open at once, proved or not. */
+/** Connections that may be open at once, authenticated or not. */
 const maxConnections = 1_024;
 
-/** Listens for sockets, with mutual TLS where it is set. */
+/** Creates the server for peers, with mutual TLS if it is configured. */
 export function createPeerServer(tls: PeerTlsSettings | undefined, onSocket: (socket: Socket) => void): Server {
     const server = tls
         ? createTlsServer(listeningTlsOptions(tls), onSocket)
@@ -57,8 +57,9 @@
 }
 
 /**
- * Peers are known by IP numbers that change with each replaced VM, so a certificate is not tied to an address: whoever
- * holds one that the cell's authority has signed is let in as far as TLS goes, and then has to prove the shared secret.
+ * Peers are addressed by IP numbers, which change with each replaced VM, so certificates are not bound to an address.
+ * TLS accepts any certificate that the cell's authority has signed. The handshake then requires proof of the shared
+ * secret.
  */
 function dialingTlsOptions(tls: PeerTlsSettings): ConnectionOptions {
     return { ...commonTlsOptions(tls), rejectUnauthorized: true, checkServerIdentity: () => undefined };
--- a/packages/daisyturn/src/connection/rpcConnection.ts
+++ b/packages/daisyturn/src/connection/rpcConnection.ts
@@ -23,17 +23,17 @@
 import { createLineReader } from "./lineReader.js";
 import type { PeerNetworkSettings } from "./peerNetworkSettings.js";
 
-/** Code of an error answer to a call that was refused before it began. */
+/** Code of an error answer to a call that was refused before it started. */
 const refusedCode = -32_000;
 const noAnswerCode = -32_001;
 
-/** Longest line taken before the other side has proved who it is. */
+/** Maximum length of a line before the other side has proved its identity. */
 const maxUnauthenticatedLineBytes = 4_096;
 
-/** Time for bytes that wait to leave when a connection is closed in good order. */
+/** Time for flushing buffered bytes when a connection is closed gracefully. */
 const closeLimitMilliseconds = 500;
 
-/** What a connection moved, headers of lower layers not counted. */
+/** Traffic of connections, without the headers of lower layers. */
 export interface TrafficCounters {
     messagesSent: number;
     bytesSent: number;
@@ -46,7 +46,7 @@
     return { messagesSent: 0, bytesSent: 0, messagesReceived: 0, bytesReceived: 0, notificationsDropped: 0 };
 }
 
-/** Answers the calls that come in. Throw {@link createRefusal} for a call that did not begin. */
+/** Handles incoming calls. Throws {@link createRefusal} for a call that was refused before it started. */
 export type RpcHandler = (method: string, parameters: JsonObject) => Promise<JsonObject>;
 
 export interface RpcConnectionOptions {
@@ -59,17 +59,17 @@
     readonly counters: TrafficCounters;
 }
 
-/** JSON-RPC in both directions over one socket, one message a line. */
+/** Bidirectional JSON-RPC over one socket, with one message per line. */
 export interface RpcConnection {
-    /** Fails with PeerUnavailable: NotRun if nothing was written or the peer refused, else MayHaveRun. */
+    /** Fails with PeerUnavailable: NotRun if nothing was written or the peer refused the call, else MayHaveRun. */
     request(method: string, parameters: JsonObject, deadline: number): Promise<Result<JsonObject, Failure>>;
     notify(method: string, parameters: JsonObject): void;
-    /** Takes long lines and the peer's stamps from now on. */
+    /** From now on accepts long lines and applies the peer's clock stamps. Called once the peer is authenticated. */
     trust(): void;
     isOpen(): boolean;
-    /** Monotonic time of the last bytes. */
+    /** Monotonic time at which the last bytes were received. */
     lastReceivedAt(): number;
-    /** Lets written bytes leave, then closes. */
+    /** Flushes written bytes, then closes. */
     close(): void;
     /** Closes at once. */
     destroy(reason: string): void;
@@ -77,18 +77,18 @@
     readonly closed: Promise<string>;
 }
 
-/** The error that tells the caller that its call did not begin. */
+/** Creates the error that reports to the requesting side that its call did not start. */
 export function createRefusal(message: string): Error {
     return new JSONRPCErrorException(message, refusedCode);
 }
 
-/** What the sending function learns about one message, and tells of it. */
+/** Passed to the sending function with each message. The function sets `isWritten`. */
 interface MessageStatus {
     readonly isNotification: boolean;
     isWritten: boolean;
 }
 
-/** Wraps a socket that is connected. */
+/** Wraps a connected socket. */
 export function createRpcConnection(options: RpcConnectionOptions): RpcConnection {
     const { socket, clock, hybridClock, settings, counters } = options;
     const reader = createLineReader(maxUnauthenticatedLineBytes);
@@ -119,7 +119,7 @@
         socket.write(line);
     };
 
-    /** An answer that can't be sent must not be lost in silence: the caller learns it from the closed connection. */
+    /** Closes the connection if an answer can't be sent, so that the requesting side detects the lost answer. */
     const writeAnswer = (message: object) => {
         try {
             write(message, { isNotification: false, isWritten: false });
@@ -212,7 +212,10 @@
         return readAnswer(response, status);
     };
 
-    /** After a pause the timer fires before the bytes that came meanwhile are read; hence the second look. */
+    /**
+     * Closes the connection if nothing has been received for too long. If this process was stalled, the timer fires
+     * before the bytes that arrived meanwhile are read, hence the second check.
+     */
     const watchSilence = async () => {
         while (!closing.signal.aborted) {
             await clock.sleepUntil(lastReceivedAt + settings.silenceLimitMilliseconds, closing.signal);
