--- a/packages/daisyturn/src/connection/operator/__tests__/createClaimRoutes.test.ts
+++ b/packages/daisyturn/src/connection/operator/__tests__/createClaimRoutes.test.ts
@@ -5,7 +5,7 @@
 import { createClaimRoutes } from "../createClaimRoutes.js";
 import { matchRoute } from "../operatorRoutes.js";
 
-it("shows a claim to its partner's operators only, and never the answer", async () => {
+it("returns a claim only to operators of its partner, and without the answer", async () => {
     const { clock, startManager, send } = createClaimBench();
     const claimManager = startManager("p");
     await claimManager.runOnce(createClaimRequest(clock), send);
--- a/packages/daisyturn/src/connection/operator/__tests__/createOperatorServer.test.ts
+++ b/packages/daisyturn/src/connection/operator/__tests__/createOperatorServer.test.ts
@@ -79,14 +79,14 @@
     const publish = (partner: string, writeId: string, ...changes: ItemChange[]) =>
         call(partner, "POST", "/v1/changes", { writeId, changes });
 
-    it("refuses calls without a known key, of an unknown path, and with a broken or too long body", async () => {
+    it("refuses requests with an unknown key, an unknown path, or an invalid or too long body", async () => {
         assert.equal((await call("east", "GET", "/v1/items")).status, 401);
         assert.equal((await call("north", "GET", "/v1/nothing")).status, 404);
         assert.equal((await fetchFrom("north", "POST", "/v1/changes", "{")).status, 400);
         assert.equal((await fetchFrom("north", "POST", "/v1/changes", "x".repeat(1_048_577))).status, 413);
     });
 
-    it("shows a partner its own items and of the other's only targets and holds", async () => {
+    it("shows a partner its own items, and only targets and holds of the other partner", async () => {
         const own = [
             createProfile("north", "dossier"),
             createTarget("north", "engine-1"),
@@ -111,7 +111,7 @@
         assert.equal((await call("south", "DELETE", "/v1/items/target/engine-1")).status, 404);
     });
 
-    it("writes, shows and removes an item by its path, and pages through many", async () => {
+    it("writes, returns and removes an item by its path, and lists items in pages", async () => {
         const { kind, partner, name, ...fields } = createProfile("north", "dossier");
         const path = `/v1/items/${kind}/${name}`;
         assert.equal((await call(partner, "PUT", path, fields)).status, 200);
@@ -127,7 +127,7 @@
         assert.equal((await call(partner, "GET", path)).status, 404);
     });
 
-    it("tells in a dry run what a change would do, and changes nothing", async () => {
+    it("returns the effects of a change in a dry run, without applying it", async () => {
         await publish("north", "w-1", put(createProfile("north", "dossier")));
         const changes = [
             put(createProfile("north", "dossier", { maxOutputTokens: 7 })),
@@ -140,7 +140,7 @@
         assert.equal(process.configurationManager.current().generation, 1);
     });
 
-    it("tells what became of a write id, and cancels one that was not accepted", async () => {
+    it("returns the outcome of a write id, and cancels a change that was not accepted", async () => {
         await publish("north", "w-1", put(createProfile("north", "dossier")));
         const stateOf = async (method: string, path: string) =>
             (await call("north", method, `/v1/changes/${path}`)).body["state"];
@@ -182,7 +182,7 @@
         assert.equal((await call("north", "GET", "/v1/retirements/profile/dossier")).body["isComplete"], true);
     });
 
-    it("says not run of a change without a write id during an outage, and may have run of one with", async () => {
+    it("reports a change without a write id in an outage as not run, and one with it as may have run", async () => {
         cell.store.setStandingFault(TableFaultKind.Down);
         const fresh = await call("north", "PUT", "/v1/items/profile/p", { ...createProfile("north", "p") });
         assert.deepEqual([fresh.status, fresh.body.error?.verdict], [503, "not_run"]);
@@ -190,7 +190,7 @@
         assert.deepEqual([named.status, named.body.error?.verdict], [503, "may_have_run"]);
     });
 
-    it("serves other modules' routes with the operator's identity, and passes on when to retry", async () => {
+    it("serves routes of other modules with the operator's identity, and sends Retry-After", async () => {
         const response = await fetchFrom("south", "GET", "/v1/extra/a%20b");
         assert.equal(response.headers.get("retry-after"), "3");
         assert.match(await response.text(), /south-op a b/);
--- a/packages/daisyturn/src/connection/operator/configurationRoutes.ts
+++ b/packages/daisyturn/src/connection/operator/configurationRoutes.ts
@@ -8,7 +8,7 @@
 import { buildAnswer } from "./operatorAnswers.js";
 import { OperatorMethod, type OperatorRoutes } from "./operatorRoutes.js";
 
-/** What the routes work on. */
+/** Options of {@link createConfigurationRoutes}. */
 export interface ConfigurationRoutesOptions {
     readonly configurationManager: FleetConfigurationManager;
     readonly membership: Membership;
--- a/packages/daisyturn/src/connection/operator/createChangeRoutes.ts
+++ b/packages/daisyturn/src/connection/operator/createChangeRoutes.ts
@@ -14,13 +14,13 @@
     limit: z.coerce.number().int().min(1).max(maxHistoryLength).default(defaultHistoryLength),
 });
 
-/** What the routes work on. */
+/** Options of {@link createChangeRoutes}. */
 export interface ChangeRoutesOptions {
     readonly configurationManager: FleetConfigurationManager;
     readonly ids: IdSource;
 }
 
-/** Routes that publish changes, try them out, and tell what became of them. */
+/** Creates the routes that publish, preview and cancel changes, and that return their outcome and history. */
 export function createChangeRoutes({ configurationManager, ids }: ChangeRoutesOptions): OperatorRoutes {
     const postChange = async ({ operator, query, body }: OperatorRequest) => {
         const parsed = changeBodySchema.safeParse(body);
--- a/packages/daisyturn/src/connection/operator/createClaimRoutes.ts
+++ b/packages/daisyturn/src/connection/operator/createClaimRoutes.ts
@@ -3,7 +3,7 @@
 import type { ProcessClaimManager } from "../../request/claims/createClaimManager.js";
 import { OperatorMethod, type OperatorRequest, type OperatorRoutes } from "./operatorRoutes.js";
 
-/** Shows operators the claims of their own partner's callers, without the answers. */
+/** Creates the route that returns claims of the operator's own partner, without the answers. */
 export function createClaimRoutes(claimManager: Pick<ProcessClaimManager, "inspect">): OperatorRoutes {
     return [{
         method: OperatorMethod.Get,
--- a/packages/daisyturn/src/connection/operator/createIdentityRoutes.ts
+++ b/packages/daisyturn/src/connection/operator/createIdentityRoutes.ts
@@ -1,7 +1,7 @@
 import { buildAnswer } from "./operatorAnswers.js";
 import { OperatorMethod, type OperatorRoutes } from "./operatorRoutes.js";
 
-/** Tells whose key a client uses: changes name the partner, and only the server knows it for sure. */
+/** Route that returns the operator of the client's key. Changes name the partner, which only the server can verify. */
 export function createIdentityRoutes(): OperatorRoutes {
     return [{
         method: OperatorMethod.Get,
--- a/packages/daisyturn/src/connection/operator/createItemRoutes.ts
+++ b/packages/daisyturn/src/connection/operator/createItemRoutes.ts
@@ -14,18 +14,18 @@
 
 const listQuerySchema = z.object({
     kind: z.enum(ItemKind).optional(),
-    /** `next` of the page before. */
+    /** Value of `next` from the previous page. */
     after: z.string().default(""),
     limit: z.coerce.number().int().min(1).max(maxPageSize).default(defaultPageSize),
 });
 
-/** What the routes work on. */
+/** Options of {@link createItemRoutes}. */
 export interface ItemRoutesOptions {
     readonly configurationManager: FleetConfigurationManager;
     readonly ids: IdSource;
 }
 
-/** Routes that show, write and remove single items. */
+/** Creates the routes that list, return, write and remove single items. */
 export function createItemRoutes({ configurationManager, ids }: ItemRoutesOptions): OperatorRoutes {
     const listItems = ({ operator, query }: OperatorRequest) => {
         const parsed = listQuerySchema.safeParse(Object.fromEntries(query));
@@ -57,7 +57,7 @@
 
     const putItem = async ({ operator, parameters, query, body }: OperatorRequest) => {
         const named = { ...parameters, partner: operator.partner };
-        // The path names the item; a body that names another one is refused rather than overruled.
+        // The path names the item. A body that names another item is refused rather than overridden.
         const item = itemSchema.safeParse({ ...named, ...(body instanceof Object ? body : {}) });
         const guards = readGuards(query);
         if (!item.success || !guards.success) {
--- a/packages/daisyturn/src/connection/operator/createOperatorServer.ts
+++ b/packages/daisyturn/src/connection/operator/createOperatorServer.ts
@@ -27,13 +27,13 @@
 const requestMilliseconds = 30_000;
 const millisecondsPerSecond = 1_000;
 
-/** What the operators' server needs. */
+/** Options of {@link createOperatorServer}. */
 export interface OperatorServerOptions {
     readonly listen: { readonly host: string; readonly port: number; };
-    /** PEM texts. Without them the server speaks plain HTTP. */
+    /** PEM texts. Without them the server uses plain HTTP. */
     readonly tls?: { readonly key: string; readonly certificate: string; readonly authority?: string; };
     readonly operators: readonly OperatorKey[];
-    /** Routes of all modules; the first match counts. */
+    /** Routes of all modules. The first match applies. */
     readonly routes: OperatorRoutes;
     readonly clock: Clock;
     readonly eventLog: EventLog;
@@ -42,11 +42,11 @@
 /** The running server. */
 export interface OperatorServer {
     readonly port: number;
-    /** Lets running calls end, then closes. */
+    /** Waits for running requests, then closes. */
     close(): Promise<void>;
 }
 
-/** Starts the HTTP server for operators. Rejects if the address can't be had. */
+/** Starts the HTTP server for operators. Rejects if the address is not available. */
 export async function createOperatorServer(options: OperatorServerOptions): Promise<OperatorServer> {
     const server = createHttpServer(options, (request, response) => {
         void serveRequest(options, request, response);
@@ -133,7 +133,7 @@
     return URL.canParse(target, "http://operator") ? new URL(target, "http://operator") : undefined;
 }
 
-/** Compares with every key, so that the time tells nothing of which one is near. */
+/** Compares with every key in constant time, so that the duration reveals nothing about the keys. */
 function authenticate(operators: readonly OperatorKey[], header: string | undefined): OperatorIdentity | undefined {
     const key = header?.match(/^Bearer +(\S+)$/i)?.[1];
     if (key === undefined) {
--- a/packages/daisyturn/src/connection/operator/createRetirementRoutes.ts
+++ b/packages/daisyturn/src/connection/operator/createRetirementRoutes.ts
@@ -8,16 +8,16 @@
 import { type OperatorIdentity, OperatorMethod, type OperatorRequest, type OperatorRoutes } from "./operatorRoutes.js";
 import { publishForOperator, publishGuardsSchema } from "./publishForOperator.js";
 
-/** Kinds under which requests run, and which are therefore retired rather than just removed. */
+/** Kinds of items under which requests run. They are therefore retired rather than just removed. */
 const retirableKinds = [ItemKind.Profile, ItemKind.Service, ItemKind.CallerAccount] as const;
 const maxWaitMilliseconds = 30_000;
-/** Between two questions to all processes while an operator waits. */
+/** Interval between two queries to all processes while an operator waits. */
 const pollIntervalMilliseconds = 250;
 
 const retireBodySchema = publishGuardsSchema.extend({
     kind: z.enum(retirableKinds),
     name: z.string(),
-    /** With a profile: removes the services that run under it as well. */
+    /** For a profile: also removes the services that use it. */
     withServices: z.boolean().default(false),
 }).strict();
 
@@ -26,14 +26,14 @@
     waitMilliseconds: z.coerce.number().int().min(0).max(maxWaitMilliseconds).default(0),
 });
 
-/** What the routes work on. */
+/** Options of {@link createRetirementRoutes}. */
 export interface RetirementRoutesOptions {
     readonly configurationManager: FleetConfigurationManager;
     readonly ids: IdSource;
     readonly clock: Clock;
 }
 
-/** Routes that retire items and tell when nothing runs under them any more. */
+/** Creates the routes that retire items and report when no request runs under them any more. */
 export function createRetirementRoutes({ configurationManager, ids, clock }: RetirementRoutesOptions): OperatorRoutes {
     const retire = async ({ operator, body }: OperatorRequest) => {
         const parsed = retireBodySchema.safeParse(body);
@@ -51,7 +51,10 @@
         return await publishForOperator(configurationManager, ids, operator, changes, guards);
     };
 
-    /** The services that go along are found anew at each call, so a repeat can't be told by its changes. */
+    /**
+     * Detects a repeated request by its write id. Its changes can't identify it, because the services to be removed
+     * with a profile are looked up again for each request.
+     */
     const findRepeated = async (operator: OperatorIdentity, writeId: string | undefined) => {
         const outcome = writeId === undefined
             ? undefined
--- a/packages/daisyturn/src/connection/operator/createTargetRoutes.ts
+++ b/packages/daisyturn/src/connection/operator/createTargetRoutes.ts
@@ -12,13 +12,13 @@
     replacement: holdSchema.shape.replacement,
 }).strict();
 
-/** What the routes work on. */
+/** Options of {@link createTargetRoutes}. */
 export interface TargetRoutesOptions {
     readonly configurationManager: FleetConfigurationManager;
     readonly ids: IdSource;
 }
 
-/** Routes that show targets, and place and lift the operator's own holds on them. */
+/** Creates the routes that return targets, and that place and lift the operator's own holds on them. */
 export function createTargetRoutes({ configurationManager, ids }: TargetRoutesOptions): OperatorRoutes {
     const listTargets = () => {
         const version = configurationManager.current();
@@ -35,7 +35,7 @@
             : buildNotFound("target");
     };
 
-    /** @param holdKind absent: the hold is lifted */
+    /** @param holdKind the kind of hold to place; if absent, the hold is lifted */
     const changeHold = (holdKind: HoldKind | undefined): OperatorHandler => async ({ operator, parameters, body }) => {
         const parsed = holdBodySchema.safeParse(body ?? {});
         if (!parsed.success) {
--- a/packages/daisyturn/src/connection/operator/itemVisibility.ts
+++ b/packages/daisyturn/src/connection/operator/itemVisibility.ts
@@ -10,14 +10,14 @@
 import { identityOf } from "../../version/validateChange.js";
 import type { OperatorIdentity } from "./operatorRoutes.js";
 
-/** Targets and holds concern both partners; everything else is seen by its owner only. */
+/** Targets and holds concern both partners. All other items are visible to their owner only. */
 export function canViewItem(operator: OperatorIdentity, identity: ItemIdentity): boolean {
     return identity.partner === operator.partner
         || identity.kind === ItemKind.Target
         || identity.kind === ItemKind.Hold;
 }
 
-/** A change as an operator may see it: another partner's is shown without its items, write id and operator. */
+/** Removes what the operator may not view: other partners' items, and the write id and operator of their changes. */
 export function redactChange(operator: OperatorIdentity, change: AcceptedChange): JsonObject {
     const visible = change.changes.filter(step => canViewItem(operator, identityOf(step)));
     const { generation, partner, acceptedAt } = change;
@@ -25,10 +25,10 @@
     return { generation, partner, acceptedAt, ...own, changes: visible.map(toJson) };
 }
 
-/** Sorting thousands of items for each page would hold up the process's streams. */
+/** Cached, because sorting thousands of items for each page would block the process and delay its streams. */
 const sortedItems = new WeakMap<ConfigurationVersion, readonly ConfigurationItem[]>();
 
-/** A version's items, ordered by kind, partner and name. */
+/** Lists a version's items, sorted by kind, partner and name. */
 export function listSortedItems(version: ConfigurationVersion): readonly ConfigurationItem[] {
     const known = sortedItems.get(version);
     if (known) {
--- a/packages/daisyturn/src/connection/operator/operatorAnswers.ts
+++ b/packages/daisyturn/src/connection/operator/operatorAnswers.ts
@@ -4,22 +4,22 @@
 import { describeProblem } from "../../version/itemSchemas.js";
 import type { OperatorAnswer } from "./operatorRoutes.js";
 
-/** A successful answer. */
+/** Builds a successful answer. */
 export function buildAnswer(value: object): OperatorAnswer {
     return ok<JsonObject, Failure>(toJson(value));
 }
 
-/** Refuses a call for its form. */
+/** Builds the answer to a malformed request. */
 export function buildBadRequest(message: string): OperatorAnswer {
     return err(notRun(FailureReason.BadRequest, message));
 }
 
-/** Refuses a call for the first problem of its body or query. */
+/** Builds the answer to a request with an invalid body or query, with the first problem found. */
 export function buildInvalidInput(error: z.ZodError): OperatorAnswer {
     return buildBadRequest(describeProblem(error));
 }
 
-/** Refuses a call for something that is not there, or not to be seen by this operator. */
+/** Builds the answer to a request for something that does not exist or is not visible to this operator. */
 export function buildNotFound(what: string): OperatorAnswer {
     return err(notRun(FailureReason.NotFound, `there is no such ${what}`));
 }
--- a/packages/daisyturn/src/connection/operator/operatorRoutes.ts
+++ b/packages/daisyturn/src/connection/operator/operatorRoutes.ts
@@ -1,19 +1,19 @@
 import type { Failure, JsonObject } from "daisyturn-utils";
 import type { Result } from "true-myth/result";
 
-/** Whose key opened the door. */
+/** The operator whose key authenticated a request. */
 export interface OperatorIdentity {
     readonly partner: string;
     readonly name: string;
 }
 
-/** An operator as the settings know it. */
+/** An operator as configured in the settings. */
 export interface OperatorKey extends OperatorIdentity {
     /** SHA-256 of the key in hexadecimal digits. */
     readonly keyHash: string;
 }
 
-/** A call of an operator. */
+/** A request of an operator. */
 export interface OperatorRequest {
     readonly operator: OperatorIdentity;
     /** Values of the path pattern's `:name` parts, decoded. */
@@ -23,13 +23,13 @@
     readonly body: unknown;
 }
 
-/** What a handler answers: the body of the answer, or a failure that becomes an HTTP error with the failure in it. */
+/** Result of a handler: the body of the answer, or a failure that is sent as the body of an HTTP error. */
 export type OperatorAnswer = Result<JsonObject, Failure>;
 
-/** Serves one route. */
+/** Handles the requests of one route. */
 export type OperatorHandler = (request: OperatorRequest) => Promise<OperatorAnswer> | OperatorAnswer;
 
-/** Methods that operators use. */
+/** HTTP methods of the routes for operators. */
 export enum OperatorMethod {
     Get = "GET",
     Put = "PUT",
@@ -37,10 +37,10 @@
     Delete = "DELETE",
 }
 
-/** One route. Other modules add theirs when the server is created. */
+/** A route. Other modules pass theirs when the server is created. */
 export interface OperatorRoute {
     readonly method: OperatorMethod;
-    /** Such as `/v1/items/:kind/:name`; a part that begins with a colon matches any text without a slash. */
+    /** Such as `/v1/items/:kind/:name`. A part that begins with a colon matches any text without a slash. */
     readonly path: string;
     readonly handle: OperatorHandler;
 }
@@ -48,7 +48,7 @@
 /** Routes that a module offers to operators. */
 export type OperatorRoutes = readonly OperatorRoute[];
 
-/** The route that matches and the values of its path's parts. */
+/** The matching route and the values of its path parameters. */
 export interface MatchedRoute {
     readonly route: OperatorRoute;
     readonly parameters: Readonly<Record<string, string>>;
--- a/packages/daisyturn/src/connection/operator/publishForOperator.ts
+++ b/packages/daisyturn/src/connection/operator/publishForOperator.ts
@@ -5,16 +5,16 @@
 import { writeIdSchema } from "../../version/itemSchemas.js";
 import type { OperatorAnswer, OperatorIdentity } from "./operatorRoutes.js";
 
-/** How a call that changes something may be named and guarded, beside the change itself. */
+/** Write id and expected generation of a request that publishes a change. */
 export const publishGuardsSchema = z.object({
     writeId: writeIdSchema.optional(),
     expectedGeneration: z.coerce.number().int().nonnegative().optional(),
 });
 
-/** Name and guard of one call. */
+/** Write id and expected generation of one request. */
 export type PublishGuards = z.infer<typeof publishGuardsSchema>;
 
-/** Reads name and guard from a query: `write-id` and `expected-generation`. */
+/** Parses the guards from the query parameters `write-id` and `expected-generation`. */
 export function readGuards(query: URLSearchParams) {
     return publishGuardsSchema.safeParse({
         writeId: query.get("write-id") ?? undefined,
@@ -22,7 +22,7 @@
     });
 }
 
-/** Publishes changes in the operator's name. */
+/** Publishes changes on behalf of an operator. */
 export async function publishForOperator(
     configurationManager: FleetConfigurationManager,
     ids: IdSource,
@@ -45,8 +45,8 @@
 }
 
 /**
- * Names the write id, under which the operator must ask again. A write id made for this call can't have been sent
- * before: where the store could not even be read, the change is certainly not made.
+ * Adds the write id to the message, since a repeated request must use the same one. A write id that was generated for
+ * this request can't have been used before. If the store could not even be read, the change was therefore not made.
  */
 function explainFailure(failure: Failure, writeId: string, isNewId: boolean): Failure {
     const message = `${failure.message} (write id ${writeId})`;
--- a/packages/daisyturn/src/connection/operator/readOperatorBody.ts
+++ b/packages/daisyturn/src/connection/operator/readOperatorBody.ts
@@ -2,16 +2,16 @@
 import type { IncomingMessage } from "node:http";
 import { err, ok, type Result } from "true-myth/result";
 
-/** A change this long would not fit into one message between peers beside others. */
+/** A longer change would not fit into one message between peers together with others. */
 const maxBodyBytes = 1_048_576;
 
-/** Reads a JSON body; undefined where there is none. */
+/** Reads a JSON body. Returns undefined if there is none. */
 export async function readOperatorBody(request: IncomingMessage): Promise<Result<unknown, Failure>> {
     const pieces: Buffer[] = [];
     let length = 0;
     for await (const piece of request as AsyncIterable<Buffer>) {
         length += piece.length;
-        // The rest is read and dropped: a connection closed in the middle would keep the operator from the answer.
+        // The rest is read and dropped. If the connection were closed early, the operator might not receive the answer.
         if (length <= maxBodyBytes) {
             pieces.push(piece);
         }
--- a/packages/daisyturn/src/connection/operator/statusOf.ts
+++ b/packages/daisyturn/src/connection/operator/statusOf.ts
@@ -17,7 +17,7 @@
 };
 const statusOfOtherFailures = 500;
 
-/** HTTP status of a failure on the operators' side. */
+/** Returns the HTTP status for a failure of an operator's request. */
 export function statusOf(failure: Failure): number {
     return statusOfReason[failure.reason] ?? statusOfOtherFailures;
 }
