--- a/packages/daisyturn/src/connection/__fixtures__/peerNetworks.ts
+++ b/packages/daisyturn/src/connection/__fixtures__/peerNetworks.ts
@@ -39,7 +39,7 @@
     return network;
 }
 
-/** Waits until a condition holds. Fails the test after {@link maxWaitMilliseconds}. */
+/** Waits until a condition holds. Throws after {@link maxWaitMilliseconds}. */
 export async function waitUntil(condition: () => boolean, clock: Clock = new SystemClock()): Promise<void> {
     const deadline = clock.monotonicNow() + maxWaitMilliseconds;
     while (!condition()) {
--- a/packages/daisyturn/src/connection/__tests__/createPeerNetwork.test.ts
+++ b/packages/daisyturn/src/connection/__tests__/createPeerNetwork.test.ts
@@ -83,33 +83,33 @@
             throw new Error("broke halfway");
         });
         other.handle(PeerMethod.ReleaseEngine, () => new Promise(() => undefined));
-        const ask = (to: string, method: PeerMethod, deadline: number) => one.request(to, method, {}, deadline);
-        assert.equal(verdictOf(await ask("p3", PeerMethod.AskClaim, within())), ExecutionVerdict.NotRun);
-        assert.equal(verdictOf(await ask("p2", PeerMethod.AskClaim, within(-1))), ExecutionVerdict.NotRun);
-        assert.equal(verdictOf(await ask("p2", PeerMethod.QuiesceEngine, within())), ExecutionVerdict.NotRun);
-        assert.equal(verdictOf(await ask("p2", PeerMethod.AskClaim, within())), ExecutionVerdict.MayHaveRun);
-        assert.equal(verdictOf(await ask("p2", PeerMethod.ReleaseEngine, within(50))), ExecutionVerdict.MayHaveRun);
-        let cutShort: ExecutionVerdict | undefined;
+        const send = (to: string, method: PeerMethod, deadline: number) => one.request(to, method, {}, deadline);
+        assert.equal(verdictOf(await send("p3", PeerMethod.AskClaim, within())), ExecutionVerdict.NotRun);
+        assert.equal(verdictOf(await send("p2", PeerMethod.AskClaim, within(-1))), ExecutionVerdict.NotRun);
+        assert.equal(verdictOf(await send("p2", PeerMethod.QuiesceEngine, within())), ExecutionVerdict.NotRun);
+        assert.equal(verdictOf(await send("p2", PeerMethod.AskClaim, within())), ExecutionVerdict.MayHaveRun);
+        assert.equal(verdictOf(await send("p2", PeerMethod.ReleaseEngine, within(50))), ExecutionVerdict.MayHaveRun);
+        let interrupted: ExecutionVerdict | undefined;
         const longAfterTheTest = within(3_600_000);
-        void ask("p2", PeerMethod.ReleaseEngine, longAfterTheTest).then(answer => cutShort = verdictOf(answer));
+        void send("p2", PeerMethod.ReleaseEngine, longAfterTheTest).then(answer => interrupted = verdictOf(answer));
         await other.stop();
-        await waitUntil(() => cutShort === ExecutionVerdict.MayHaveRun);
-        assert.equal(verdictOf(await ask("p2", PeerMethod.ReleaseEngine, within())), ExecutionVerdict.NotRun);
+        await waitUntil(() => interrupted === ExecutionVerdict.MayHaveRun);
+        assert.equal(verdictOf(await send("p2", PeerMethod.ReleaseEngine, within())), ExecutionVerdict.NotRun);
     });
 
     it("returns the matching answer to each request when answers are reordered, late or missing", async context => {
         const { one, other } = await startPair(context);
-        const held = new Map<number, () => void>();
+        const pending = new Map<number, () => void>();
         other.handle(PeerMethod.AskClaim, async (...[, { number }]) => {
-            await new Promise<void>(resolve => held.set(Number(number), resolve));
+            await new Promise<void>(resolve => pending.set(Number(number), resolve));
             return { number };
         });
-        const ask = (number: number, limit?: number) =>
+        const send = (number: number, limit?: number) =>
             one.request("p2", PeerMethod.AskClaim, { number }, within(limit));
-        const late = await ask(0, 50);
-        const both = [ask(1), ask(2)];
-        await waitUntil(() => held.size === 3);
-        [2, 0, 1].forEach(number => held.get(number)?.());
+        const late = await send(0, 50);
+        const both = [send(1), send(2)];
+        await waitUntil(() => pending.size === 3);
+        [2, 0, 1].forEach(number => pending.get(number)?.());
         const answers = await Promise.all(both);
         assert.ok(late.isErr);
         assert.deepEqual(answers.map(answer => answer.unwrapOr({})), [{ number: 1 }, { number: 2 }]);
@@ -132,13 +132,13 @@
     });
 
     it("disconnects from a peer that answers without knowing the secret", async context => {
-        const proved: string[] = [];
+        const receivedMethods: string[] = [];
         const impostor = createServer(socket => {
             socket.on("error", () => undefined);
             socket.on("data", (chunk: Buffer) => {
                 const { id, method } = JSON.parse(chunk.toString()) as { id: number; method: string; };
                 const result = { identity: createLocalIdentity("p9"), nonce: "n", proof: "0".repeat(64) };
-                proved.push(method);
+                receivedMethods.push(method);
                 socket.write(`${JSON.stringify({ jsonrpc: "2.0", id, result })}\n`);
             });
         });
@@ -150,7 +150,7 @@
         const accepted = recordAccepted(network);
         network.connect(`127.0.0.1:${(impostor.address() as AddressInfo).port}`);
         await waitUntil(() => eventLog.events.length + accepted.length > 0);
-        assert.deepEqual([accepted, new Set(proved)], [[], new Set(["hello"])]);
+        assert.deepEqual([accepted, new Set(receivedMethods)], [[], new Set(["hello"])]);
     });
 
     it("does not accept its own proof reflected by the peer", async context => {
--- a/packages/daisyturn/src/connection/__tests__/lineReader.test.ts
+++ b/packages/daisyturn/src/connection/__tests__/lineReader.test.ts
@@ -3,14 +3,14 @@
 import { describe, it } from "node:test";
 import { createLineReader, LineFault } from "../lineReader.js";
 
-const maximumBytes = 16;
+const maxBytes = 16;
 
 /** Any text without line feeds. */
 const line = fastCheck.string({ unit: "grapheme", maxLength: 12 }).map(text => text.replaceAll("\n", ""));
 
 /** Reads bytes in chunks of the given sizes, over and over. */
 function readInChunks(bytes: Uint8Array, sizes: readonly number[]) {
-    const reader = createLineReader(maximumBytes);
+    const reader = createLineReader(maxBytes);
     const lines: string[] = [];
     for (let start = 0, turn = 0; start < bytes.length; turn++) {
         const size = sizes[turn % sizes.length] ?? 1;
@@ -28,7 +28,7 @@
     it("returns the same lines however the bytes are split, up to the first line that is too long", () => {
         const sizes = fastCheck.array(fastCheck.integer({ min: 1, max: 20 }), { minLength: 1 });
         fastCheck.assert(fastCheck.property(fastCheck.array(line), sizes, (lines, chunkSizes) => {
-            const firstLong = lines.findIndex(text => Buffer.byteLength(text) > maximumBytes);
+            const firstLong = lines.findIndex(text => Buffer.byteLength(text) > maxBytes);
             const read = readInChunks(Buffer.from(lines.map(text => `${text}\n`).join("")), chunkSizes);
             assert.equal(read.fault, firstLong < 0 ? undefined : LineFault.TooLong);
             const expected = firstLong < 0 ? lines : lines.slice(0, firstLong);
@@ -46,8 +46,8 @@
     });
 
     it("does not buffer more than the limit of a line without a line feed", () => {
-        const reader = createLineReader(maximumBytes);
-        assert.ok(reader.push(Buffer.alloc(maximumBytes, "a")).isOk);
+        const reader = createLineReader(maxBytes);
+        assert.ok(reader.push(Buffer.alloc(maxBytes, "a")).isOk);
         assert.ok(reader.push(Buffer.from("a")).isErr);
     });
 });
--- a/packages/daisyturn/src/connection/caller/__fixtures__/callerRequests.ts
+++ b/packages/daisyturn/src/connection/caller/__fixtures__/callerRequests.ts
@@ -80,8 +80,8 @@
 export async function readToEnd(socket: Socket): Promise<string> {
     let text = "";
     socket.setEncoding("utf8");
-    socket.on("data", piece => {
-        text += String(piece);
+    socket.on("data", chunk => {
+        text += String(chunk);
     });
     await new Promise<void>(resolve => socket.once("end", resolve).once("close", () => resolve()));
     socket.destroy();
--- a/packages/daisyturn/src/connection/caller/__fixtures__/createCallerBench.ts
+++ b/packages/daisyturn/src/connection/caller/__fixtures__/createCallerBench.ts
@@ -180,7 +180,7 @@
 function createPassThroughClaims(): ClaimManager {
     return {
         runOnce: (request, send) => send(request.call, { mayStart: () => true }),
-        lookUp: () => Promise.resolve(err(notRun(FailureReason.NotFound, "Not kept."))),
+        lookUp: () => Promise.resolve(err(notRun(FailureReason.NotFound, "No such claim."))),
     };
 }
 
--- a/packages/daisyturn/src/connection/caller/__tests__/badInput.test.ts
+++ b/packages/daisyturn/src/connection/caller/__tests__/badInput.test.ts
@@ -130,10 +130,10 @@
         const { url, engines } = await open({ limits: { maxTotalBodyBytes: body.length + 50 } });
         engines[0].script = [(request, signal) => ok(yieldUntilCancelled(0, 1, signal))];
         const caller = new AbortController();
-        const held = await postCompletion(url, { stream: true }, {}, caller.signal);
+        const running = await postCompletion(url, { stream: true }, {}, caller.signal);
         assert.equal((await postCompletion(url, {})).status, 503);
         caller.abort();
-        await assert.rejects(held.text());
+        await assert.rejects(running.text());
         await waitUntil(() => bench.admitted() === 0);
         engines[0].script = [() => ok(yieldAnswer(0, 8))];
         assert.equal((await postCompletion(url, {})).status, 200);
@@ -221,7 +221,7 @@
         const socket = openRaw(bench.port, withLength(JSON.stringify({ ...completionBody, stream: true })));
         socket.pause();
         await waitUntil(() => engines[0].cancelled.length === 1);
-        assert.ok(yielded < 2_000, `${yielded} pieces were taken from the engine`);
+        assert.ok(yielded < 2_000, `${yielded} events were read from the engine`);
         socket.destroy();
     });
 
--- a/packages/daisyturn/src/connection/caller/__tests__/createCallerServer.test.ts
+++ b/packages/daisyturn/src/connection/caller/__tests__/createCallerServer.test.ts
@@ -39,22 +39,22 @@
             messages: [...messages],
             stream: true,
         });
-        const pieces: string[] = [];
+        const deltas: string[] = [];
         for await (const chunk of stream) {
-            pieces.push(chunk.choices[0]?.delta.content ?? "");
+            deltas.push(chunk.choices[0]?.delta.content ?? "");
         }
-        assert.equal(pieces.join(""), answerText(8));
-        assert.ok(pieces.length >= 8);
+        assert.equal(deltas.join(""), answerText(8));
+        assert.ok(deltas.length >= 8);
     });
 
     test("the OpenAI client throws its own error types, which contain the verdict", async () => {
         await open();
         const client = connect();
-        const ask = (model: string) => client.chat.completions.create({ model, messages: [...messages] });
-        await assert.rejects(ask("nobody"), OpenAI.NotFoundError);
-        await assert.rejects(ask("closed"), OpenAI.PermissionDeniedError);
+        const complete = (model: string) => client.chat.completions.create({ model, messages: [...messages] });
+        await assert.rejects(complete("nobody"), OpenAI.NotFoundError);
+        await assert.rejects(complete("closed"), OpenAI.PermissionDeniedError);
         bench.engines.forEach(engine => engine.script = [() => err(notRun(FailureReason.Overloaded, "Full."))]);
-        await assert.rejects(ask("valuation"), (error: unknown) => {
+        await assert.rejects(complete("valuation"), (error: unknown) => {
             assert.ok(error instanceof OpenAI.APIError);
             assert.deepEqual([error.status, error.code], [503, "overloaded"]);
             assert.equal((error.error as { verdict: string; }).verdict, "not_run");
--- a/packages/daisyturn/src/connection/caller/__tests__/plainCalls.test.ts
+++ b/packages/daisyturn/src/connection/caller/__tests__/plainCalls.test.ts
@@ -129,10 +129,10 @@
         assert.deepEqual(claims.map(claim => [claim.partner, claim.account, claim.service, claim.idempotencyKey]), [
             ["nyamata", "assessor", "quotes", "offer-7"],
         ]);
-        const question = await fetch(`${bench.url}/v1/claims/quotes`, {
+        const claimResponse = await fetch(`${bench.url}/v1/claims/quotes`, {
             headers: { Authorization: `Bearer ${callerKey}`, ...headers },
         });
-        assert.match(await question.text(), /"claimed","names":\["nyamata","assessor","quotes","offer-7"\]/);
+        assert.match(await claimResponse.text(), /"claimed","names":\["nyamata","assessor","quotes","offer-7"\]/);
         assert.equal((await confirm({ headers: { "Idempotency-Key": "two words" } })).status, 400);
     });
 
--- a/packages/daisyturn/src/connection/caller/callerServerOptions.ts
+++ b/packages/daisyturn/src/connection/caller/callerServerOptions.ts
@@ -40,6 +40,7 @@
 
 const mebibyte = 1024 * 1024;
 
+/** Limits that apply unless the options override them. */
 export const defaultCallerLimits: CallerLimits = {
     maxBodyBytes: 4 * mebibyte,
     maxTotalBodyBytes: 48 * mebibyte,
--- a/packages/daisyturn/src/connection/caller/httpExchange.ts
+++ b/packages/daisyturn/src/connection/caller/httpExchange.ts
@@ -137,6 +137,6 @@
 }
 
 function splitUrl(url: string): { path: string; query: string; } {
-    const mark = url.indexOf("?");
-    return mark < 0 ? { path: url, query: "" } : { path: url.slice(0, mark), query: url.slice(mark) };
+    const queryStart = url.indexOf("?");
+    return queryStart < 0 ? { path: url, query: "" } : { path: url.slice(0, queryStart), query: url.slice(queryStart) };
 }
--- a/packages/daisyturn/src/connection/createPeerNetwork.ts
+++ b/packages/daisyturn/src/connection/createPeerNetwork.ts
@@ -57,15 +57,15 @@
 
 /** Creates the connections of one process to its peers. Throws if the settings are invalid. */
 export function createPeerNetwork(options: PeerNetworkOptions): TcpPeerNetwork {
-    const { self: givenSelf, clock, hybridClock, eventLog, random, ...input } = options;
+    const { self: configuredSelf, clock, hybridClock, eventLog, random, ...input } = options;
     const settings = peerNetworkSettingsSchema.parse(input);
     const handlers = new Map<PeerMethod, PeerHandler>();
     const helloListeners: HelloListener[] = [];
     const traffic = createTrafficCounters();
     const stopping = new AbortController();
-    const links = createPeerLinks(givenSelf, clock);
+    const links = createPeerLinks(configuredSelf, clock);
     const unauthenticated = new Set<RpcConnection>();
-    let self = givenSelf;
+    let self = configuredSelf;
 
     const openConnection = (socket: Socket, answer: RpcHandler): RpcConnection => {
         const connection = createRpcConnection({
--- a/packages/daisyturn/src/connection/lineReader.ts
+++ b/packages/daisyturn/src/connection/lineReader.ts
@@ -13,16 +13,16 @@
     /** Adds bytes. Returns the lines that they complete, without line feeds, or a fault that ends the stream. */
     push(chunk: Uint8Array): Result<readonly string[], LineFault>;
     /** Sets the limit for lines that are not yet complete. */
-    setMaximumBytes(maximumBytes: number): void;
+    setMaxBytes(maxBytes: number): void;
 }
 
 /**
  * Creates a reader of one stream.
- * @param maximumBytes maximum length of a line, without its line feed; the reader never buffers more
+ * @param maxBytes maximum length of a line, without its line feed; the reader never buffers more
  */
-export function createLineReader(maximumBytes: number): LineReader {
+export function createLineReader(maxBytes: number): LineReader {
     const decoder = new TextDecoder("utf-8", { fatal: true, ignoreBOM: true });
-    let limit = maximumBytes;
+    let limit = maxBytes;
     let pending: Uint8Array[] = [];
     let pendingBytes = 0;
 
@@ -62,7 +62,7 @@
 
     return {
         push,
-        setMaximumBytes: value => {
+        setMaxBytes: value => {
             limit = value;
         },
     };
--- a/packages/daisyturn/src/connection/operator/createOperatorServer.ts
+++ b/packages/daisyturn/src/connection/operator/createOperatorServer.ts
@@ -71,14 +71,14 @@
     if (!tls) {
         return createPlainServer(limits, listener);
     }
-    const demandsCertificate = tls.authority !== undefined;
+    const requiresCertificate = tls.authority !== undefined;
     return createTlsServer({
         ...limits,
         key: tls.key,
         cert: tls.certificate,
         ca: tls.authority,
-        requestCert: demandsCertificate,
-        rejectUnauthorized: demandsCertificate,
+        requestCert: requiresCertificate,
+        rejectUnauthorized: requiresCertificate,
     }, listener);
 }
 
--- a/packages/daisyturn/src/connection/operator/createRetirementRoutes.ts
+++ b/packages/daisyturn/src/connection/operator/createRetirementRoutes.ts
@@ -85,8 +85,8 @@
     const waitForReport = async (identity: ItemIdentity, generation: number | undefined, deadline: number) => {
         for (;;) {
             const report = await configurationManager.retirementOf(identity, generation);
-            const isOver = report.isErr || report.value.isComplete || clock.monotonicNow() >= deadline;
-            if (isOver) {
+            const isFinished = report.isErr || report.value.isComplete || clock.monotonicNow() >= deadline;
+            if (isFinished) {
                 return report;
             }
             await clock.sleepUntil(Math.min(deadline, clock.monotonicNow() + pollIntervalMilliseconds));
--- a/packages/daisyturn/src/connection/operator/readOperatorBody.ts
+++ b/packages/daisyturn/src/connection/operator/readOperatorBody.ts
@@ -7,19 +7,19 @@
 
 /** Reads a JSON body. Returns undefined if there is none. */
 export async function readOperatorBody(request: IncomingMessage): Promise<Result<unknown, Failure>> {
-    const pieces: Buffer[] = [];
+    const chunks: Buffer[] = [];
     let length = 0;
-    for await (const piece of request as AsyncIterable<Buffer>) {
-        length += piece.length;
+    for await (const chunk of request as AsyncIterable<Buffer>) {
+        length += chunk.length;
         // The rest is read and dropped. If the connection were closed early, the operator might not receive the answer.
         if (length <= maxBodyBytes) {
-            pieces.push(piece);
+            chunks.push(chunk);
         }
     }
     if (length > maxBodyBytes) {
         return err(notRun(FailureReason.BodyTooLarge, `a body holds at most ${maxBodyBytes} bytes`));
     }
-    const text = Buffer.concat(pieces).toString("utf8");
+    const text = Buffer.concat(chunks).toString("utf8");
     return text === "" ? ok(undefined) : parseBody(text);
 }
 
--- a/packages/daisyturn/src/connection/peerHandshake.ts
+++ b/packages/daisyturn/src/connection/peerHandshake.ts
@@ -22,7 +22,7 @@
 const maxTextLength = 256;
 const text = z.string().min(1).max(maxTextLength);
 const helloSchema = z.object({ identity: processIdentitySchema, nonce: text });
-const welcomeSchema = helloSchema.extend({ proof: text });
+const helloAnswerSchema = helloSchema.extend({ proof: text });
 const proofSchema = z.object({ proof: text });
 
 type Hello = z.infer<typeof helloSchema>;
@@ -56,13 +56,13 @@
 ): Promise<ProcessIdentity | string> {
     const dialing = createHello(self);
     const answer = await connection.request(HandshakeMethod.Hello, toJson(dialing), deadline);
-    const welcome = welcomeSchema.safeParse(answer.unwrapOr({}));
+    const welcome = helloAnswerSchema.safeParse(answer.unwrapOr({}));
     if (!welcome.success) {
         return answer.isErr ? answer.error.message : "the answer to hello is malformed";
     }
     const exchange = { dialing, accepting: { identity: welcome.data.identity, nonce: welcome.data.nonce } };
-    const isGenuine = equalInConstantTime(welcome.data.proof, computeProof(key, Side.Accepting, exchange));
-    if (!isGenuine) {
+    const isValid = equalInConstantTime(welcome.data.proof, computeProof(key, Side.Accepting, exchange));
+    if (!isValid) {
         return "the peer has not proved that it knows the cell's secret";
     }
     onAuthenticated(welcome.data.identity);
@@ -91,9 +91,9 @@
         },
         checkProof: parameters => {
             const given = proofSchema.safeParse(parameters);
-            const isRight = exchange !== undefined && given.success
+            const isValid = exchange !== undefined && given.success
                 && equalInConstantTime(given.data.proof, computeProof(key, Side.Dialing, exchange));
-            return isRight ? exchange?.dialing.identity : undefined;
+            return isValid ? exchange?.dialing.identity : undefined;
         },
     };
 }
--- a/packages/daisyturn/src/connection/peerLinks.ts
+++ b/packages/daisyturn/src/connection/peerLinks.ts
@@ -65,7 +65,7 @@
 
     const find = (processId: string): PeerLink | undefined => {
         const open = openLinks(processId);
-        return selectsLinkFor(processId) ? open.at(-1) : open.reduce<PeerLink | undefined>(chooseMoreRecent, undefined);
+        return selectsLinkFor(processId) ? open.at(-1) : open.reduce<PeerLink | undefined>(selectMoreRecent, undefined);
     };
 
     const all = () => [...links.values()].flat();
@@ -79,7 +79,7 @@
     };
 }
 
-function chooseMoreRecent(best: PeerLink | undefined, link: PeerLink): PeerLink {
+function selectMoreRecent(best: PeerLink | undefined, link: PeerLink): PeerLink {
     const isBetter = best && best.connection.lastReceivedAt() > link.connection.lastReceivedAt();
     return isBetter ? best : link;
 }
--- a/packages/daisyturn/src/connection/rpcConnection.ts
+++ b/packages/daisyturn/src/connection/rpcConnection.ts
@@ -234,7 +234,7 @@
             rpc.client.notify(method, parameters, { isNotification: true, isWritten: false }),
         trust: () => {
             isAuthenticated = true;
-            reader.setMaximumBytes(settings.maximumLineBytes);
+            reader.setMaxBytes(settings.maximumLineBytes);
         },
         isOpen,
         lastReceivedAt: () => lastReceivedAt,
