--- a/packages/daisyturn-standins/src/measure/claims/measureClaims.ts
+++ b/packages/daisyturn-standins/src/measure/claims/measureClaims.ts
@@ -1,13 +1,13 @@
 import {
     type ClaimRequest,
     createClaimManager,
-    membershipAlone,
-    NetworkAlone,
     type PagedStoreClient,
     type ProcessClaimManager,
     type ProcessIdentity,
     type SendCall,
     type ServiceCall,
+    singleProcessMembership,
+    SingleProcessNetwork,
     StorePriority,
     type TableService,
 } from "daisyturn";
@@ -60,7 +60,7 @@
 const print = (line: string) => process.stdout.write(`${line}\n`);
 async function measureLatency(slowMilliseconds: number): Promise<void> {
     const ways: readonly (readonly [string, (bench: Bench) => RunCall])[] = [
-        ["no claim", () => call => send(call, { mayStart: () => true })],
+        ["no claim", () => call => send(call, { isValid: () => true })],
         [
             "claim, answer before its record",
             ({ claimManager }) => call => claimManager.runOnce(createRequest(call), send),
@@ -137,8 +137,8 @@
     const claimManager = createClaimManager({
         self,
         storeClient,
-        network: new NetworkAlone(self),
-        membership: membershipAlone,
+        network: new SingleProcessNetwork(self),
+        membership: singleProcessMembership,
         clock,
         ids: createIdSource(self.incarnation),
         eventLog: new MemoryEventLog(),
--- a/packages/daisyturn/src/connection/caller/__fixtures__/createCallerBench.ts
+++ b/packages/daisyturn/src/connection/caller/__fixtures__/createCallerBench.ts
@@ -179,7 +179,7 @@
 /** Creates a claim manager that stores no claims and sends every call. */
 function createPassThroughClaims(): ClaimManager {
     return {
-        runOnce: (request, send) => send(request.call, { mayStart: () => true }),
+        runOnce: (request, send) => send(request.call, { isValid: () => true }),
         lookUp: () => Promise.resolve(err(notRun(FailureReason.NotFound, "No such claim."))),
     };
 }
--- a/packages/daisyturn/src/process/claims/claimInquiry.ts
+++ b/packages/daisyturn/src/process/claims/claimInquiry.ts
@@ -3,25 +3,24 @@
 import { PeerMethod, type PeerNetwork, type ProcessIdentity } from "../peers/index.js";
 import { answerSchema } from "./claimRow.js";
 import { ClaimStage, type OwnClaims } from "./ownClaims.js";
-import { settlesBefore } from "./settlesBefore.js";
+import { waitUntilResolved } from "./waitUntilResolved.js";
 
-/** How long the owner holds an inquiry back while its call runs, so that the asker hears of the end at once. */
-export const inquiryHoldMilliseconds = 1_000;
-/** What the network may take on top of that. */
-const inquiryTravelMilliseconds = 500;
+/** How long the owner delays its reply while the call runs, so that the requester is informed as soon as it ends. */
+export const maxInquiryWaitMilliseconds = 1_000;
+/** Additional allowance for network time. */
+const inquiryNetworkMilliseconds = 500;
 
-/** What the owner of a claim says of it. */
+/** State of a claim in its owner's reply. */
 export enum InquiryReplyKind {
     Running = "running",
     Answered = "answered",
     MayHaveRun = "may_have_run",
-    /** It was not sent and never will be. */
+    /** The call was not sent and never will be. */
     NotSent = "not_sent",
-    /** Unknown to the owner: it never will be sent, and what is known of it stands in the row. */
+    /** The claim is unknown to the owner: it sends nothing for it any more, and the row has all that is known. */
     Forgotten = "forgotten",
-    /** The asked run of the process has ended; a later one answers. */
+    /** The requested incarnation has ended; a later one of the same process replied. */
     Ended = "ended",
-    /** No answer. */
     NoReply = "no_reply",
 }
 
@@ -29,21 +28,20 @@
 
 const replySchema = z.object({ kind: z.enum(InquiryReplyKind), answer: answerSchema.optional() });
 
-/** Names the claim that is asked about. */
+/** Identifies a claim and the incarnation that owns it. */
 export type ClaimInquiry = z.infer<typeof inquirySchema>;
 
-/** The owner's reply. */
 export type InquiryReply = z.infer<typeof replySchema>;
 
-/** Answers the inquiries of peers from the table of this process's claims. */
-export function answerInquiries(network: PeerNetwork, self: ProcessIdentity, claims: OwnClaims, clock: Clock): void {
+/** Registers the handler that replies to inquiries of peers about the claims of this process. */
+export function handleInquiries(network: PeerNetwork, self: ProcessIdentity, claims: OwnClaims, clock: Clock): void {
     network.handle(PeerMethod.AskClaim, async (...[, parameters]) => {
         const inquiry = inquirySchema.parse(parameters);
         return toJson(await replyToInquiry(inquiry, self, claims, clock));
     });
 }
 
-/** What this process knows of a claim that its rows name it the owner of. */
+/** Returns the state of a claim whose row names this process as the owner; waits a limited time for a running call. */
 export async function replyToInquiry(
     inquiry: ClaimInquiry,
     self: ProcessIdentity,
@@ -58,7 +56,7 @@
     if (claim?.claimId !== inquiry.claimId) {
         return { kind: InquiryReplyKind.Forgotten };
     }
-    await settlesBefore(claim.ended, clock, clock.monotonicNow() + inquiryHoldMilliseconds);
+    await waitUntilResolved(claim.ended, clock, clock.monotonicNow() + maxInquiryWaitMilliseconds);
     switch (claim.stage()) {
         case ClaimStage.Claiming:
         case ClaimStage.Sending:
@@ -72,15 +70,18 @@
     }
 }
 
-/** Asks a claim's owner, within the deadline (monotonic). */
-export async function askOwner(
+/**
+ * Requests the state of a claim from its owner.
+ * @param deadline monotonic time
+ */
+export async function queryOwner(
     network: PeerNetwork,
     owner: ProcessIdentity,
     inquiry: ClaimInquiry,
     clock: Clock,
     deadline: number,
 ): Promise<InquiryReply> {
-    const limit = clock.monotonicNow() + inquiryHoldMilliseconds + inquiryTravelMilliseconds;
+    const limit = clock.monotonicNow() + maxInquiryWaitMilliseconds + inquiryNetworkMilliseconds;
     const parameters: JsonObject = toJson(inquiry);
     const reply = await network.request(
         owner.processId,
--- a/packages/daisyturn/src/process/claims/index.ts
+++ b/packages/daisyturn/src/process/claims/index.ts
@@ -1,5 +1,5 @@
 /**
- * Rows that keep a call from running twice when its process ends midway.
+ * Claims of non-idempotent calls: stored rows that prevent a call from running twice when its process ends midway.
  *
  * @module
  */
@@ -12,4 +12,4 @@
 export * from "./claimRow.js";
 export * from "./claimWriter.js";
 export * from "./ownClaims.js";
-export * from "./settlesBefore.js";
+export * from "./waitUntilResolved.js";
--- a/packages/daisyturn/src/request/dispatch.ts
+++ b/packages/daisyturn/src/request/dispatch.ts
@@ -9,8 +9,8 @@
     StreamEventKind,
 } from "../ports/engine.js";
 import type { Placement } from "../process/routing/index.js";
-import type { AnswerRun } from "./answer/answerRun.js";
-import { cancelStream } from "./answer/followStream.js";
+import type { AnswerContext } from "./answer/answerContext.js";
+import { cancelStream } from "./answer/relayStream.js";
 import type { RequestParts } from "./requestParts.js";
 
 /** A stream that an engine has accepted. */
@@ -23,63 +23,65 @@
     leave(): void;
 }
 
-/** A prefill that is done, and the stream that holds its KV cache. */
+/** A completed prefill, and the stream that retains its KV cache. */
 interface PrefilledPrompt {
     readonly engine: Engine;
     readonly streamId: string;
     readonly kvHandle: KvHandle;
 }
 
-/** The end mark of a prefill part that can be imported. */
+/** The end mark of a prefill whose KV cache can be imported. */
 type PrefillEnd = StreamEnd & { readonly kvHandle: KvHandle; };
 
 /**
- * Sends the request where the placement says, checking right before each part whether new work may go there. If
- * prefill and decode are apart and one of them fails, the decode engine is asked for the whole.
+ * Sends the request to the engines of the placement and checks right before each part whether the engine accepts new
+ * work. If prefill and decode are at two engines and one of them fails, the decode engine runs the whole request.
  */
 export async function dispatch(
     parts: RequestParts,
-    run: AnswerRun,
+    context: AnswerContext,
     placement: Placement,
 ): Promise<Result<DispatchedStream, Failure>> {
     const { prefillEngine, engine } = placement;
     if (prefillEngine === undefined || prefillEngine === engine) {
-        return dispatchPart(parts, run, placement, engine, GeneratePart.Whole);
+        return dispatchPart(parts, context, placement, engine, GeneratePart.Whole);
     }
-    const prefilled = await prefill(parts, run, placement, prefillEngine);
+    const prefilled = await prefill(parts, context, placement, prefillEngine);
     if (prefilled.isErr) {
-        run.avoid.add(prefillEngine);
-        return run.signal.aborted ? err(prefilled.error) : dispatchWholeInstead(parts, run, placement, prefilled.error);
+        context.avoid.add(prefillEngine);
+        return context.signal.aborted
+            ? err(prefilled.error)
+            : dispatchWholeInstead(parts, context, placement, prefilled.error);
     }
     const { kvHandle, streamId } = prefilled.value;
-    const decoded = await dispatchPart(parts, run, placement, engine, GeneratePart.Decode, kvHandle);
+    const decoded = await dispatchPart(parts, context, placement, engine, GeneratePart.Decode, kvHandle);
     if (decoded.isOk) {
         return decoded;
     }
     cancelStream(parts, prefilled.value.engine, streamId);
-    return run.signal.aborted ? decoded : dispatchWholeInstead(parts, run, placement, decoded.error);
+    return context.signal.aborted ? decoded : dispatchWholeInstead(parts, context, placement, decoded.error);
 }
 
-/** Asks the decode engine for the whole, after the parts could not be run apart. */
+/** Sends the whole request to the decode engine, after separate prefill and decode have failed. */
 export function dispatchWholeInstead(
     parts: RequestParts,
-    run: AnswerRun,
+    context: AnswerContext,
     placement: Placement,
     cause: Failure,
 ): Promise<Result<DispatchedStream, Failure>> {
     parts.eventLog.record(EventKind.RequestRetried, {
-        request: run.request.requestId,
+        request: context.request.requestId,
         engine: placement.engine,
         reason: cause.reason,
         part: GeneratePart.Whole,
     });
-    return dispatchPart(parts, run, placement, placement.engine, GeneratePart.Whole);
+    return dispatchPart(parts, context, placement, placement.engine, GeneratePart.Whole);
 }
 
-/** Sends one part. Nothing may be awaited between the gate's answer and the send. */
+/** Sends one part. There must be no await between the check of the gate and the send. */
 async function dispatchPart(
     parts: RequestParts,
-    run: AnswerRun,
+    context: AnswerContext,
     placement: Placement,
     engineName: string,
     part: GeneratePart,
@@ -89,7 +91,7 @@
     if (!engine || !parts.gate.isOpen(engineName)) {
         return err(notRun(FailureReason.NoTarget, "The chosen engine has just stopped taking new work."));
     }
-    const { request, progress } = run;
+    const { request, progress } = context;
     const streamId = parts.ids.next("str");
     const leave = parts.gate.enter(engineName);
     placement.recordStream(engineName, streamId);
@@ -113,7 +115,7 @@
         kvHandle,
         sampling: request.body.sampling,
         ...(progress.offset > 0 && { startOffset: progress.offset, precedingText: progress.text }),
-    }, run.signal);
+    }, context.signal);
     if (events.isErr) {
         leave();
         return err(events.error);
@@ -121,14 +123,14 @@
     return ok({ engine, streamId, part, events: events.value, leave });
 }
 
-/** Runs the prefill part to its end and takes the handle of its KV cache. */
+/** Runs the prefill part to its end and returns the handle of its KV cache. */
 async function prefill(
     parts: RequestParts,
-    run: AnswerRun,
+    context: AnswerContext,
     placement: Placement,
     engineName: string,
 ): Promise<Result<PrefilledPrompt, Failure>> {
-    const stream = await dispatchPart(parts, run, placement, engineName, GeneratePart.Prefill);
+    const stream = await dispatchPart(parts, context, placement, engineName, GeneratePart.Prefill);
     if (stream.isErr) {
         return err(stream.error);
     }
--- a/packages/daisyturn/src/request/resumption/continueAnswer.ts
+++ b/packages/daisyturn/src/request/resumption/continueAnswer.ts
@@ -3,15 +3,15 @@
 import type { Sampling, StreamEnd } from "../../ports/engine.js";
 import { type AnswerChannel, createStreamedChannel } from "../answer/answerChannel.js";
 import type { AnswerProgress } from "../answer/answerProgress.js";
-import { attachStream, followStream } from "../answer/followStream.js";
+import { attachStream, relayStream } from "../answer/relayStream.js";
 import type { CallerExchange } from "../callerExchange.js";
 import { hashModelRequest } from "../completion/modelRequest.js";
-import { admitAndProduce, concludeAnswer, createTokenSigner } from "../completion/serveModelRequest.js";
-import { startRequestLife } from "../requestLife.js";
+import { admitAndProduce, createTokenSigner, finishAnswer } from "../completion/serveModelRequest.js";
+import { startRequestLifetime } from "../requestLifetime.js";
 import type { RequestParts } from "../requestParts.js";
-import type { ResumeRequest } from "./resumeDemand.js";
+import type { ResumeRequest } from "./resumeHeaders.js";
 
-/** Goes on with an answer: from the engine that has it, else by having it made again from the caller's offset on. */
+/** Continues an answer from the engine that has its stream, or generates the rest again from the caller's offset. */
 export async function continueAnswer(
     parts: RequestParts,
     exchange: CallerExchange,
@@ -21,21 +21,21 @@
     if (request && hashModelRequest(request) !== ticket.requestHash) {
         return err(notRun(FailureReason.BadRequest, "The resume token belongs to another request."));
     }
-    const life = startRequestLife(parts.clock, exchange.signal, resumption.deadline ?? ticket.expiresAt);
+    const lifetime = startRequestLifetime(parts.clock, exchange.signal, resumption.deadline ?? ticket.expiresAt);
     try {
         const channel = createResumedChannel(parts, exchange, resumption);
         const progress: AnswerProgress = {
             offset: resumption.offset,
             text: resumption.offset === 0 ? "" : resumption.receivedText,
         };
-        const attached = await followAttached(parts, exchange, resumption, channel, progress, life.signal);
-        const end = attached.isErr && !life.signal.aborted
-            ? await regenerate(parts, resumption, channel, progress, attached.error, life.signal)
+        const attached = await relayAttached(parts, exchange, resumption, channel, progress, lifetime.signal);
+        const end = attached.isErr && !lifetime.signal.aborted
+            ? await regenerate(parts, resumption, channel, progress, attached.error, lifetime.signal)
             : attached;
-        return concludeAnswer(parts, channel, exchange.requestId, end);
+        return finishAnswer(parts, channel, exchange.requestId, end);
     }
     finally {
-        life.end();
+        lifetime.end();
     }
 }
 
@@ -54,8 +54,8 @@
     });
 }
 
-/** Attaching is not new work, so a closed gate is no hindrance: a drained engine still ends its streams. */
-async function followAttached(
+/** Attaches to the stream even if the gate is closed, since a drained engine still completes its streams. */
+async function relayAttached(
     parts: RequestParts,
     exchange: CallerExchange,
     resumption: ResumeRequest,
@@ -75,7 +75,7 @@
         if (source.isErr) {
             return err(source.error);
         }
-        return await followStream(parts, {
+        return await relayStream(parts, {
             requestId: exchange.requestId,
             engine,
             streamId: ticket.streamId,
@@ -91,7 +91,10 @@
     }
 }
 
-/** Another engine may only go on where it is sure to make the same text, or is given the text to go on from. */
+/**
+ * Generates the rest at another engine. This requires that sampling is deterministic, so that the text is the same, or
+ * that the caller has sent the text received so far.
+ */
 function regenerate(
     parts: RequestParts,
     resumption: ResumeRequest,
