--- a/packages/daisyturn/src/connection/caller/httpExchange.ts
+++ b/packages/daisyturn/src/connection/caller/httpExchange.ts
@@ -6,11 +6,11 @@
 import { createEventWriter } from "./eventWriter.js";
 import { readBody } from "./readBody.js";
 
-/** What an exchange needs beside the request itself. */
+/** Options of {@link createHttpExchange}. */
 export interface HttpExchangeOptions {
     readonly requestId: string;
     readonly limits: CallerLimits;
-    /** Takes room for a body; false if the process has none left. */
+    /** Reserves memory for a body; false if the limit of the process is exceeded. */
     readonly reserveBody: (byteCount: number) => boolean;
     readonly connection: CallerConnection;
     /** Whether connections are to be closed after their answer. */
@@ -19,23 +19,23 @@
 
 /** An exchange over HTTP/1.1. */
 export interface HttpExchange extends CallerExchange {
-    /** Ends the exchange for a reason other than the caller's. */
+    /** Aborts the exchange for a reason on this side, such as a fault or a shutdown. */
     abort(failure: Failure): void;
-    /** Resolves once the answer has left or the connection is closed. */
+    /** Resolves once the answer is sent or the connection is closed. */
     readonly closed: Promise<void>;
 }
 
 /** Statuses whose answers have no body. */
 const bodylessStatuses: ReadonlySet<number> = new Set([204, 205, 304]);
 
-/** Creates the exchange of one HTTP request. */
+/** Creates the exchange for one HTTP request. */
 export function createHttpExchange(
     incoming: IncomingMessage,
     outgoing: ServerResponse,
     options: HttpExchangeOptions,
 ): HttpExchange {
     const { limits, requestId } = options;
-    const life = new AbortController();
+    const cancellation = new AbortController();
     const { path, query } = splitUrl(incoming.url ?? "/");
 
     const closed = new Promise<void>(resolve => {
@@ -43,7 +43,7 @@
         const finish = () => {
             closeListeners.delete(finish);
             if (!outgoing.writableFinished) {
-                life.abort(mayHaveRun(FailureReason.Cancelled, "The caller has closed the connection."));
+                cancellation.abort(mayHaveRun(FailureReason.Cancelled, "The caller has closed the connection."));
             }
             resolve();
         };
@@ -56,7 +56,7 @@
         if (contentType !== "") {
             fields["Content-Type"] = contentType;
         }
-        // An unread body would be taken for the next request, and a stopping process wants no next request.
+        // Bytes of an unread body would be parsed as the next request, and a stopping process accepts no next request.
         if (options.isClosing() || !isBodyRead(incoming)) {
             fields["Connection"] = "close";
         }
@@ -79,7 +79,7 @@
             return;
         }
         outgoing.write(answer.body);
-        endLingering(incoming, outgoing, limits.lingerMilliseconds);
+        endAfterDrainingBody(incoming, outgoing, limits.lingerMilliseconds);
     };
 
     return {
@@ -87,7 +87,7 @@
         method: incoming.method ?? "",
         path,
         query,
-        signal: life.signal,
+        signal: cancellation.signal,
         closed,
         header: name => {
             const value = incoming.headers[name];
@@ -98,19 +98,19 @@
                 maxBytes: limits.maxBodyBytes,
                 milliseconds: limits.bodyMilliseconds,
                 reserve: options.reserveBody,
-                askForBody: () => askForBody(incoming, outgoing),
+                sendContinue: () => sendContinue(incoming, outgoing),
             }),
         answer,
         openEventStream: headers => {
             outgoing.writeHead(200, buildHeaders("text/event-stream", { "Cache-Control": "no-store", ...headers }));
             return createEventWriter(outgoing, limits);
         },
-        abort: failure => life.abort(failure),
+        abort: failure => cancellation.abort(failure),
     };
 }
 
-/** A caller that waits for leave to send its body gets it only once nothing speaks against the body. */
-function askForBody(incoming: IncomingMessage, outgoing: ServerResponse): void {
+/** Sends `100 Continue` to a caller that expects it, once the announced length of the body is accepted. */
+function sendContinue(incoming: IncomingMessage, outgoing: ServerResponse): void {
     if (incoming.headers.expect !== undefined) {
         outgoing.writeContinue();
     }
@@ -122,8 +122,11 @@
     return incoming.complete || !hasBody;
 }
 
-/** Closing a connection with unread bytes resets it, and the caller might never see why it was refused. */
-function endLingering(incoming: IncomingMessage, outgoing: ServerResponse, milliseconds: number): void {
+/**
+ * Reads and drops the rest of the body before ending the answer. Closing a connection with unread bytes resets it, and
+ * the caller might not receive the refusal.
+ */
+function endAfterDrainingBody(incoming: IncomingMessage, outgoing: ServerResponse, milliseconds: number): void {
     const end = () => {
         clearTimeout(timer);
         outgoing.end();
@@ -134,6 +137,6 @@
 }
 
 function splitUrl(url: string): { path: string; query: string; } {
-    const mark = url.indexOf("?");
-    return mark < 0 ? { path: url, query: "" } : { path: url.slice(0, mark), query: url.slice(mark) };
+    const queryStart = url.indexOf("?");
+    return queryStart < 0 ? { path: url, query: "" } : { path: url.slice(0, queryStart), query: url.slice(queryStart) };
 }
--- a/packages/daisyturn/src/connection/caller/readBody.ts
+++ b/packages/daisyturn/src/connection/caller/readBody.ts
@@ -6,53 +6,54 @@
 export interface BodyLimits {
     readonly maxBytes: number;
     readonly milliseconds: number;
-    /** Takes room for bytes of the body; false if the process has none left. */
+    /** Reserves memory for bytes of the body; false if the limit of the process is exceeded. */
     readonly reserve: (byteCount: number) => boolean;
-    /** Called when the body's announced length is within the limit. */
-    readonly askForBody: () => void;
+    /** Called once the body's announced length is known to be within the limit. */
+    readonly sendContinue: () => void;
 }
 
 const utf8 = new TextDecoder("utf-8", { fatal: true, ignoreBOM: true });
 
-/** Reads a body as UTF-8 text, giving up as soon as it is known to break a limit. */
+/** Reads a body as UTF-8 text. Fails as soon as the body is known to exceed a limit. */
 export async function readBody(incoming: IncomingMessage, limits: BodyLimits): Promise<Result<string, Failure>> {
     return (await readBytes(incoming, limits)).andThen(decode);
 }
 
-/** Reads a body as it is, giving up as soon as it is known to break a limit. */
+/** Reads a body as bytes. Fails as soon as the body is known to exceed a limit. */
 export function readBytes(incoming: IncomingMessage, limits: BodyLimits): Promise<Result<Buffer, Failure>> {
     const announced = Number(incoming.headers["content-length"] ?? 0);
     if (announced > limits.maxBytes) {
         return Promise.resolve(err(tooLarge(limits.maxBytes)));
     }
-    limits.askForBody();
+    limits.sendContinue();
     return new Promise(resolve => {
-        const pieces: Buffer[] = [];
+        const chunks: Buffer[] = [];
         let byteCount = 0;
 
         const finish = (result: Result<Buffer, Failure>) => {
             clearTimeout(timer);
-            incoming.off("data", take).off("end", end).off("close", cut);
+            incoming.off("data", addChunk).off("end", end).off("close", handleClose);
             resolve(result);
         };
-        const take = (piece: Buffer) => {
-            byteCount += piece.length;
+        const addChunk = (chunk: Buffer) => {
+            byteCount += chunk.length;
             if (byteCount > limits.maxBytes) {
                 finish(err(tooLarge(limits.maxBytes)));
             }
-            else if (!limits.reserve(piece.length)) {
+            else if (!limits.reserve(chunk.length)) {
                 finish(err(notRun(FailureReason.Overloaded, "The process holds too many bodies at the moment.")));
             }
             else {
-                pieces.push(piece);
+                chunks.push(chunk);
             }
         };
-        const end = () => finish(ok(pieces.length === 1 && pieces[0] ? pieces[0] : Buffer.concat(pieces)));
-        const cut = () => finish(err(notRun(FailureReason.Cancelled, "The connection closed within the body.")));
+        const end = () => finish(ok(chunks.length === 1 && chunks[0] ? chunks[0] : Buffer.concat(chunks)));
+        const handleClose = () =>
+            finish(err(notRun(FailureReason.Cancelled, "The connection closed within the body.")));
         const expire = () => finish(err(notRun(FailureReason.BadRequest, "The body did not arrive in time.")));
 
         const timer = setTimeout(expire, limits.milliseconds);
-        incoming.on("data", take).on("end", end).on("close", cut);
+        incoming.on("data", addChunk).on("end", end).on("close", handleClose);
     });
 }
 
--- a/packages/daisyturn/src/connection/caller/serveExchange.ts
+++ b/packages/daisyturn/src/connection/caller/serveExchange.ts
@@ -10,21 +10,21 @@
 import { handleResume } from "../../request/resumption/handleResume.js";
 import { servicePathPrefix } from "../../request/servicePath.js";
 
-/** What the process says about itself. */
+/** State of the process that determines which requests are served. */
 export interface ServingState {
-    /** Whether the balancer may send requests here. */
+    /** Whether the load balancer may send requests to this process. */
     readonly isReady: boolean;
-    /** Whether requests are refused because the process stops. */
+    /** Whether requests are refused because the process is stopping. */
     readonly isRefusing: boolean;
 }
 
 type Handler = (parts: RequestParts, exchange: CallerExchange) => Promise<Result<void, Failure>>;
 
-/** What is served under a path, and with which method. */
+/** The method and handler of a path. */
 interface Route {
     readonly method: string;
     readonly handle: Handler;
-    readonly takesJson: boolean;
+    readonly requiresJson: boolean;
 }
 
 const livePath = "/healthz";
@@ -37,19 +37,19 @@
     "/v1/chat/completions": {
         method: "POST",
         handle: (parts, exchange) => handleCompletion(parts, exchange, CompletionForm.Chat),
-        takesJson: true,
+        requiresJson: true,
     },
     "/v1/completions": {
         method: "POST",
         handle: (parts, exchange) => handleCompletion(parts, exchange, CompletionForm.Text),
-        takesJson: true,
+        requiresJson: true,
     },
-    "/v1/resume": { method: "POST", handle: handleResume, takesJson: false },
+    "/v1/resume": { method: "POST", handle: handleResume, requiresJson: false },
 };
 
-const claimRoute: Route = { method: "GET", handle: handleClaimLookup, takesJson: false };
+const claimRoute: Route = { method: "GET", handle: handleClaimLookup, requiresJson: false };
 
-/** Serves one request by its path and refuses it where that fails. */
+/** Routes one request by its path, and answers with a refusal if its handler fails. */
 export async function serveExchange(
     parts: RequestParts,
     exchange: CallerExchange,
@@ -61,10 +61,10 @@
     }
 }
 
-/** Answers a request with its failure. */
+/** Logs the refusal of a request and answers with its failure. */
 export function refuseExchange(parts: RequestParts, exchange: CallerExchange, failure: Failure): void {
-    const hasGone = failure.reason === FailureReason.Cancelled;
-    parts.eventLog.record(hasGone ? EventKind.RequestCancelled : EventKind.RequestRefused, {
+    const isCancelled = failure.reason === FailureReason.Cancelled;
+    parts.eventLog.record(isCancelled ? EventKind.RequestCancelled : EventKind.RequestRefused, {
         request: exchange.requestId,
         reason: failure.reason,
         verdict: failure.verdict,
@@ -120,7 +120,7 @@
         return ok(undefined);
     }
     const encoding = exchange.header("content-encoding") ?? "identity";
-    if (encoding !== "identity" || (route.takesJson && !jsonPattern.test(exchange.header("content-type") ?? ""))) {
+    if (encoding !== "identity" || (route.requiresJson && !jsonPattern.test(exchange.header("content-type") ?? ""))) {
         const failure = notRun(FailureReason.BadRequest, "The body must be application/json without an encoding.");
         exchange.answer({ ...buildRefusal(failure, parts.clock), status: unsupportedMediaType });
         return ok(undefined);
--- a/packages/daisyturn/src/connection/forwarding/forwardExchange.ts
+++ b/packages/daisyturn/src/connection/forwarding/forwardExchange.ts
@@ -3,60 +3,60 @@
 import type { HeaderFields } from "../../ports/forwardedCall.js";
 import type { CallerConnection } from "../caller/createCallerListener.js";
 
-/** The way back to one caller. */
+/** Sends the answer to one forwarded request. */
 export interface ForwardExchange {
-    /** Aborted once the caller is gone; the reason is a `Failure`. */
+    /** Aborted once the caller has closed the connection; the reason is a `Failure`. */
     readonly signal: AbortSignal;
     isHeadSent(): boolean;
     /** Monotonic time at which the first byte of the answer was sent; undefined before. */
     firstByteAt(): number | undefined;
-    /** Longest time between two pieces of an answer that was begun, in milliseconds. */
+    /** Longest time between two chunks of a streamed answer, in milliseconds. */
     longestPause(): number;
-    /** Mean time between two pieces, in milliseconds; undefined where there were fewer. */
+    /** Mean time between two chunks, in milliseconds; undefined with fewer than two chunks. */
     meanPause(): number | undefined;
-    /** Sends a whole answer. */
+    /** Sends a complete answer. */
     answer(status: number, fields: HeaderFields, body: Buffer): void;
-    /** Begins an answer whose length is not known yet. */
+    /** Begins a streamed answer, whose length is not known yet. */
     begin(status: number, fields: HeaderFields): void;
     write(chunk: Buffer): void;
-    /** Ends an answer that was begun, as complete. */
+    /** Ends a streamed answer as complete. */
     end(): void;
-    /** Breaks the answer off, so that it can't be taken for complete. */
-    breakOff(): void;
-    /** Resolves once the answer is sent or the caller is gone. */
+    /** Closes the connection without ending the answer, so that the caller detects the truncation. */
+    abort(): void;
+    /** Resolves once the answer is sent or the caller has closed the connection. */
     readonly closed: Promise<void>;
 }
 
-/** Bytes kept for a caller that reads slowly; one that lets more pile up is cut off. */
+/** Bytes buffered for a caller that reads slowly. Its connection is closed if more accumulate. */
 const maxBufferedBytes = 1024 * 1024;
 
-/** Creates the exchange of one request. */
+/** Creates the exchange for one request. */
 export function createForwardExchange(
     outgoing: ServerResponse,
     connection: CallerConnection,
     isClosing: () => boolean,
     now: () => number,
 ): ForwardExchange {
-    const gone = new AbortController();
+    const cancellation = new AbortController();
     let firstByteAt: number | undefined;
-    let lastPieceAt: number | undefined;
+    let lastChunkAt: number | undefined;
     let longestPause = 0;
-    let firstPieceAt: number | undefined;
-    let pieces = 0;
+    let firstChunkAt: number | undefined;
+    let chunkCount = 0;
     const closed = new Promise<void>(resolve => {
         const finish = () => {
-            connection.closeListeners.delete(leave);
+            connection.closeListeners.delete(handleClose);
             resolve();
         };
-        const leave = () => {
+        const handleClose = () => {
             if (!outgoing.writableFinished) {
-                gone.abort(notRun(FailureReason.Cancelled, "The caller closed the connection."));
+                cancellation.abort(notRun(FailureReason.Cancelled, "The caller closed the connection."));
             }
             finish();
         };
-        connection.closeListeners.add(leave);
+        connection.closeListeners.add(handleClose);
         outgoing.once("finish", finish);
-        outgoing.once("error", leave);
+        outgoing.once("error", handleClose);
     });
 
     const writeHead = (status: number, fields: HeaderFields) => {
@@ -69,14 +69,14 @@
     };
 
     return {
-        signal: gone.signal,
+        signal: cancellation.signal,
         closed,
         firstByteAt: () => firstByteAt,
         longestPause: () => longestPause,
-        meanPause: () => pieces < 2 ? undefined : ((lastPieceAt ?? 0) - (firstPieceAt ?? 0)) / (pieces - 1),
+        meanPause: () => chunkCount < 2 ? undefined : ((lastChunkAt ?? 0) - (firstChunkAt ?? 0)) / (chunkCount - 1),
         isHeadSent: () => outgoing.headersSent,
         answer: (status, fields, body) => {
-            if (outgoing.headersSent || gone.signal.aborted) {
+            if (outgoing.headersSent || cancellation.signal.aborted) {
                 return;
             }
             writeHead(status, [...fields, "Content-Length", String(body.length)]);
@@ -85,21 +85,21 @@
         begin: writeHead,
         write: chunk => {
             const at = now();
-            longestPause = Math.max(longestPause, at - (lastPieceAt ?? at));
-            lastPieceAt = at;
-            firstPieceAt ??= at;
-            pieces += 1;
+            longestPause = Math.max(longestPause, at - (lastChunkAt ?? at));
+            lastChunkAt = at;
+            firstChunkAt ??= at;
+            chunkCount += 1;
             outgoing.write(chunk);
             if (outgoing.writableLength > maxBufferedBytes) {
                 outgoing.destroy();
             }
         },
         end: () => outgoing.end(),
-        breakOff: () => outgoing.destroy(),
+        abort: () => outgoing.destroy(),
     };
 }
 
-/** The failure for which an aborted signal was aborted. */
+/** Returns the failure that is the reason of an aborted signal. */
 export function abortFailure(signal: AbortSignal): Failure {
     return signal.reason as Failure;
 }
--- a/packages/daisyturn/src/connection/lineReader.ts
+++ b/packages/daisyturn/src/connection/lineReader.ts
@@ -2,40 +2,40 @@
 
 const lineFeed = 0x0a;
 
-/** What made the reader give up. */
+/** Why a stream can't be read any further. */
 export enum LineFault {
     TooLong = "too_long",
     NotUtf8 = "not_utf8",
 }
 
-/** Cuts a stream of bytes into lines. */
+/** Splits a stream of bytes into lines. */
 export interface LineReader {
-    /** Takes bytes in; returns the lines that they completed, without line feeds, or why the stream can't go on. */
+    /** Adds bytes. Returns the lines that they complete, without line feeds, or a fault that ends the stream. */
     push(chunk: Uint8Array): Result<readonly string[], LineFault>;
-    /** Sets the limit for lines that are not complete yet. */
-    setMaximumBytes(maximumBytes: number): void;
+    /** Sets the limit for lines that are not yet complete. */
+    setMaxBytes(maxBytes: number): void;
 }
 
 /**
  * Creates a reader of one stream.
- * @param maximumBytes longest line taken, without its line feed; the reader never holds more
+ * @param maxBytes maximum length of a line, without its line feed; the reader never buffers more
  */
-export function createLineReader(maximumBytes: number): LineReader {
+export function createLineReader(maxBytes: number): LineReader {
     const decoder = new TextDecoder("utf-8", { fatal: true, ignoreBOM: true });
-    let limit = maximumBytes;
-    let held: Uint8Array[] = [];
-    let heldBytes = 0;
+    let limit = maxBytes;
+    let pending: Uint8Array[] = [];
+    let pendingBytes = 0;
 
-    const hold = (piece: Uint8Array): boolean => {
-        held.push(piece);
-        heldBytes += piece.length;
-        return heldBytes <= limit;
+    const append = (piece: Uint8Array): boolean => {
+        pending.push(piece);
+        pendingBytes += piece.length;
+        return pendingBytes <= limit;
     };
 
-    const takeLine = (): string => {
-        const line = decoder.decode(held.length === 1 ? held[0] : Buffer.concat(held));
-        held = [];
-        heldBytes = 0;
+    const drainLine = (): string => {
+        const line = decoder.decode(pending.length === 1 ? pending[0] : Buffer.concat(pending));
+        pending = [];
+        pendingBytes = 0;
         return line;
     };
 
@@ -43,18 +43,18 @@
         const lines: string[] = [];
         let start = 0;
         for (let end = chunk.indexOf(lineFeed); end >= 0; end = chunk.indexOf(lineFeed, start)) {
-            if (!hold(chunk.subarray(start, end))) {
+            if (!append(chunk.subarray(start, end))) {
                 return err(LineFault.TooLong);
             }
             try {
-                lines.push(takeLine());
+                lines.push(drainLine());
             }
             catch {
                 return err(LineFault.NotUtf8);
             }
             start = end + 1;
         }
-        if (start < chunk.length && !hold(chunk.subarray(start))) {
+        if (start < chunk.length && !append(chunk.subarray(start))) {
             return err(LineFault.TooLong);
         }
         return ok(lines);
@@ -62,7 +62,7 @@
 
     return {
         push,
-        setMaximumBytes: value => {
+        setMaxBytes: value => {
             limit = value;
         },
     };
--- a/packages/daisyturn/src/connection/peerHandshake.ts
+++ b/packages/daisyturn/src/connection/peerHandshake.ts
@@ -4,79 +4,81 @@
 import { type ProcessIdentity, processIdentitySchema } from "../process/peers/index.js";
 import { createRefusal, type RpcConnection } from "./rpcConnection.js";
 
-/** Calls of the handshake; no other call is taken before it is done. */
+/** Calls of the handshake. No other call is accepted before it is complete. */
 export enum HandshakeMethod {
-    /** Tells identity and nonce of the dialing side; answered with those of the other and its proof. */
+    /** Sends identity and nonce of the dialing side. The answer has those of the accepting side and its proof. */
     Hello = "hello",
-    /** Brings the proof of the dialing side. */
+    /** Sends the proof of the dialing side. */
     Prove = "prove",
 }
 
-/** Which side of a connection a proof is for, so that a proof can't be sent back as one's own. */
+/** The side of a connection that made a proof. It is part of the proof, so that a proof can't be reflected. */
 enum Side {
     Dialing = "dialing",
     Accepting = "accepting",
 }
 
 const nonceBytes = 16;
-const maximumTextLength = 256;
-const text = z.string().min(1).max(maximumTextLength);
+const maxTextLength = 256;
+const text = z.string().min(1).max(maxTextLength);
 const helloSchema = z.object({ identity: processIdentitySchema, nonce: text });
-const welcomeSchema = helloSchema.extend({ proof: text });
+const helloAnswerSchema = helloSchema.extend({ proof: text });
 const proofSchema = z.object({ proof: text });
 
 type Hello = z.infer<typeof helloSchema>;
 
-/** What all processes of one cell know. */
+/** The cell's name and secret, known to all its processes. */
 export interface CellKey {
     readonly cell: string;
     readonly secret: string;
 }
 
-/** Both sides' hellos, over which the proofs are made. */
+/** The hellos of both sides, over which the proofs are computed. */
 interface Exchange {
     readonly dialing: Hello;
     readonly accepting: Hello;
 }
 
 /**
- * Shows who this process is and demands proof of the other side.
- * The dialing side proves itself last, so that a stranger who dials gets the other's proof for a nonce of its own only.
- * @param onProved called once the other side has proved itself: it may send at once after it has taken this side's proof
+ * Performs the handshake as the dialing side: authenticates this process and the other side to each other.
+ * The accepting side proves its identity first. It does so only over a nonce of the dialing side, so an unknown process
+ * that connects gets no proof that it could use elsewhere.
+ * @param onAuthenticated called once the other side has proved its identity, and before this side's proof is sent: the
+ * other side may send calls as soon as it has accepted that proof
  * @returns the peer, or why either side refused
  */
-export async function introduceTo(
+export async function performHandshake(
     connection: RpcConnection,
     self: ProcessIdentity,
     key: CellKey,
     deadline: number,
-    onProved: (peer: ProcessIdentity) => void,
+    onAuthenticated: (peer: ProcessIdentity) => void,
 ): Promise<ProcessIdentity | string> {
     const dialing = createHello(self);
     const answer = await connection.request(HandshakeMethod.Hello, toJson(dialing), deadline);
-    const welcome = welcomeSchema.safeParse(answer.unwrapOr({}));
+    const welcome = helloAnswerSchema.safeParse(answer.unwrapOr({}));
     if (!welcome.success) {
         return answer.isErr ? answer.error.message : "the answer to hello is malformed";
     }
     const exchange = { dialing, accepting: { identity: welcome.data.identity, nonce: welcome.data.nonce } };
-    const isGenuine = equalInConstantTime(welcome.data.proof, prove(key, Side.Accepting, exchange));
-    if (!isGenuine) {
+    const isValid = equalInConstantTime(welcome.data.proof, computeProof(key, Side.Accepting, exchange));
+    if (!isValid) {
         return "the peer has not proved that it knows the cell's secret";
     }
-    onProved(welcome.data.identity);
-    const proof = prove(key, Side.Dialing, exchange);
+    onAuthenticated(welcome.data.identity);
+    const proof = computeProof(key, Side.Dialing, exchange);
     const accepted = await connection.request(HandshakeMethod.Prove, { proof }, deadline);
     return accepted.isOk ? welcome.data.identity : accepted.error.message;
 }
 
 /** The accepting side of one handshake. */
-export interface HandshakeAnswerer {
+export interface HandshakeResponder {
     answerHello(parameters: JsonObject): JsonObject;
-    /** The peer if its proof is right. */
+    /** Returns the peer if its proof is valid. */
     checkProof(parameters: JsonObject): ProcessIdentity | undefined;
 }
 
-export function createHandshakeAnswerer(self: ProcessIdentity, key: CellKey): HandshakeAnswerer {
+export function createHandshakeResponder(self: ProcessIdentity, key: CellKey): HandshakeResponder {
     let exchange: Exchange | undefined;
     return {
         answerHello: parameters => {
@@ -85,13 +87,13 @@
                 throw createRefusal("not a hello");
             }
             exchange = { dialing: hello.data, accepting: createHello(self) };
-            return { ...toJson(exchange.accepting), proof: prove(key, Side.Accepting, exchange) };
+            return { ...toJson(exchange.accepting), proof: computeProof(key, Side.Accepting, exchange) };
         },
         checkProof: parameters => {
             const given = proofSchema.safeParse(parameters);
-            const isRight = exchange !== undefined && given.success
-                && equalInConstantTime(given.data.proof, prove(key, Side.Dialing, exchange));
-            return isRight ? exchange?.dialing.identity : undefined;
+            const isValid = exchange !== undefined && given.success
+                && equalInConstantTime(given.data.proof, computeProof(key, Side.Dialing, exchange));
+            return isValid ? exchange?.dialing.identity : undefined;
         },
     };
 }
@@ -100,8 +102,8 @@
     return { identity, nonce: randomBytes(nonceBytes).toString("hex") };
 }
 
-/** HMAC over the cell, the side and both hellos: it holds for this connection and these identities only. */
-function prove({ cell, secret }: CellKey, side: Side, exchange: Exchange): string {
+/** HMAC over the cell, the side and both hellos, so that it is valid for this connection and these identities only. */
+function computeProof({ cell, secret }: CellKey, side: Side, exchange: Exchange): string {
     const { dialing, accepting } = exchange;
     const parts = [cell, side, ...describeHello(dialing), ...describeHello(accepting)];
     return createHmac("sha256", secret).update(JSON.stringify(parts)).digest("hex");
--- a/packages/daisyturn/src/connection/rpcConnection.ts
+++ b/packages/daisyturn/src/connection/rpcConnection.ts
@@ -23,17 +23,17 @@
 import { createLineReader } from "./lineReader.js";
 import type { PeerNetworkSettings } from "./peerNetworkSettings.js";
 
-/** Code of an error answer to a call that was refused before it began. */
+/** Code of an error answer to a call that was refused before it started. */
 const refusedCode = -32_000;
 const noAnswerCode = -32_001;
 
-/** Longest line taken before the other side has proved who it is. */
-const unprovedLineBytes = 4_096;
+/** Maximum length of a line before the other side has proved its identity. */
+const maxUnauthenticatedLineBytes = 4_096;
 
-/** Time for bytes that wait to leave when a connection is closed in good order. */
+/** Time for flushing buffered bytes when a connection is closed gracefully. */
 const closeLimitMilliseconds = 500;
 
-/** What a connection moved, headers of lower layers not counted. */
+/** Traffic of connections, without the headers of lower layers. */
 export interface TrafficCounters {
     messagesSent: number;
     bytesSent: number;
@@ -46,8 +46,8 @@
     return { messagesSent: 0, bytesSent: 0, messagesReceived: 0, bytesReceived: 0, notificationsDropped: 0 };
 }
 
-/** Answers the calls that come in. Throw {@link createRefusal} for a call that did not begin. */
-export type RpcAnswerer = (method: string, parameters: JsonObject) => Promise<JsonObject>;
+/** Handles incoming calls. Throws {@link createRefusal} for a call that was refused before it started. */
+export type RpcHandler = (method: string, parameters: JsonObject) => Promise<JsonObject>;
 
 export interface RpcConnectionOptions {
     readonly socket: Socket;
@@ -55,21 +55,21 @@
     readonly hybridClock: HybridLogicalClock;
     readonly settings: PeerNetworkSettings;
     readonly methods: readonly string[];
-    readonly answer: RpcAnswerer;
+    readonly answer: RpcHandler;
     readonly counters: TrafficCounters;
 }
 
-/** JSON-RPC in both directions over one socket, one message a line. */
+/** Bidirectional JSON-RPC over one socket, with one message per line. */
 export interface RpcConnection {
-    /** Fails with PeerUnavailable: NotRun if nothing was written or the peer refused, else MayHaveRun. */
+    /** Fails with PeerUnavailable: NotRun if nothing was written or the peer refused the call, else MayHaveRun. */
     request(method: string, parameters: JsonObject, deadline: number): Promise<Result<JsonObject, Failure>>;
     notify(method: string, parameters: JsonObject): void;
-    /** Takes long lines and the peer's stamps from now on. */
+    /** From now on accepts long lines and applies the peer's clock stamps. Called once the peer is authenticated. */
     trust(): void;
     isOpen(): boolean;
-    /** Monotonic time of the last bytes. */
+    /** Monotonic time at which the last bytes were received. */
     lastReceivedAt(): number;
-    /** Lets written bytes leave, then closes. */
+    /** Flushes written bytes, then closes. */
     close(): void;
     /** Closes at once. */
     destroy(reason: string): void;
@@ -77,27 +77,27 @@
     readonly closed: Promise<string>;
 }
 
-/** The error that tells the caller that its call did not begin. */
+/** Creates the error that reports to the requesting side that its call did not start. */
 export function createRefusal(message: string): Error {
     return new JSONRPCErrorException(message, refusedCode);
 }
 
-/** What the sending function learns about one message, and tells of it. */
-interface Dispatch {
+/** Passed to the sending function with each message. The function sets `isWritten`. */
+interface MessageStatus {
     readonly isNotification: boolean;
     isWritten: boolean;
 }
 
-/** Wraps a socket that is connected. */
+/** Wraps a connected socket. */
 export function createRpcConnection(options: RpcConnectionOptions): RpcConnection {
     const { socket, clock, hybridClock, settings, counters } = options;
-    const reader = createLineReader(unprovedLineBytes);
+    const reader = createLineReader(maxUnauthenticatedLineBytes);
     let nextId = 0;
     let runningCalls = 0;
     let lastReceivedAt = clock.monotonicNow();
     let closeReason: string | undefined;
-    let isTrusted = false;
-    const over = new AbortController();
+    let isAuthenticated = false;
+    const closing = new AbortController();
 
     const destroy = (reason: string) => {
         closeReason ??= reason;
@@ -106,20 +106,20 @@
 
     const isOpen = () => !socket.destroyed && socket.writable && closeReason === undefined;
 
-    const write = (message: object, dispatch: Dispatch) => {
-        const limit = dispatch.isNotification ? settings.maximumOutgoingBytes / 2 : settings.maximumOutgoingBytes;
+    const write = (message: object, status: MessageStatus) => {
+        const limit = status.isNotification ? settings.maximumOutgoingBytes / 2 : settings.maximumOutgoingBytes;
         if (!isOpen() || socket.writableLength > limit) {
-            counters.notificationsDropped += dispatch.isNotification ? 1 : 0;
+            counters.notificationsDropped += status.isNotification ? 1 : 0;
             throw new Error(isOpen() ? "too many bytes wait for the peer" : "the connection is closed");
         }
         const line = `${JSON.stringify({ ...message, stamp: hybridClock.stamp() })}\n`;
-        dispatch.isWritten = true;
+        status.isWritten = true;
         counters.messagesSent += 1;
         counters.bytesSent += Buffer.byteLength(line);
         socket.write(line);
     };
 
-    /** An answer that can't be sent must not be lost in silence: the caller learns it from the closed connection. */
+    /** Closes the connection if an answer can't be sent, so that the requesting side detects the lost answer. */
     const writeAnswer = (message: object) => {
         try {
             write(message, { isNotification: false, isWritten: false });
@@ -129,11 +129,11 @@
         }
     };
 
-    const rpc = new JSONRPCServerAndClient<void, Dispatch | undefined>(
+    const rpc = new JSONRPCServerAndClient<void, MessageStatus | undefined>(
         new JSONRPCServer({ errorListener: () => undefined }),
-        new JSONRPCClient((message: object, dispatch: Dispatch | undefined) => {
-            if (dispatch) {
-                write(message, dispatch);
+        new JSONRPCClient((message: object, status: MessageStatus | undefined) => {
+            if (status) {
+                write(message, status);
             }
             else {
                 writeAnswer(message);
@@ -158,7 +158,7 @@
 
     const receiveLine = (line: string) => {
         const message = JSON.parse(line) as JSONRPCRequest & JSONRPCResponse & { stamp?: unknown; };
-        if (isTrusted && typeof message.stamp === "string") {
+        if (isAuthenticated && typeof message.stamp === "string") {
             hybridClock.observe(message.stamp);
         }
         counters.messagesReceived += 1;
@@ -186,7 +186,7 @@
     const closed = new Promise<string>(resolve => {
         socket.on("close", () => {
             closeReason ??= "closed";
-            over.abort();
+            closing.abort();
             rpc.rejectAllPendingRequests(closeReason);
             resolve(closeReason);
         });
@@ -202,21 +202,24 @@
         }
         nextId += 1;
         const id = nextId;
-        const dispatch: Dispatch = { isNotification: false, isWritten: false };
+        const status: MessageStatus = { isNotification: false, isWritten: false };
         const answered = new AbortController();
         void clock.sleepUntil(deadline, answered.signal).then(() =>
             rpc.client.receive(createJSONRPCErrorResponse(id, noAnswerCode, "no answer before the deadline"))
         );
-        const response = await rpc.requestAdvanced(createJSONRPCRequest(id, method, parameters), dispatch);
+        const response = await rpc.requestAdvanced(createJSONRPCRequest(id, method, parameters), status);
         answered.abort();
-        return readAnswer(response, dispatch);
+        return readAnswer(response, status);
     };
 
-    /** After a pause the timer fires before the bytes that came meanwhile are read; hence the second look. */
+    /**
+     * Closes the connection if nothing has been received for too long. If this process was stalled, the timer fires
+     * before the bytes that arrived meanwhile are read, hence the second check.
+     */
     const watchSilence = async () => {
-        while (!over.signal.aborted) {
-            await clock.sleepUntil(lastReceivedAt + settings.silenceLimitMilliseconds, over.signal);
-            await clock.sleepUntil(clock.monotonicNow() + settings.silenceLimitMilliseconds / 10, over.signal);
+        while (!closing.signal.aborted) {
+            await clock.sleepUntil(lastReceivedAt + settings.silenceLimitMilliseconds, closing.signal);
+            await clock.sleepUntil(clock.monotonicNow() + settings.silenceLimitMilliseconds / 10, closing.signal);
             if (clock.monotonicNow() >= lastReceivedAt + settings.silenceLimitMilliseconds) {
                 destroy("nothing received for too long");
                 return;
@@ -230,15 +233,15 @@
         notify: (method, parameters) =>
             rpc.client.notify(method, parameters, { isNotification: true, isWritten: false }),
         trust: () => {
-            isTrusted = true;
-            reader.setMaximumBytes(settings.maximumLineBytes);
+            isAuthenticated = true;
+            reader.setMaxBytes(settings.maximumLineBytes);
         },
         isOpen,
         lastReceivedAt: () => lastReceivedAt,
         close: () => {
             closeReason ??= "closed by this process";
             socket.end();
-            void clock.sleepUntil(clock.monotonicNow() + closeLimitMilliseconds, over.signal).then(() =>
+            void clock.sleepUntil(clock.monotonicNow() + closeLimitMilliseconds, closing.signal).then(() =>
                 socket.destroy()
             );
         },
@@ -247,13 +250,13 @@
     };
 }
 
-function readAnswer(response: JSONRPCResponse, dispatch: Dispatch): Result<JsonObject, Failure> {
+function readAnswer(response: JSONRPCResponse, status: MessageStatus): Result<JsonObject, Failure> {
     const { error, result } = response;
     if (!error) {
         return ok(isJsonObject(result) ? result : {});
     }
     const isRefused = error.code === refusedCode || error.code === JSONRPCErrorCode.MethodNotFound;
-    const fail = !dispatch.isWritten || isRefused ? notRun : mayHaveRun;
+    const fail = !status.isWritten || isRefused ? notRun : mayHaveRun;
     return err(fail(FailureReason.PeerUnavailable, error.message));
 }
 
