--- a/packages/daisyturn/src/connection/caller/httpExchange.ts
+++ b/packages/daisyturn/src/connection/caller/httpExchange.ts
@@ -123,8 +123,8 @@
 }
 
 /**
- * Reads and drops the rest of the body before ending the answer. Closing a connection with unread bytes resets it, and
- * the caller might not receive the refusal.
+ * Reads and drops the rest of the body for a limited time before ending the answer. Closing a connection with unread
+ * bytes resets it, and the caller might not receive the refusal.
  */
 function endAfterDrainingBody(incoming: IncomingMessage, outgoing: ServerResponse, milliseconds: number): void {
     const end = () => {
--- a/packages/daisyturn/src/connection/forwarding/openDatagramChannel.ts
+++ b/packages/daisyturn/src/connection/forwarding/openDatagramChannel.ts
@@ -15,7 +15,7 @@
     socket.on("error", error => {
         if (!hasFailed) {
             hasFailed = true;
-            eventLog.record(EventKind.Fault, { reason: `datagrams to peers: ${error.message}` });
+            eventLog.record(EventKind.Fault, { reason: `UDP socket for datagrams to peers: ${error.message}` });
         }
     });
     socket.bind(port, host);
--- a/packages/daisyturn/src/connection/peerHandshake.ts
+++ b/packages/daisyturn/src/connection/peerHandshake.ts
@@ -56,19 +56,19 @@
 ): Promise<ProcessIdentity | string> {
     const dialing = createHello(self);
     const answer = await connection.request(HandshakeMethod.Hello, toJson(dialing), deadline);
-    const welcome = helloAnswerSchema.safeParse(answer.unwrapOr({}));
-    if (!welcome.success) {
+    const helloAnswer = helloAnswerSchema.safeParse(answer.unwrapOr({}));
+    if (!helloAnswer.success) {
         return answer.isErr ? answer.error.message : "the answer to hello is malformed";
     }
-    const exchange = { dialing, accepting: { identity: welcome.data.identity, nonce: welcome.data.nonce } };
-    const isValid = equalInConstantTime(welcome.data.proof, computeProof(key, Side.Accepting, exchange));
+    const exchange = { dialing, accepting: { identity: helloAnswer.data.identity, nonce: helloAnswer.data.nonce } };
+    const isValid = equalInConstantTime(helloAnswer.data.proof, computeProof(key, Side.Accepting, exchange));
     if (!isValid) {
         return "the peer has not proved that it knows the cell's secret";
     }
-    onAuthenticated(welcome.data.identity);
+    onAuthenticated(helloAnswer.data.identity);
     const proof = computeProof(key, Side.Dialing, exchange);
     const accepted = await connection.request(HandshakeMethod.Prove, { proof }, deadline);
-    return accepted.isOk ? welcome.data.identity : accepted.error.message;
+    return accepted.isOk ? helloAnswer.data.identity : accepted.error.message;
 }
 
 /** The accepting side of one handshake. */
--- a/packages/daisyturn/src/connection/peerSockets.ts
+++ b/packages/daisyturn/src/connection/peerSockets.ts
@@ -31,7 +31,7 @@
         : connectTcp({ host, port });
     const readyEvent = tls ? "secureConnect" : "connect";
     return await new Promise<Socket>((resolve, reject) => {
-        const abort = () => socket.destroy(new Error("not connected in time"));
+        const abort = () => socket.destroy(new Error("connection not established in time"));
         signal.addEventListener("abort", abort, { once: true });
         socket.once(readyEvent, () => {
             signal.removeEventListener("abort", abort);
