--- a/packages/daisyturn-daemon/src/forwarding/createForwardingParts.ts
+++ b/packages/daisyturn-daemon/src/forwarding/createForwardingParts.ts
@@ -22,7 +22,7 @@
 /** What {@link createForwardingParts} needs. */
 export interface ForwardingPartsOptions {
     readonly adapters: ForwardingAdapters;
-    /** Asked anew on each use: settings may change while the process runs. */
+    /** Called on each use, because settings may be reloaded while the process runs. */
     readonly settings: () => ForwardingSettings;
     readonly clock: Clock;
     readonly random: Random;
@@ -30,13 +30,16 @@
     readonly metrics: ForwardingMetrics;
 }
 
-/** The parts of one process but for the decisions, which its group takes part in; with the followers of the tables. */
+/**
+ * The parts of one process without `decisions`, which are made together with the processes of its group, and with the
+ * observers of the tables.
+ */
 export interface ForwardingProcessParts extends Omit<ForwardingParts, "decisions"> {
     readonly configurationManager: ForwardingConfigurationManager;
     readonly targets: TargetList;
 }
 
-/** Creates the parts that a forwarded call passes through, and ties them to the coming and going of targets. */
+/** Creates the parts that a forwarded call passes through. */
 export function createForwardingParts(options: ForwardingPartsOptions): ForwardingProcessParts {
     const { adapters, settings, clock, random, eventLog, metrics } = options;
     const configurationManager = createForwardingConfigurationManager({
--- a/packages/daisyturn-daemon/src/forwarding/createForwardingProcess.ts
+++ b/packages/daisyturn-daemon/src/forwarding/createForwardingProcess.ts
@@ -37,35 +37,41 @@
 
 /** A process that forwards calls to targets. */
 export interface ForwardingProcess {
-    /** Listens, and becomes ready once configuration and targets are known. */
+    /** Starts listening; the process becomes ready once configuration and targets are known. */
     start(): Promise<void>;
-    /** Puts other settings in force; those that can't be read leave the old ones. */
+    /** Replaces the settings. If the new ones can't be read, the old ones stay active and a fault is logged. */
     reload(load: () => ForwardingSettings): void;
-    /** Is not ready from now on, finishes what runs, and resolves within the time that the platform grants. */
+    /** Withdraws readiness, finishes running calls, and resolves within the grace period of the platform. */
     stop(): Promise<void>;
 }
 
-/** Each background task listens for the end of the process once; node warns of a leak beyond this number. */
-const mostBackgroundTasks = 40;
-/** Left of the granted time for the process to end by itself. */
+/** Each background task adds one abort listener; Node.js warns of a leak beyond this number. */
+const maxBackgroundTasks = 40;
+/** Part of the grace period that is reserved for the process to exit after its calls have ended. */
 const endMarginMilliseconds = 700;
-/** A store that is away must not hold up the end. */
-const leaveMilliseconds = 200;
-/** A feed's call ends early enough for another to bring what a silent connection has hidden, within the bound. */
+/** Limits the removal of the peer entry, so that an unavailable store does not delay the shutdown. */
+const leaveTimeoutMilliseconds = 200;
+/**
+ * A feed's call ends this long before the contact time, so that a second call can still fetch within that time what a
+ * silent connection has not delivered.
+ */
 const feedMarginMilliseconds = 1_200;
-const shortestFeedWait = 500;
-/** A coordinator's word on the store holds for this part of the time in which what is there must be heeded. */
-const freshFraction = 0.75;
-/** A coordinator asks the store so often that its word, told on, is never older than that. */
+const minFeedWaitMilliseconds = 500;
+/** Store state relayed by a coordinator is valid for this fraction of the time within which it must be applied. */
+const stateAgeFraction = 0.75;
+/** A coordinator's read of the store waits at most this fraction, so that relayed state never exceeds the age above. */
 const readerWaitFraction = 0.5;
-/** Changes of several targets come in one priced answer, within this part of the time in which they must be heeded. */
+/**
+ * Store answers are priced: changes of several targets are merged into one answer for up to this fraction of the time
+ * within which they must be applied.
+ */
 const mergeFraction = 0.25;
-/** Upper bound of the random delay before a process re-reads its tables and rewrites its entry after a store rollback. */
+/** Upper bound of the random delay before re-reading the tables and rewriting the peer entry after a store rollback. */
 const rollbackJitterMilliseconds = 400;
 const seedLimit = 0x7fffffff;
 const incarnationBytes = 6;
 
-/** Creates the process. */
+/** Creates the process; nothing listens or runs before `start`. */
 export function createForwardingProcess(
     initialSettings: ForwardingSettings,
     adapters: ForwardingAdapters,
@@ -99,8 +105,8 @@
         availabilityZone: settings.availabilityZone,
         strength: settings.strength,
     });
-    /** Within this time of its acknowledgement, whatever is in the store must be heeded. */
-    const heedMilliseconds = () => Math.min(settings.drainMilliseconds, settings.configurationMilliseconds);
+    /** Time from the store's acknowledgement of a change until the change must be applied. */
+    const applyLimitMilliseconds = () => Math.min(settings.drainMilliseconds, settings.configurationMilliseconds);
     const peerChannel = openDatagramChannel(settings.peers.address, settings.peers.port, eventLog);
     const coordination = coordinate({
         self: describeSelf(),
@@ -110,7 +116,7 @@
         sizeFairness: parts.sizeFairness,
         decideLocally: request => decidePrompt(parts, request),
         findService: name => parts.configurationManager.current()?.configuration.services.get(name),
-        maxStateAgeMilliseconds: () => heedMilliseconds() * freshFraction,
+        maxStateAgeMilliseconds: () => applyLimitMilliseconds() * stateAgeFraction,
         clock,
         eventLog,
     });
@@ -130,7 +136,7 @@
         eventLog,
     });
     const background = new AbortController();
-    setMaxListeners(mostBackgroundTasks, background.signal);
+    setMaxListeners(maxBackgroundTasks, background.signal);
     let isStopping = false;
     const isReady = () =>
         !isStopping && !overloadGuard.isPersistentlyOverloaded() && parts.configurationManager.current() !== undefined
@@ -138,9 +144,9 @@
     const readiness = createReadinessServer(settings.readiness, adapters.readinessPath, isReady);
     parts.configurationManager.onChanged(table => server.setLimits(table.configuration.limits));
 
-    const follow = () => {
-        const ownWait = () => Math.max(shortestFeedWait, settings.contactMilliseconds - feedMarginMilliseconds);
-        const readerWait = () => Math.max(shortestFeedWait, heedMilliseconds() * readerWaitFraction);
+    const startTableWatches = () => {
+        const ownWait = () => Math.max(minFeedWaitMilliseconds, settings.contactMilliseconds - feedMarginMilliseconds);
+        const readerWait = () => Math.max(minFeedWaitMilliseconds, applyLimitMilliseconds() * readerWaitFraction);
         const timing: WatchTiming = {
             waitMilliseconds: () => Math.min(ownWait(), coordination.isReader() ? readerWait() : Infinity),
             mergeMilliseconds: settings.drainMilliseconds * mergeFraction,
@@ -151,7 +157,7 @@
             await clock.sleepUntil(refreshAt, background.signal);
             coordination.refreshEntry();
         };
-        const follow = (name: string, feed: ChangeFeed, observer: TableObserver) =>
+        const watch = (name: string, feed: ChangeFeed, observer: TableObserver) =>
             watchTable({
                 name,
                 feed,
@@ -164,11 +170,11 @@
                 relay: coordination.relayedTable(name),
                 reader: coordination.tableReader,
             }, background.signal);
-        void follow("configuration", adapters.configurationFeed, parts.configurationManager);
-        void follow("targets", adapters.targetFeed, parts.targets);
+        void watch("configuration", adapters.configurationFeed, parts.configurationManager);
+        void watch("targets", adapters.targetFeed, parts.targets);
     };
 
-    const actWithPeers = () => {
+    const startCoordination = () => {
         const { signal } = background;
         signal.addEventListener("abort", peerChannel.close);
         coordination.run(signal);
@@ -178,7 +184,7 @@
             parts,
             incarnation,
             isPlanner: () => !isStopping && coordination.isFleetCoordinator() && isOn(Mechanism.StageChanges),
-            peerPause: coordination.closingReportInterval,
+            closingReportInterval: coordination.closingReportInterval,
             clock,
             random,
             eventLog,
@@ -190,8 +196,8 @@
         eventLog.record(EventKind.ProcessStarted, { zone: settings.availabilityZone });
         void overloadGuard.run(background.signal);
         void reportSizeCounts({ sizeCounts: parts.sizeCounts, clock, eventLog }, background.signal);
-        follow();
-        actWithPeers();
+        startTableWatches();
+        startCoordination();
         await server.start();
         await readiness.start();
         await metricsServer?.start();
@@ -210,9 +216,9 @@
         }
     };
 
-    /** Without it, the others would send datagrams to this address until the entry is stale. */
+    /** Removes the peer entry; otherwise peers would send datagrams to this address until the entry is stale. */
     const leavePeers = () => {
-        const deadline = clock.monotonicNow() + leaveMilliseconds;
+        const deadline = clock.monotonicNow() + leaveTimeoutMilliseconds;
         return adapters.peerRegistry.leave(describeSelf(), deadline);
     };
 
@@ -237,7 +243,7 @@
     return { start, reload, stop };
 }
 
-/** Creates a meter that tells, at each call, how busy the event loop was since the call before. */
+/** Creates a function that returns the utilization of the event loop since its previous call. */
 function createUtilizationMeter(): () => number {
     let last = performance.eventLoopUtilization();
     return () => {
--- a/packages/daisyturn-daemon/src/forwarding/createMetricsServer.ts
+++ b/packages/daisyturn-daemon/src/forwarding/createMetricsServer.ts
@@ -8,20 +8,20 @@
 import { createServer } from "node:http";
 import { Counter, Gauge, Histogram, Registry } from "prom-client";
 
-/** Counters of one process, and the address at which they are served as text. */
+/** Metrics of one process, served over HTTP in the Prometheus text format. */
 export interface MetricsServer {
     readonly metrics: ForwardingMetrics;
-    /** Adds what is read at the moment of asking. */
+    /** Registers the gauges, whose values are read at each scrape. */
     observe(parts: Pick<ForwardingParts, "configurationManager" | "targets">): void;
     start(): Promise<void>;
     close(): void;
 }
 
-/** Upper bounds in seconds, around the aims of plain calls and of prompts. */
+/** Upper bounds in seconds, around the target latencies of plain calls and of prompts. */
 const latencyBuckets = [0.01, 0.02, 0.05, 0.1, 0.15, 0.2, 0.3, 0.5, 0.75, 1, 1.5, 2.5, 5];
 const millisecondsPerSecond = 1_000;
 
-/** Creates the counters. Labels have a handful of values each, whatever routes and targets there are. */
+/** Creates the metrics and their server. Each label has few values, independent of the number of routes and targets. */
 export function createMetricsServer(listen: ListenAddress): MetricsServer {
     const registry = new Registry();
     const registers = [registry];
--- a/packages/daisyturn-daemon/src/forwarding/createReadinessServer.ts
+++ b/packages/daisyturn-daemon/src/forwarding/createReadinessServer.ts
@@ -1,7 +1,7 @@
 import { type ListenAddress, listenAt } from "daisyturn/forwarding";
 import { createServer } from "node:http";
 
-/** Answers the balancer's question whether this process takes requests. */
+/** Serves the balancer's readiness probe. */
 export interface ReadinessServer {
     start(): Promise<void>;
     close(): void;
@@ -11,7 +11,7 @@
 const unavailableStatus = 503;
 const notFoundStatus = 404;
 
-/** Creates the server. Each question is answered on a connection of its own, so that none has to be kept. */
+/** Creates the server. It answers 200 or 503 at `path`, and 404 elsewhere. */
 export function createReadinessServer(
     listen: ListenAddress,
     path: string,
@@ -19,8 +19,8 @@
 ): ReadinessServer {
     const server = createServer((incoming, outgoing) => {
         incoming.resume();
-        const isAsked = incoming.url?.split("?", 1)[0] === path;
-        outgoing.statusCode = isAsked ? (isReady() ? okStatus : unavailableStatus) : notFoundStatus;
+        const isReadinessPath = incoming.url?.split("?", 1)[0] === path;
+        outgoing.statusCode = isReadinessPath ? (isReady() ? okStatus : unavailableStatus) : notFoundStatus;
         outgoing.setHeader("Content-Length", "0");
         outgoing.end();
     });
--- a/packages/daisyturn-daemon/src/forwarding/forwardingAdapters.ts
+++ b/packages/daisyturn-daemon/src/forwarding/forwardingAdapters.ts
@@ -10,7 +10,7 @@
     TargetProtocol,
 } from "daisyturn/forwarding";
 
-/** All that speaks to the outside; whoever embeds the process brings its own. */
+/** Adapters to everything outside the process, provided by the program that embeds it. */
 export interface ForwardingAdapters {
     readonly callerProtocol: CallerProtocol;
     readonly targetProtocol: TargetProtocol;
@@ -21,11 +21,11 @@
     readonly targetFeed: ChangeFeed;
     readonly decodeTarget: (targetId: string, text: string) => ListedTarget;
     readonly peerRegistry: PeerRegistry;
-    /** Rows of the system's own. */
+    /** Access to the rows that only the entry processes read and write. */
     readonly tableService: TableService;
     readonly storeEra: StoreEraTracker;
     readonly engineOrders: EngineOrders;
-    /** Path at which the balancer asks whether the process takes requests. */
+    /** Path of the balancer's readiness probe. */
     readonly readinessPath: string;
     close(): Promise<void>;
 }
--- a/packages/daisyturn-daemon/src/forwarding/startStageChanges.ts
+++ b/packages/daisyturn-daemon/src/forwarding/startStageChanges.ts
@@ -11,8 +11,8 @@
     readonly parts: ForwardingProcessParts;
     readonly incarnation: string;
     readonly isPlanner: () => boolean;
-    /** Longest pause between two datagrams to any coordinator while an engine is kept closed. */
-    readonly peerPause: () => number;
+    /** Maximum interval, in milliseconds, between two datagrams to any coordinator while an engine is closed. */
+    readonly closingReportInterval: () => number;
     readonly clock: Clock;
     readonly random: Random;
     readonly eventLog: EventLog;
@@ -20,13 +20,13 @@
 }
 
 const leaseName = "stages";
-/** Only lease rows are written and read: a few calls a second while an order is due, none otherwise. */
+/** Only lease rows are written and read: a few calls per second while an order is due, none otherwise. */
 const storeCallsPerSecond = 10;
 const renewalIntervalMilliseconds = 1_000;
-/** Datagrams may be lost, so an engine is closed for as long as it takes to tell of it three times. */
+/** Datagrams may be lost, so an engine stays closed before an order until its closing was reported this many times. */
 const datagramsBeforeOrder = 3;
 
-/** Starts the changes of engines' stages, with the lease under which they are ordered. */
+/** Starts the task that changes the stages of engines, and the lease under which it sends its orders. */
 export function startStageChanges(options: StageChangesOptions): void {
     const { settings, adapters, parts, incarnation, clock, random, eventLog, signal } = options;
     const { processId, availabilityZone, leaseMilliseconds } = settings;
@@ -67,7 +67,7 @@
         leaseManager,
         isPlanner: options.isPlanner,
         leaseMilliseconds,
-        closingMilliseconds: () => options.peerPause() * datagramsBeforeOrder,
+        closingMilliseconds: () => options.closingReportInterval() * datagramsBeforeOrder,
         clock,
         eventLog,
     }, signal);
