--- a/packages/daisyturn-daemon/src/settings/__fixtures__/settingsText.ts
+++ b/packages/daisyturn-daemon/src/settings/__fixtures__/settingsText.ts
@@ -19,10 +19,10 @@
     "  keys: [{ environment: DAISYTURN_TEST_KEY }]",
 ];
 
-/** The smallest settings file that is taken. */
+/** A minimal valid settings file. */
 export const validSettingsText = lines.join("\n");
 
-/** The same with one line, counted from 1, written anew; an empty text drops what stood there. */
+/** The minimal settings file with one line (1-based) replaced; an empty text removes its content. */
 export function createSettingsText(line: number, text: string): string {
     return lines.map((...[old, index]) => index === line - 1 ? text : old).join("\n");
 }
--- a/packages/daisyturn-daemon/src/settings/__tests__/settings.test.ts
+++ b/packages/daisyturn-daemon/src/settings/__tests__/settings.test.ts
@@ -17,52 +17,60 @@
 interface WrongLine {
     readonly line: number;
     readonly text: string;
-    readonly told: readonly string[];
+    readonly parts: readonly string[];
 }
 
 const wrongLines: readonly WrongLine[] = [
-    { line: 2, text: "calers:", told: ["FILE:2: calers: there is no such option at the top", "Did you mean callers?"] },
+    {
+        line: 2,
+        text: "calers:",
+        parts: ["FILE:2: calers: there is no such option at the top", "Did you mean callers?"],
+    },
     {
         line: 3,
         text: "  listen: { host: 127.0.0.1, port: eight }",
-        told: ["FILE:3: callers.listen.port: must be a number", "(given: \"eight\")", "as in: 8080"],
+        parts: ["FILE:3: callers.listen.port: must be a number", "(given: \"eight\")", "as in: 8080"],
     },
     {
         line: 3,
         text: "  listen: { host: localhost, port: 70000 }",
-        told: [
+        parts: [
             "callers.listen.host: must be an IP number (given: \"localhost\")",
             "must be at most 65535 (given: 70000)",
         ],
     },
-    { line: 3, text: "  listen: { port: 1 }", told: ["FILE:3: callers.listen.host: is missing (given: nothing)"] },
-    { line: 3, text: "  listen:", told: ["FILE:3: callers.listen: is missing", "Add it as in: { host:"] },
+    { line: 3, text: "  listen: { port: 1 }", parts: ["FILE:3: callers.listen.host: is missing (given: nothing)"] },
+    { line: 3, text: "  listen:", parts: ["FILE:3: callers.listen: is missing", "Add it as in: { host:"] },
     {
         line: 3,
         text: "  listen: { host: 127.0.0.1, port: 7600 }",
-        told: ["FILE:5: peers.listen.port: is the port of callers.listen already"],
+        parts: ["FILE:5: peers.listen.port: is the port of callers.listen already"],
+    },
+    {
+        line: 5,
+        text: "  listen: { host: 0.0.0.0, port: 7600 }",
+        parts: ["peers.advertise: is needed", "10.0.1.7:7600"],
     },
-    { line: 5, text: "  listen: { host: 0.0.0.0, port: 7600 }", told: ["peers.advertise: is needed", "10.0.1.7:7600"] },
-    { line: 7, text: "    - entry-2:7600", told: ["FILE:7: peers.seeds[0]: must be an IP number and a port"] },
-    { line: 8, text: "  secret: {}", told: ["FILE:8: peers.secret: must name a file or an environment variable"] },
+    { line: 7, text: "    - entry-2:7600", parts: ["FILE:7: peers.seeds[0]: must be an IP number and a port"] },
+    { line: 8, text: "  secret: {}", parts: ["FILE:8: peers.secret: must name a file or an environment variable"] },
     {
         line: 8,
         text: "  secret: hunter2",
-        told: ["FILE:8: peers.secret: must be a section", "a value that is not shown"],
+        parts: ["FILE:8: peers.secret: must be a section", "a value that is not shown"],
     },
-    { line: 8, text: "  secrets: hunter2", told: ["FILE:8: peers.secrets: there is no such", "Did you mean secret?"] },
-    { line: 8, text: "  secret: { fiel: hunter2 }", told: ["FILE:8: peers.secret.fiel", "Did you mean file?"] },
-    { line: 14, text: "      keyHash: hunter2", told: ["FILE:14: operators.keys[0].keyHash: has the wrong form"] },
+    { line: 8, text: "  secrets: hunter2", parts: ["FILE:8: peers.secrets: there is no such", "Did you mean secret?"] },
+    { line: 8, text: "  secret: { fiel: hunter2 }", parts: ["FILE:8: peers.secret.fiel", "Did you mean file?"] },
+    { line: 14, text: "      keyHash: hunter2", parts: ["FILE:14: operators.keys[0].keyHash: has the wrong form"] },
     {
         line: 14,
         text: `      keyHash: ${"1".repeat(63)}e`.replace("1e", "e1"),
-        told: ["keyHash: must be a text (given: a value that is not shown). Put it in quotes as in"],
+        parts: ["keyHash: must be a text (given: a value that is not shown). Put it in quotes as in"],
     },
-    { line: 15, text: "platform: { url: ftp://x, writesPerSecond: 0 }", told: ["must be greater than 0 (given: 0)"] },
-    { line: 16, text: "cell: { name: '', leaseMilliseconds: 0.5 }", told: ["cell.name: is too short", "at least 1"] },
-    { line: 18, text: "  keys: []", told: ["FILE:18: resumption.keys: is too short (given: a list of 0)"] },
-    { line: 18, text: "  keys: [", told: ["FILE:18: settings: no valid YAML"] },
-    { line: 16, text: "cell: { name: a }\ncell: { name: b }", told: ["FILE:17: settings: no valid YAML"] },
+    { line: 15, text: "platform: { url: ftp://x, writesPerSecond: 0 }", parts: ["must be greater than 0 (given: 0)"] },
+    { line: 16, text: "cell: { name: '', leaseMilliseconds: 0.5 }", parts: ["cell.name: is too short", "at least 1"] },
+    { line: 18, text: "  keys: []", parts: ["FILE:18: resumption.keys: is too short (given: a list of 0)"] },
+    { line: 18, text: "  keys: [", parts: ["FILE:18: settings: no valid YAML"] },
+    { line: 16, text: "cell: { name: a }\ncell: { name: b }", parts: ["FILE:17: settings: no valid YAML"] },
 ];
 
 function problemsOf(text: string): readonly UserErrorDetails[] {
@@ -85,17 +93,17 @@
         assert.deepEqual(settings.log, {});
     });
 
-    for (const { line, text, told } of wrongLines) {
+    for (const { line, text, parts } of wrongLines) {
         it(`names file, line, option, value and remedy of ${text.trim()}`, () => {
             const messages = problemsOf(createSettingsText(line, text)).map(formatUserError).join("\n");
-            for (const part of told) {
+            for (const part of parts) {
                 assert.ok(messages.includes(part), `${messages}\nlacks: ${part}`);
             }
             assert.ok(!messages.includes("hunter2"), messages);
         });
     }
 
-    it("tells all problems in the order of their lines, and the first one at the start", () => {
+    it("reports all problems in line order, and throws the first with the places of the others", () => {
         const text = createSettingsText(16, "cell: { nam: x }").replace("port: 8080", "port: -1");
         const lines = problemsOf(text).map(problem => problem.line);
         assert.deepEqual(lines, [3, 16, 16]);
@@ -107,14 +115,14 @@
         });
     });
 
-    it("tells of an empty file and of one that is not there", () => {
+    it("reports an empty file and a missing one", () => {
         assert.match(problemsOf("").map(formatUserError).join(), /FILE:1: settings: is missing/);
         const absent = daemonSettingsReader.checkFile("/nowhere/entry.yaml");
         assert.ok(absent.isErr);
         assert.match(absent.error.map(formatUserError).join(), /settings file: can't be read: ENOENT .*entry\.yaml/);
     });
 
-    it("takes every example of the reference as a value of its option", () => {
+    it("accepts every example of the reference page as a value of its option", () => {
         const visit = (name: string, entry: CatalogueEntry): void => {
             if (entry.properties && !entry.examples) {
                 Object.entries(entry.properties).forEach(each => visit(`${name}.${each[0]}`, each[1]));
@@ -143,7 +151,7 @@
 });
 
 describe("readSecret", () => {
-    it("reads files and environment variables, and refuses what is empty without showing anything", () => {
+    it("reads files and environment variables, and rejects empty or missing ones", () => {
         const file = writeSettings(" hunter2 \n");
         process.env["DAISYTURN_TEST_SECRET"] = "hunter3";
         process.env["DAISYTURN_TEST_EMPTY"] = "  ";
@@ -158,7 +166,7 @@
 });
 
 describe("findNearestName", () => {
-    it("finds misspelt names and nothing for strange ones", () => {
+    it("finds the option for a misspelt name and none for an unrelated one", () => {
         const known = ["heartbeatMilliseconds", "listen", "seeds", "secret"];
         assert.equal(findNearestName("heartbeatMiliseconds", known), "heartbeatMilliseconds");
         assert.equal(findNearestName("Lisen", known), "listen");
--- a/packages/daisyturn-daemon/src/settings/checkTogether.ts
+++ b/packages/daisyturn-daemon/src/settings/checkCrossOptionRules.ts
@@ -1,13 +1,13 @@
 import type { z } from "zod";
 import type { DaemonSettings } from "./settingsSections.js";
 
-const anyAddresses = new Set(["0.0.0.0", "::"]);
+const wildcardAddresses = new Set(["0.0.0.0", "::"]);
 const listenerSections = ["callers", "peers", "operators"] as const;
 
 type Report = (path: readonly (string | number)[], message: string) => void;
 
-/** Checks what no option can tell by itself. */
-export function checkTogether(settings: DaemonSettings, context: z.RefinementCtx): void {
+/** Checks the rules that involve several options. */
+export function checkCrossOptionRules(settings: DaemonSettings, context: z.RefinementCtx): void {
     const report: Report = (path, message) => context.addIssue({ code: "custom", path: [...path], message });
     checkPorts(settings, report);
     checkAdvertised(settings, report);
@@ -15,19 +15,19 @@
 }
 
 function checkPorts(settings: DaemonSettings, report: Report): void {
-    const taken = new Map<number, string>();
+    const sectionsByPort = new Map<number, string>();
     for (const section of listenerSections) {
         const { port } = settings[section].listen;
-        const other = taken.get(port);
+        const other = sectionsByPort.get(port);
         if (port !== 0 && other !== undefined) {
             report([section, "listen", "port"], `is the port of ${other}.listen already`);
         }
-        taken.set(port, section);
+        sectionsByPort.set(port, section);
     }
 }
 
 function checkAdvertised({ peers }: DaemonSettings, report: Report): void {
-    if (anyAddresses.has(peers.listen.host) && peers.advertise === undefined) {
+    if (wildcardAddresses.has(peers.listen.host) && peers.advertise === undefined) {
         report(["peers", "advertise"], "is needed where the listener takes every address of the VM");
     }
     if (peers.listen.port === 0 && peers.advertise === undefined) {
--- a/packages/daisyturn-daemon/src/settings/createSettingsReader.ts
+++ b/packages/daisyturn-daemon/src/settings/createSettingsReader.ts
@@ -8,14 +8,14 @@
 
 /** Reads one kind of settings file. */
 export interface SettingsReader<Settings> {
-    /** All problems, in the order of their lines, if the text can't be taken. */
+    /** Returns the settings or, if the text is invalid, all problems in the order of their lines. */
     checkText(text: string, file?: string): Result<Settings, readonly UserErrorDetails[]>;
     checkFile(file: string): Result<Settings, readonly UserErrorDetails[]>;
-    /** Throws a UserError for the first problem, which tells of the others. */
+    /** @throws UserError for the first problem; its message lists the places of the others */
     load(file: string): Settings;
 }
 
-/** Creates the reader of a kind of settings file. The schema's texts become the remedies. */
+/** Creates the reader of a kind of settings file. Remedies are built from the schema's descriptions and examples. */
 export function createSettingsReader<Schema extends z.ZodType>(schema: Schema): SettingsReader<z.output<Schema>> {
     const catalogue = createOptionCatalogue(schema);
 
@@ -46,7 +46,7 @@
         }
         const [first, ...others] = checked.error;
         if (!first) {
-            throw new Error("settings were refused without a problem");
+            throw new Error("settings are invalid, but no problem was reported");
         }
         const more = others.length === 0 ? "" : ` (${others.length} more: ${others.map(describePlace).join(", ")})`;
         throw new UserError({ ...first, remedy: first.remedy + more });
--- a/packages/daisyturn-daemon/src/settings/daemonSettings.ts
+++ b/packages/daisyturn-daemon/src/settings/daemonSettings.ts
@@ -1,7 +1,7 @@
-import { checkTogether } from "./checkTogether.js";
+import { checkCrossOptionRules } from "./checkCrossOptionRules.js";
 import { settingsSections } from "./settingsSections.js";
 
 export type { DaemonSettings, SecretSource, TlsFiles } from "./settingsSections.js";
 
-/** Schema of the daemon's settings file: each option by itself, and what must hold between options. */
-export const daemonSettingsSchema = settingsSections.superRefine(checkTogether);
+/** Schema of the daemon's settings file: the rules of each option and those that involve several options. */
+export const daemonSettingsSchema = settingsSections.superRefine(checkCrossOptionRules);
--- a/packages/daisyturn-daemon/src/settings/describeIssues.ts
+++ b/packages/daisyturn-daemon/src/settings/describeIssues.ts
@@ -6,18 +6,18 @@
 
 type Issue = z.core.$ZodIssue;
 
-const longestShownValue = 60;
+const maxShownCharacters = 60;
 const hiddenValue = "a value that is not shown";
 const noValue = "nothing";
 
-/** The file that is checked, and what may stand in it. */
+/** A settings file to check, and the options that it may contain. */
 export interface CheckedFile {
     readonly document: SettingsDocument;
     readonly catalogue: OptionCatalogue;
     readonly name: string | undefined;
 }
 
-/** Puts what the schema found into the words of a person who has the file before them. */
+/** Converts schema issues into problems with the file, line, option, value and remedy. */
 export function describeIssues(issues: readonly Issue[], file: CheckedFile): readonly UserErrorDetails[] {
     return issues.flatMap(issue =>
         issue.code === "unrecognized_keys"
@@ -34,7 +34,7 @@
         file: file.name,
         line: file.document.findNameLine(section, name),
         option: formatOptionPath([...section, name]),
-        // A misspelt name may stand before a secret.
+        // The misspelt option may be one that contains a secret.
         value: hiddenValue,
         problem: `there is no such option ${place}`,
         remedy: nearest === undefined
@@ -78,7 +78,7 @@
         return Array.isArray(value) ? `a list of ${value.length}` : "a section";
     }
     const text = JSON.stringify(value);
-    return text.length > longestShownValue ? `${text.slice(0, longestShownValue)}…` : text;
+    return text.length > maxShownCharacters ? `${text.slice(0, maxShownCharacters)}…` : text;
 }
 
 function describeProblem(issue: Issue, value: unknown): string {
@@ -87,7 +87,7 @@
     }
     switch (issue.code) {
         case "invalid_type":
-            return `must be ${typeWords[issue.expected] ?? issue.expected}`;
+            return `must be ${typeDescriptions[issue.expected] ?? issue.expected}`;
         case "too_small":
             return issue.origin === "array" || issue.origin === "string"
                 ? "is too short"
@@ -103,7 +103,7 @@
     }
 }
 
-const typeWords: Readonly<Record<string, string>> = {
+const typeDescriptions: Readonly<Record<string, string>> = {
     string: "a text",
     number: "a number",
     int: "a whole number",
@@ -119,7 +119,7 @@
     return entry?.description === undefined ? sample : `${sample} (${entry.description})`;
 }
 
-/** YAML reads a hash such as 12e45 as a number, and the text no as false. */
+/** Whether YAML parsed an unquoted text as a number or boolean, such as a hash like 12e45. */
 function isUnquotedText(value: unknown, issue: Issue): boolean {
     const isPlain = typeof value === "number" || typeof value === "boolean";
     return isPlain && issue.code === "invalid_type" && issue.expected === "string";
--- a/packages/daisyturn-daemon/src/settings/formatReference.ts
+++ b/packages/daisyturn-daemon/src/settings/formatReference.ts
@@ -16,7 +16,7 @@
 
 const tableHead = "| option | kind | default | meaning |\n| --- | --- | --- | --- |\n";
 
-/** The reference page, in Markdown, with one section for each section of the file. */
+/** Returns the reference page in Markdown, with one section for each section of the settings file. */
 export function formatReference(): string {
     const { root } = createOptionCatalogue(daemonSettingsSchema);
     const sections = Object.entries(root.properties ?? {})
@@ -33,11 +33,11 @@
     readonly path: string;
     readonly entry: CatalogueEntry;
     readonly isRequired: boolean;
-    /** It stands in a section that may be left out, or in an entry of a list. */
+    /** Whether it belongs to an optional section or to an entry of a list. */
     readonly isConditional: boolean;
 }
 
-/** The options of a section, with those of its sections and lists below them. */
+/** Lists the options of a section, each followed by those of its subsection or list entries. */
 function listOptions(path: string, section: CatalogueEntry, isConditional: boolean): ListedOption[] {
     return Object.entries(section.properties ?? {}).flatMap(([name, entry]) => {
         const optionPath = `${path}.${name}`;
--- a/packages/daisyturn-daemon/src/settings/loadDaemonSettings.ts
+++ b/packages/daisyturn-daemon/src/settings/loadDaemonSettings.ts
@@ -1,10 +1,13 @@
 import { createSettingsReader } from "./createSettingsReader.js";
 import { type DaemonSettings, daemonSettingsSchema } from "./daemonSettings.js";
 
-/** Reads the daemon's settings. */
+/** Reader of the daemon's settings file. */
 export const daemonSettingsReader = createSettingsReader(daemonSettingsSchema);
 
-/** Reads and checks a settings file. Throws a UserError for the first problem, which tells of the others. */
+/**
+ * Reads and validates a settings file.
+ * @throws UserError for the first problem; its message lists the places of the others
+ */
 export function loadDaemonSettings(file: string): DaemonSettings {
     return daemonSettingsReader.load(file);
 }
--- a/packages/daisyturn-daemon/src/settings/nearestName.ts
+++ b/packages/daisyturn-daemon/src/settings/nearestName.ts
@@ -1,26 +1,26 @@
-/** Names that differ by more than this part of their letters are not taken for misspelt. */
-const largestDifference = 0.5;
+/** A name is not treated as misspelt if more than this fraction of its letters differ. */
+const maxDifferenceFraction = 0.5;
 
-/** The known name that a misspelt one most likely stands for. */
+/** Returns the known name closest to a misspelt one; undefined if none is similar enough. */
 export function findNearestName(name: string, known: readonly string[]): string | undefined {
     const ranked = known
         .map(candidate => ({ candidate, distance: countEdits(name.toLowerCase(), candidate.toLowerCase()) }))
         .sort((left, right) => left.distance - right.distance);
     const [nearest] = ranked;
-    const limit = Math.max(name.length, nearest?.candidate.length ?? 0) * largestDifference;
+    const limit = Math.max(name.length, nearest?.candidate.length ?? 0) * maxDifferenceFraction;
     return nearest && nearest.distance <= limit ? nearest.candidate : undefined;
 }
 
-/** Letters to add, drop or exchange to make one text of the other (Levenshtein distance). */
+/** Levenshtein distance: the number of letters to insert, delete or replace to turn one text into the other. */
 function countEdits(from: string, to: string): number {
     let previous = Array.from({ length: to.length + 1 }, (...[, index]) => index);
     for (const [row, letter] of [...from].entries()) {
         const current = [row + 1];
         for (const [column, other] of [...to].entries()) {
-            const exchanged = (previous[column] ?? 0) + (letter === other ? 0 : 1);
-            const dropped = (previous[column + 1] ?? 0) + 1;
-            const added = (current[column] ?? 0) + 1;
-            current.push(Math.min(exchanged, dropped, added));
+            const replaced = (previous[column] ?? 0) + (letter === other ? 0 : 1);
+            const deleted = (previous[column + 1] ?? 0) + 1;
+            const inserted = (current[column] ?? 0) + 1;
+            current.push(Math.min(replaced, deleted, inserted));
         }
         previous = current;
     }
--- a/packages/daisyturn-daemon/src/settings/optionCatalogue.ts
+++ b/packages/daisyturn-daemon/src/settings/optionCatalogue.ts
@@ -1,6 +1,6 @@
 import { z } from "zod";
 
-/** An option or a section, as the reference page and the remedies need it. */
+/** An option or a section, with the JSON Schema fields that the reference page and the remedies use. */
 export interface CatalogueEntry {
     readonly type?: string;
     readonly description?: string;
@@ -16,15 +16,15 @@
     readonly items?: CatalogueEntry;
 }
 
-/** Steps from the root of the settings to an option: names, and places in lists. */
+/** Path from the root of the settings to an option: names and list indexes. */
 export type OptionPath = readonly (string | number)[];
 
-/** Everything that can be set. */
+/** All options of a schema. */
 export interface OptionCatalogue {
     readonly root: CatalogueEntry;
-    /** The entry of an option; undefined if there is none under the path. */
+    /** Returns the entry of an option; undefined if the path names none. */
     findEntry(path: OptionPath): CatalogueEntry | undefined;
-    /** Whether the value under the path may be shown. What stands below a secret, or is no known option, may not. */
+    /** Whether the value at the path may be shown: false below a secret and for unknown options. */
     mayShowValue(path: OptionPath): boolean;
 }
 
@@ -46,7 +46,7 @@
     return { root, findEntry, mayShowValue };
 }
 
-/** `operators.keys[0].name` */
+/** Formats a path as in `operators.keys[0].name`. */
 export function formatOptionPath(path: OptionPath): string {
     const text = path.map(step => typeof step === "number" ? `[${step}]` : `.${step}`).join("");
     return text.startsWith(".") ? text.slice(1) : text;
--- a/packages/daisyturn-daemon/src/settings/readSecret.ts
+++ b/packages/daisyturn-daemon/src/settings/readSecret.ts
@@ -9,7 +9,7 @@
     readonly authority?: string;
 }
 
-/** Reads a secret from its place. Errors name the place and never the secret. */
+/** Reads a secret from its file or environment variable. Errors name this source and never contain the secret. */
 export function readSecret(source: SecretSource): string {
     const place = source.file === undefined
         ? `environment variable ${source.environment}`
@@ -37,7 +37,7 @@
     };
 }
 
-/** Reads the files of TLS where both sides show a certificate. */
+/** Reads the files for mutual TLS. */
 export function readMutualTlsFiles(files: TlsFiles & { readonly authorityFile: string; }) {
     return { ...readTlsFiles(files), authority: readTextFile(files.authorityFile) };
 }
--- a/packages/daisyturn-daemon/src/settings/settingsDocument.ts
+++ b/packages/daisyturn-daemon/src/settings/settingsDocument.ts
@@ -1,24 +1,24 @@
 import { type Document, isMap, isNode, isPair, isScalar, LineCounter, parseDocument } from "yaml";
 import type { OptionPath } from "./optionCatalogue.js";
 
-/** A settings file as it was written. */
+/** A parsed settings file with the positions of its options. */
 export interface SettingsDocument {
     readonly value: unknown;
-    /** Problems of the YAML itself. */
+    /** YAML syntax errors. */
     readonly syntaxProblems: readonly SyntaxProblem[];
-    /** Line, counted from 1, on which the option stands, or the nearest one around it that is there. */
+    /** 1-based line of the option or, if it is absent, of its nearest enclosing section that is present. */
     findLine(path: OptionPath): number;
-    /** Line of a name in a section, also of one that is no option. */
+    /** 1-based line of a name in a section, which need not be a known option. */
     findNameLine(section: OptionPath, name: string): number;
 }
 
-/** A place where the file is no YAML. */
+/** A YAML syntax error. */
 export interface SyntaxProblem {
     readonly line: number;
     readonly message: string;
 }
 
-/** Reads YAML and remembers where everything stands. */
+/** Parses YAML and records the position of every option. */
 export function readSettingsDocument(text: string): SettingsDocument {
     const lineCounter = new LineCounter();
     const document: Document = parseDocument(text, { lineCounter, prettyErrors: false });
--- a/packages/daisyturn-daemon/src/settings/settingsSections.ts
+++ b/packages/daisyturn-daemon/src/settings/settingsSections.ts
@@ -143,7 +143,7 @@
     port: describeOption(z.int().min(1).max(65_535), { description: "Its UDP port.", example: "8125" }),
 });
 
-/** All options of the daemon's settings file, each checked by itself. Their texts make docs/reference/settings.md. */
+/** All options of the daemon's settings file. `docs/reference/settings.md` is generated from their texts. */
 export const settingsSections = z.strictObject({
     process: processSection.meta({ description: "Which process this is." }),
     callers: callersSection.meta({ description: "The listener for callers." }),
@@ -157,11 +157,11 @@
     metrics: metricsSection.meta({ description: "Metrics by statsd; where absent, none are sent." }).optional(),
 });
 
-/** The daemon's settings after defaults were filled in. */
+/** The daemon's settings with defaults applied. */
 export type DaemonSettings = z.infer<typeof settingsSections>;
 
-/** Where a secret is kept. */
+/** The file or environment variable that contains a secret. */
 export type SecretSource = DaemonSettings["peers"]["secret"];
 
-/** Names of the files of a TLS listener. */
+/** Paths of the files of a TLS listener. */
 export type TlsFiles = NonNullable<DaemonSettings["operators"]["tls"]>;
--- a/packages/daisyturn-daemon/src/settings/writeReference.ts
+++ b/packages/daisyturn-daemon/src/settings/writeReference.ts
@@ -2,5 +2,5 @@
 import { formatReference } from "./formatReference.js";
 import { referenceFile } from "./referenceFile.js";
 
-// Writes the reference page anew: `npm run reference`.
+// Regenerates the reference page: `npm run reference`.
 writeFileSync(referenceFile, formatReference());
--- a/packages/daisyturn-daemon/src/untilStopSignal.ts
+++ b/packages/daisyturn-daemon/src/untilStopSignal.ts
@@ -1,6 +1,6 @@
 /**
- * Waits for the first of the signals that ask a process to stop. Later ones change nothing: by default a second one
- * would end the process with its requests still running, and whoever is in a hurry still has SIGKILL.
+ * Waits for the first of the given stop signals. Later ones are ignored, because Node.js's default handling of a second
+ * signal would end the process while requests are still running. SIGKILL still ends it at once.
  */
 export function untilStopSignal(...signals: readonly NodeJS.Signals[]): Promise<void> {
     return new Promise(resolve => signals.forEach(signal => process.on(signal, () => resolve())));
