--- a/packages/daisyturn-daemon/src/__tests__/createMeteredEventLog.test.ts
+++ b/packages/daisyturn-daemon/src/__tests__/createMeteredEventLog.test.ts
@@ -22,13 +22,13 @@
         assert.deepEqual(sent, ["daisyturn.events.request_refused:1|c|#partner:north,reason:overloaded"]);
     });
 
-    it("makes no tag of a fault's text", () => {
+    it("does not use a fault's free text as a tag", () => {
         const { eventLog, sent } = createMetered();
         eventLog.record(EventKind.Fault, { reason: "TypeError: something" });
         assert.deepEqual(sent, ["daisyturn.events.fault:1|c"]);
     });
 
-    it("times the first token", () => {
+    it("reports the time to the first token", () => {
         const { eventLog, sent } = createMetered();
         eventLog.record(EventKind.RequestFirstToken, { afterMilliseconds: 120 });
         assert.ok(sent.includes("daisyturn.request.first_token:120|ms"));
--- a/packages/daisyturn-daemon/src/entry/createBase.ts
+++ b/packages/daisyturn-daemon/src/entry/createBase.ts
@@ -19,7 +19,7 @@
 import { createMeteredEventLog, type MetricsClient } from "./createMeteredEventLog.js";
 import { createPlatform, type Platform } from "./createPlatform.js";
 
-/** What every other part of the process is built on. */
+/** The basic services that the other parts of the process depend on. */
 export interface Base {
     readonly clock: Clock;
     readonly self: ProcessIdentity;
@@ -32,13 +32,13 @@
     readonly metrics: ProcessMetrics;
 }
 
-/** The metrics client of the process, with its end. */
+/** The metrics client of the process. */
 export interface ProcessMetrics extends MetricsClient {
-    /** Sends what is buffered. */
+    /** Sends buffered metrics and closes the client. */
     close(): Promise<void>;
 }
 
-/** Below the smallest packet that any network passes whole. */
+/** Below the MTU of common networks, so that datagrams are not fragmented. */
 const metricsBufferBytes = 1_200;
 const seedLimit = 0x7fffffff;
 
@@ -69,10 +69,10 @@
         prefix: "daisyturn.",
         globalTags: { process: settings.process.id, cell: settings.cell.name },
         maxBufferSize: metricsBufferBytes,
-        // Metrics are sent without an answer; one that can't be sent must not harm a request.
+        // Metrics are unacknowledged; a failed send must not affect a request.
         errorHandler: () => undefined,
     });
-    // A mock keeps every metric in memory, so without an address nothing is passed on to it.
+    // A mock client retains every metric in memory, so without an address no metrics are passed to it.
     const ignore = () => undefined;
     const calls: MetricsClient = settings.metrics ? client : { increment: ignore, timing: ignore, gauge: ignore };
     return {
--- a/packages/daisyturn-daemon/src/entry/createCell.ts
+++ b/packages/daisyturn-daemon/src/entry/createCell.ts
@@ -19,19 +19,19 @@
 
 const leaseName = "controller";
 
-/** Creates the parts that act together with the other processes of the cell. */
+/** Creates the parts that coordinate with the other processes of the cell. */
 export function createCell(settings: DaemonSettings, base: Base) {
-    const agreement = createAgreement(settings, base);
-    const targets = createTargets(base, agreement);
-    const control = createControl(settings, base, agreement, targets);
-    return { ...agreement, ...targets, ...control };
+    const coordination = createCoordination(settings, base);
+    const targets = createTargets(base, coordination);
+    const control = createControl(settings, base, coordination, targets);
+    return { ...coordination, ...targets, ...control };
 }
 
 /** What {@link createCell} creates. */
 export type Cell = ReturnType<typeof createCell>;
 
-/** Peers, members, the store and the configuration. */
-function createAgreement(settings: DaemonSettings, base: Base) {
+/** Creates the peer network, the membership, the store client, the service guard and the configuration manager. */
+function createCoordination(settings: DaemonSettings, base: Base) {
     const { clock, eventLog, random, ids, self } = base;
     const network = createPeerNetwork({
         self,
@@ -81,37 +81,37 @@
     return { network, storeClient, membership, serviceGuard, configurationManager };
 }
 
-type Agreement = ReturnType<typeof createAgreement>;
+type Coordination = ReturnType<typeof createCoordination>;
 
-/** The targets, and whether new work may go to them. */
-function createTargets(base: Base, agreement: Agreement) {
+/** Creates the targets and the gate that determines whether they may receive new work. */
+function createTargets(base: Base, coordination: Coordination) {
     const vmWatch = createVmWatch({ vmList: base.platform.vmList, clock: base.clock });
-    const targets = createHttpTargets(agreement.configurationManager, base.clock);
+    const targets = createHttpTargets(coordination.configurationManager, base.clock);
     const gate = createTargetGate({
-        configurationManager: agreement.configurationManager,
-        peerNetwork: agreement.network,
+        configurationManager: coordination.configurationManager,
+        peerNetwork: coordination.network,
         clock: base.clock,
         isVmLeaving: target => isOnLeavingVm(vmWatch, target.url),
-        isInService: () => agreement.serviceGuard.isInService(),
+        isInService: () => coordination.serviceGuard.isInService(),
     });
     return { vmWatch, targets, gate };
 }
 
-/** The list names a VM by its IP number, or by number and port where several processes share one (tests). */
+/** The VM list names a VM by its IP address, or by address and port where several processes share one (in tests). */
 function isOnLeavingVm(vmWatch: VmWatch, url: string): boolean {
     const { host, hostname } = new URL(url);
     return vmWatch.isLeaving(hostname) || vmWatch.isLeaving(host);
 }
 
-/** The lease and what its holder does. */
+/** Creates the controller lease and the parts that its holder runs. */
 function createControl(
     settings: DaemonSettings,
     base: Base,
-    agreement: Agreement,
+    coordination: Coordination,
     { targets, gate }: ReturnType<typeof createTargets>,
 ) {
     const { clock, eventLog, random, ids, self } = base;
-    const { storeClient, membership, network, configurationManager } = agreement;
+    const { storeClient, membership, network, configurationManager } = coordination;
     const cellLeaseName = `${settings.cell.name}/${leaseName}`;
     const leaseManager = createLeaseManager({
         name: cellLeaseName,
--- a/packages/daisyturn-daemon/src/entry/createDataPath.ts
+++ b/packages/daisyturn-daemon/src/entry/createDataPath.ts
@@ -17,7 +17,7 @@
 const firstReportsMilliseconds = 2_000;
 const loadReportIntervalMilliseconds = 250;
 
-/** Creates the parts that a caller's request goes through. */
+/** Creates the parts that process a caller's request. */
 export function createDataPath(settings: DaemonSettings, policies: EntryPolicies, base: Base, cell: Cell) {
     const { clock, eventLog, random, ids, self } = base;
     const { network, membership, configurationManager, targets, gate, storeClient, serviceGuard } = cell;
--- a/packages/daisyturn-daemon/src/entry/createEntryProcess.ts
+++ b/packages/daisyturn-daemon/src/entry/createEntryProcess.ts
@@ -19,7 +19,7 @@
 import { createStatusRoutes } from "./createStatusRoutes.js";
 import { type EntryPolicies, StandardPolicies } from "./entryPolicies.js";
 
-/** Where the running process listens. */
+/** Ports on which the running process listens. */
 export interface EntryAddresses {
     readonly callerPort: number;
     readonly operatorPort: number;
@@ -27,19 +27,19 @@
 
 /** One entry process. */
 export interface EntryProcess {
-    /** Joins the cell, adopts the configuration and opens for callers. */
+    /** Joins the cell, adopts the configuration and starts to accept callers. */
     start(): Promise<EntryAddresses>;
-    /** Withdraws readiness, finishes what runs, gives back leases and leaves the cell. */
+    /** Withdraws readiness, finishes running requests, releases leases and leaves the cell. */
     stop(): Promise<void>;
 }
 
 const enginePollMilliseconds = 20;
-/** For the ends of non-idempotent calls to reach the store. */
+/** Time for the outcomes of non-idempotent calls to reach the store. */
 const claimDrainMilliseconds = 5_000;
-/** For tasks to end after the last request has: a lease's release may wait for the store. */
-const taskEndMilliseconds = 5_000;
+/** Time for background tasks to end after the last request. The release of a lease may wait for the store. */
+const taskEndTimeoutMilliseconds = 5_000;
 
-/** Wires the parts of one entry process together. */
+/** Creates the parts of one entry process and connects them. */
 export function createEntryProcess(
     settings: DaemonSettings,
     policies: EntryPolicies = new StandardPolicies(settings.cell.planRoles),
@@ -48,7 +48,7 @@
     const cell = createCell(settings, base);
     const data = createDataPath(settings, policies, base, cell);
     const background = new AbortController();
-    // Every task of the process waits on this signal; node's warning at ten listeners is meant for leaks.
+    // Every background task listens to this signal, so Node.js's leak warning above ten listeners does not apply.
     setMaxListeners(0, background.signal);
     const tasks: Promise<void>[] = [];
     const membershipStop = new AbortController();
@@ -73,14 +73,14 @@
 
     const stop = async () => {
         await data.callerServer.drain(base.clock.monotonicNow() + settings.callers.drainMilliseconds);
-        // Leaving the cell proves to the others that this process sends nothing more: its claims come first.
+        // Peers take leaving the cell as proof that this process sends nothing more, so claims are drained first.
         await data.claims.drain(base.clock.monotonicNow() + claimDrainMilliseconds);
         await operatorServer?.close();
         background.abort();
-        if (await haveEnded(base, tasks)) {
-            // Leaving proves to the others that this process sends nothing more: not said while a task may still send.
+        if (await waitForEnd(base, tasks)) {
+            // For the same reason, the process does not leave the cell while a task may still send.
             membershipStop.abort();
-            await haveEnded(base, [membershipTask]);
+            await waitForEnd(base, [membershipTask]);
         }
         await cell.network.stop();
         await data.callerServer.stop();
@@ -162,20 +162,25 @@
 }
 
 async function waitForEngines(base: Base, data: DataPath, signal: AbortSignal): Promise<void> {
-    while (!data.readiness.knowsEngines() && !signal.aborted) {
+    while (!data.readiness.isEngineWaitOver() && !signal.aborted) {
         await base.clock.sleepUntil(base.clock.monotonicNow() + enginePollMilliseconds, signal);
     }
 }
 
-/** A task that does not end must not keep the VM from being replaced; what it holds lapses. */
-async function haveEnded(base: Base, tasks: readonly (Promise<void> | undefined)[]): Promise<boolean> {
+/**
+ * Waits for the tasks and returns whether they ended in time. A task that does not end must not prevent the replacement
+ * of the VM; leases and claims that it still holds expire.
+ */
+async function waitForEnd(base: Base, tasks: readonly (Promise<void> | undefined)[]): Promise<boolean> {
     const ended = new AbortController();
-    const deadline = base.clock.monotonicNow() + taskEndMilliseconds;
+    const deadline = base.clock.monotonicNow() + taskEndTimeoutMilliseconds;
     const all = Promise.all(tasks).then(() => true);
     const limit = base.clock.sleepUntil(deadline, ended.signal).then(() => false);
     const inTime = await Promise.race([all, limit]);
     if (!inTime) {
-        base.eventLog.record(EventKind.Fault, { reason: "a task did not end in time; the process stops without it" });
+        base.eventLog.record(EventKind.Fault, {
+            reason: "a task did not end within the shutdown time limit; stopping without it",
+        });
     }
     ended.abort();
     return inTime;
--- a/packages/daisyturn-daemon/src/entry/createIdentity.ts
+++ b/packages/daisyturn-daemon/src/entry/createIdentity.ts
@@ -8,9 +8,9 @@
 const randomByteCount = 3;
 
 /**
- * Names this run of the process. The incarnation starts with the wall time of the start, so that a later run sorts
- * after an earlier one; a wall clock set back over a restart would break that order, which only delays how soon peers
- * take the earlier run as ended.
+ * Creates the identity of this incarnation of the process. The incarnation starts with the wall time of the start, so
+ * that a later one sorts after an earlier one. If the wall clock is set back across a restart, this order breaks; peers
+ * then only take longer to presume the earlier incarnation ended.
  */
 export function createIdentity(settings: DaemonSettings, clock: Clock): ProcessIdentity {
     const { listen, advertise } = settings.peers;
--- a/packages/daisyturn-daemon/src/entry/createLogWriter.ts
+++ b/packages/daisyturn-daemon/src/entry/createLogWriter.ts
@@ -1,17 +1,17 @@
 import { destination } from "pino";
 
-/** Takes finished log lines. */
+/** Writes formatted log lines. */
 export interface LogWriter {
     writeLine(line: string): void;
-    /** Writes out what is buffered; to be called before the process ends. */
+    /** Writes out buffered lines; must be called before the process ends. */
     flush(): void;
 }
 
-/** Bytes that are gathered before a write; the interval bounds how long they wait. */
+/** Lines are written once this many bytes are buffered, and at the latest after the flush interval. */
 const bufferBytes = 8 * 1024;
 const flushIntervalMilliseconds = 250;
 
-/** Writes log lines to a file, or to standard output where none is named. */
+/** Creates a writer to a file, or to standard output if `file` is undefined. */
 export function createLogWriter(file: string | undefined): LogWriter {
     const output = destination({
         dest: file ?? 1,
--- a/packages/daisyturn-daemon/src/entry/createMeteredAdmission.ts
+++ b/packages/daisyturn-daemon/src/entry/createMeteredAdmission.ts
@@ -1,6 +1,6 @@
 import type { ArrivalMeter, RunningAdmission } from "daisyturn";
 
-/** Counts every request before it is let in or refused, so that the role planner sees what is wanted. */
+/** Counts every request before it is admitted or refused, so that the role planner sees the whole demand. */
 export function createMeteredAdmission(inner: RunningAdmission, meter: ArrivalMeter): RunningAdmission {
     return {
         ...inner,
--- a/packages/daisyturn-daemon/src/entry/createMeteredEventLog.ts
+++ b/packages/daisyturn-daemon/src/entry/createMeteredEventLog.ts
@@ -1,15 +1,15 @@
 import { type EventFields, EventKind, EventLog } from "daisyturn-utils";
 import type { StatsD } from "hot-shots";
 
-/** The calls of a metrics client that are used here. */
+/** The used methods of a metrics client. */
 export type MetricsClient = Pick<StatsD, "increment" | "timing" | "gauge">;
 
-/** Fields that become tags: few values each, so that the number of series stays bounded. */
+/** Fields that become tags. Each has few values, so that the number of series stays bounded. */
 const tagFields = ["partner", "reason", "verdict"] as const;
 
 /**
- * Counts every event on its way to the log, so that logs and metrics can't tell different stories: one counter
- * `events.<kind>` with the partner, reason and verdict as tags, and the time to the first token in milliseconds.
+ * Counts every event that is logged, so that logs and metrics agree. It reports a counter `events.<kind>` with the
+ * partner, reason and verdict as tags, and the time to the first token in milliseconds.
  */
 export function createMeteredEventLog(inner: EventLog, metrics: MetricsClient): EventLog {
     class MeteredEventLog extends EventLog {
--- a/packages/daisyturn-daemon/src/entry/createMetricsReporter.ts
+++ b/packages/daisyturn-daemon/src/entry/createMetricsReporter.ts
@@ -5,7 +5,7 @@
 
 const reportIntervalMilliseconds = 5_000;
 
-/** Reports at an interval how the process stands: gauges that no event tells. */
+/** Periodically reports gauges of the process's state that can't be derived from events. */
 export async function reportMetrics(
     metrics: MetricsClient,
     clock: Clock,
--- a/packages/daisyturn-daemon/src/entry/createOrderRoutes.ts
+++ b/packages/daisyturn-daemon/src/entry/createOrderRoutes.ts
@@ -10,14 +10,14 @@
 import { Result } from "true-myth/result";
 import { z } from "zod";
 
-/** What the routes show and order. */
+/** Options of {@link createOrderRoutes}. */
 export interface OrderRoutesOptions {
     readonly commands: OrderCommands;
     readonly loadView: LoadView;
 }
 
 const orderSchema = z.strictObject({
-    /** Chosen by the client; asking again with the same id changes nothing. */
+    /** Chosen by the client; a repeated request with the same id has no effect. */
     requestId: z.string().min(1).max(64),
     kind: z.enum([OrderKind.ChangeRole, OrderKind.LoadModel, OrderKind.LoadAdapter, OrderKind.LoadVersion]),
     role: z.enum(EngineRole).optional(),
@@ -29,7 +29,7 @@
     note: z.string().min(1),
 });
 
-/** Operators' routes to the lease, the engines and their orders. */
+/** Creates the operators' routes for the lease, the engines, their orders and vouches. */
 export function createOrderRoutes({ commands, loadView }: OrderRoutesOptions): OperatorRoutes {
     return [
         {
--- a/packages/daisyturn-daemon/src/entry/createPlatform.ts
+++ b/packages/daisyturn-daemon/src/entry/createPlatform.ts
@@ -22,7 +22,7 @@
     close(): Promise<void>;
 }
 
-/** Connects the platform's services that stand behind one URL. */
+/** Creates the adapters to the platform's services, which share one URL. */
 export function createPlatform(url: string, clock: Clock): Platform {
     const tables = createHttpTableService({ url, clock });
     const vms = createHttpVmList({ url, clock });
@@ -33,7 +33,7 @@
     return { tableService: tables.tableService, vmList: vms.vmList, weightStore: weights.weightStore, close };
 }
 
-/** Creates the directory of targets whose adapters share one pool of connections. */
+/** Creates the target directory. Its adapters share one connection pool. */
 export function createHttpTargets(configurationManager: ConfigurationManager, clock: Clock): TargetDirectory {
     const dispatcher = createTargetDispatcher();
     return createTargetDirectory({
--- a/packages/daisyturn-daemon/src/entry/createReadiness.ts
+++ b/packages/daisyturn-daemon/src/entry/createReadiness.ts
@@ -1,27 +1,31 @@
 import type { ConfigurationManager, LoadView, ServiceGuard, TargetDirectory } from "daisyturn";
 import type { Clock } from "daisyturn-utils";
 
-/** What readiness depends on. */
+/** Options of {@link createReadiness}. */
 export interface ReadinessOptions {
     readonly configurationManager: ConfigurationManager;
     readonly serviceGuard: ServiceGuard;
     readonly targets: TargetDirectory;
     readonly loadView: LoadView;
     readonly clock: Clock;
-    /** For engines that a version names to tell their load for the first time. */
+    /** Maximum wait for the first load reports of engines that a configuration version adds. */
     readonly firstReportsMilliseconds: number;
 }
 
 /** Whether the balancer may send callers here. */
 export interface Readiness {
     isReady(): boolean;
-    /** Whether every engine has told its load, or has had its time to: a dead engine must not keep the process out. */
-    knowsEngines(): boolean;
+    /**
+     * Whether every engine has reported its load or the wait for it is over. The wait is limited because an engine that
+     * does not respond must not keep the process unready.
+     */
+    isEngineWaitOver(): boolean;
 }
 
 /**
- * Creates the readiness of one process. A process that opened before it had heard from the engines would refuse its
- * first requests for want of one (seen in the rolling restart, and when the first version names the engines).
+ * Creates the readiness check of one process. A process that became ready before the engines' first load reports, for
+ * example in a rolling restart or when the first version names the engines, would refuse its first requests because it
+ * knows no engine to send them to.
  */
 export function createReadiness(options: ReadinessOptions): Readiness {
     const { configurationManager, serviceGuard, targets, loadView, clock } = options;
@@ -30,15 +34,16 @@
     const haveAllReported = () => loadView.loads().length >= targets.engines().length;
 
     configurationManager.onVersion(() => {
-        // Versions that name no new engine leave a deadline that has passed as it is.
+        // A version whose engines have all reported does not extend the deadline.
         if (!haveAllReported()) {
             reportDeadline = Math.max(reportDeadline, clock.monotonicNow() + options.firstReportsMilliseconds);
         }
     });
 
-    const knowsEngines = () => haveAllReported() || clock.monotonicNow() >= reportDeadline;
+    const isEngineWaitOver = () => haveAllReported() || clock.monotonicNow() >= reportDeadline;
 
-    const isReady = () => configurationManager.current().generation > 0 && serviceGuard.isInService() && knowsEngines();
+    const isReady = () =>
+        configurationManager.current().generation > 0 && serviceGuard.isInService() && isEngineWaitOver();
 
-    return { isReady, knowsEngines };
+    return { isReady, isEngineWaitOver };
 }
--- a/packages/daisyturn-daemon/src/entry/createStatusRoutes.ts
+++ b/packages/daisyturn-daemon/src/entry/createStatusRoutes.ts
@@ -5,7 +5,7 @@
 import type { Cell } from "./createCell.js";
 import type { DataPath } from "./createDataPath.js";
 
-/** Route that tells how the process that is asked stands. */
+/** Creates the operators' route that reports the status of the process that receives the request. */
 export function createStatusRoutes(base: Base, cell: Cell, data: DataPath): OperatorRoutes {
     return [{
         method: OperatorMethod.Get,
--- a/packages/daisyturn-daemon/src/entry/entryPolicies.ts
+++ b/packages/daisyturn-daemon/src/entry/entryPolicies.ts
@@ -11,15 +11,15 @@
 } from "daisyturn";
 import type { Clock } from "daisyturn-utils";
 
-/** The decisions under load that can be exchanged, such as for a baseline in a measurement. */
+/** Routing, admission and role planning, which can be replaced, for example by a baseline in a measurement. */
 export abstract class EntryPolicies {
     abstract createRouter(options: RouterOptions): PlanningRouter;
     abstract createAdmission(options: AdmissionOptions): RunningAdmission;
-    /** Undefined: roles stay as they are. */
+    /** Returns undefined if roles are not planned. */
     abstract createRolePlanning(clock: Clock): RolePlanning | undefined;
 }
 
-/** The decisions of the product. */
+/** The default policies. */
 export class StandardPolicies extends EntryPolicies {
     /** @param plansRoles whether the controller changes roles by itself */
     constructor(private readonly plansRoles: boolean) {
--- a/packages/daisyturn-daemon/src/entry/serveEntryProcess.ts
+++ b/packages/daisyturn-daemon/src/entry/serveEntryProcess.ts
@@ -3,7 +3,7 @@
 import { createEntryProcess } from "./createEntryProcess.js";
 import type { EntryPolicies } from "./entryPolicies.js";
 
-/** Runs an entry process until SIGTERM or SIGINT; prints where it listens once it is open. */
+/** Runs an entry process until SIGTERM or SIGINT; prints its URLs once it accepts callers. */
 export async function serveEntryProcess(settings: DaemonSettings, policies?: EntryPolicies): Promise<void> {
     const entry = createEntryProcess(settings, policies);
     const stopSignal = untilStopSignal("SIGTERM", "SIGINT");
--- a/packages/daisyturn-daemon/src/main.ts
+++ b/packages/daisyturn-daemon/src/main.ts
@@ -5,7 +5,7 @@
 import { serveEntryProcess } from "./entry/serveEntryProcess.js";
 import { loadDaemonSettings } from "./settings/loadDaemonSettings.js";
 
-/** Exit code for settings or arguments that can't be taken. */
+/** Exit code for invalid settings or arguments. */
 const usageExitCode = 2;
 
 await yargs(hideBin(process.argv))
@@ -17,7 +17,7 @@
         async flags => {
             try {
                 await serveEntryProcess(loadDaemonSettings(flags.settings));
-                // A task that did not end in time must not go on after the process has said that it stopped.
+                // Ends any task that did not end in time: nothing may run after the process has reported its stop.
                 process.exit();
             }
             catch (error) {
