--- a/packages/daisyturn/src/connection/createPeerNetwork.ts
+++ b/packages/daisyturn/src/connection/createPeerNetwork.ts
@@ -20,7 +20,7 @@
 } from "../process/peers/index.js";
 import { createPeerAcceptor } from "./peerAcceptor.js";
 import { createPeerDialer } from "./peerDialer.js";
-import { HandshakeMethod, introduceTo } from "./peerHandshake.js";
+import { HandshakeMethod, performHandshake } from "./peerHandshake.js";
 import { createPeerLinks, type PeerLink } from "./peerLinks.js";
 import { type PeerNetworkSettingsInput, peerNetworkSettingsSchema } from "./peerNetworkSettings.js";
 import { createPeerServer, openPeerSocket } from "./peerSockets.js";
@@ -28,8 +28,8 @@
     createRefusal,
     createRpcConnection,
     createTrafficCounters,
-    type RpcAnswerer,
     type RpcConnection,
+    type RpcHandler,
     type TrafficCounters,
 } from "./rpcConnection.js";
 
@@ -37,7 +37,7 @@
 const peerMethods: readonly string[] = Object.values(PeerMethod);
 
 export interface PeerNetworkOptions extends PeerNetworkSettingsInput {
-    /** Its `peerAddress` is what peers dial. With port 0 it is filled in by `start`. */
+    /** Peers connect to its `peerAddress`. Port 0 is replaced with the actual port by `start`. */
     readonly self: ProcessIdentity;
     readonly clock: Clock;
     readonly hybridClock: HybridLogicalClock;
@@ -45,29 +45,29 @@
     readonly random: Random;
 }
 
-/** Calls between processes over TCP. */
+/** RPC between processes over TCP. */
 export abstract class TcpPeerNetwork extends DialingPeerNetwork {
-    /** Listens. Rejects if the address can't be had. */
+    /** Starts to listen. Rejects if the address is not available. */
     abstract start(): Promise<void>;
-    /** Closes the listener and all connections; bytes already written are let out first. */
+    /** Closes the listener and all connections. Bytes that are already written are flushed first. */
     abstract stop(): Promise<void>;
-    /** What all connections together have moved. */
+    /** Totals over all connections. */
     abstract readonly traffic: Readonly<TrafficCounters>;
 }
 
-/** Creates the connections of one process to its peers. Throws on settings that can't be taken. */
+/** Creates the connections of one process to its peers. Throws if the settings are invalid. */
 export function createPeerNetwork(options: PeerNetworkOptions): TcpPeerNetwork {
-    const { self: givenSelf, clock, hybridClock, eventLog, random, ...input } = options;
+    const { self: configuredSelf, clock, hybridClock, eventLog, random, ...input } = options;
     const settings = peerNetworkSettingsSchema.parse(input);
     const handlers = new Map<PeerMethod, PeerHandler>();
     const helloListeners: HelloListener[] = [];
     const traffic = createTrafficCounters();
     const stopping = new AbortController();
-    const links = createPeerLinks(givenSelf, clock);
-    const unproved = new Set<RpcConnection>();
-    let self = givenSelf;
+    const links = createPeerLinks(configuredSelf, clock);
+    const unauthenticated = new Set<RpcConnection>();
+    let self = configuredSelf;
 
-    const openConnection = (socket: Socket, answer: RpcAnswerer): RpcConnection => {
+    const openConnection = (socket: Socket, answer: RpcHandler): RpcConnection => {
         const connection = createRpcConnection({
             socket,
             clock,
@@ -77,8 +77,8 @@
             answer,
             counters: traffic,
         });
-        unproved.add(connection);
-        void connection.closed.then(() => unproved.delete(connection));
+        unauthenticated.add(connection);
+        void connection.closed.then(() => unauthenticated.delete(connection));
         return connection;
     };
 
@@ -86,7 +86,7 @@
         if (stopping.signal.aborted || !links.add(link)) {
             return false;
         }
-        unproved.delete(link.connection);
+        unauthenticated.delete(link.connection);
         link.connection.trust();
         void link.connection.closed.then(() => links.remove(link));
         helloListeners.forEach(listener => listener(link.peer));
@@ -101,25 +101,25 @@
         return await handler(peer, parameters);
     };
 
-    /** Connects and proves. */
+    /** Connects to a peer and performs the handshake. */
     const dial = async (address: string, deadline: number, signal: AbortSignal): Promise<PeerLink | string> =>
-        await introduce(await openPeerSocket(address, settings.tls, signal), deadline);
+        await authenticate(await openPeerSocket(address, settings.tls, signal), deadline);
 
-    const introduce = async (socket: Socket, deadline: number): Promise<PeerLink | string> => {
+    const authenticate = async (socket: Socket, deadline: number): Promise<PeerLink | string> => {
         let peer: ProcessIdentity | undefined;
-        const answer: RpcAnswerer = async (method, parameters) => {
+        const answer: RpcHandler = async (method, parameters) => {
             if (!peer) {
                 throw createRefusal("the peer has not proved who it is");
             }
             return await callHandler(peer, method, parameters);
         };
         const connection = openConnection(socket, answer);
-        const proved = await introduceTo(connection, self, settings, deadline, identity => {
+        const outcome = await performHandshake(connection, self, settings, deadline, identity => {
             connection.trust();
             peer = identity;
         });
-        const refusal = typeof proved === "string" ? proved : undefined;
-        const link = typeof proved === "string" ? undefined : { peer: proved, connection };
+        const refusal = typeof outcome === "string" ? outcome : undefined;
+        const link = typeof outcome === "string" ? undefined : { peer: outcome, connection };
         if (!link || !addLink(link)) {
             connection.destroy("the handshake failed");
             return refusal ?? "a later incarnation of the peer is connected";
@@ -167,7 +167,7 @@
             stopping.abort();
             dialer.stop();
             server.close();
-            unproved.forEach(connection => connection.destroy("this process stops"));
+            unauthenticated.forEach(connection => connection.destroy("this process stops"));
             const open = links.all().map(link => link.connection);
             open.forEach(connection => connection.close());
             await Promise.all(open.map(connection => connection.closed));
--- a/packages/daisyturn/src/connection/operator/readOperatorBody.ts
+++ b/packages/daisyturn/src/connection/operator/readOperatorBody.ts
@@ -2,24 +2,24 @@
 import type { IncomingMessage } from "node:http";
 import { err, ok, type Result } from "true-myth/result";
 
-/** A change this long would not fit into one message between peers beside others. */
-const longestBodyBytes = 1_048_576;
+/** A longer change would not fit into one message between peers together with others. */
+const maxBodyBytes = 1_048_576;
 
-/** Reads a JSON body; undefined where there is none. */
+/** Reads a JSON body. Returns undefined if there is none. */
 export async function readOperatorBody(request: IncomingMessage): Promise<Result<unknown, Failure>> {
-    const pieces: Buffer[] = [];
+    const chunks: Buffer[] = [];
     let length = 0;
-    for await (const piece of request as AsyncIterable<Buffer>) {
-        length += piece.length;
-        // The rest is read and dropped: a connection closed in the middle would keep the operator from the answer.
-        if (length <= longestBodyBytes) {
-            pieces.push(piece);
+    for await (const chunk of request as AsyncIterable<Buffer>) {
+        length += chunk.length;
+        // The rest is read and dropped. If the connection were closed early, the operator might not receive the answer.
+        if (length <= maxBodyBytes) {
+            chunks.push(chunk);
         }
     }
-    if (length > longestBodyBytes) {
-        return err(notRun(FailureReason.BodyTooLarge, `a body holds at most ${longestBodyBytes} bytes`));
+    if (length > maxBodyBytes) {
+        return err(notRun(FailureReason.BodyTooLarge, `a body holds at most ${maxBodyBytes} bytes`));
     }
-    const text = Buffer.concat(pieces).toString("utf8");
+    const text = Buffer.concat(chunks).toString("utf8");
     return text === "" ? ok(undefined) : parseBody(text);
 }
 
--- a/packages/daisyturn/src/process/configuration/__tests__/configurationFailures.test.ts
+++ b/packages/daisyturn/src/process/configuration/__tests__/configurationFailures.test.ts
@@ -6,13 +6,13 @@
 import { createConfigurationVersion } from "../../../version/createConfigurationVersion.js";
 import { MemberState, PeerMethod } from "../../peers/index.js";
 import {
-    assertNeverBack,
+    assertGenerationsIncrease,
     type CellProcess,
     type ConfigurationCell,
     createConfigurationCell,
 } from "../__fixtures__/configurationCell.js";
 import { changeKey, headKey } from "../configurationRows.js";
-import { createInForce } from "../createInForce.js";
+import { createActiveVersion } from "../createActiveVersion.js";
 import { answerPull } from "../exchange/answerPull.js";
 
 function createRequest(name: string, expectedGeneration?: number) {
@@ -23,7 +23,7 @@
     return await cell.complete(configurationManager.publish(createRequest(name)));
 }
 
-/** Runs the processes' anti-entropy for a while. */
+/** Runs the anti-entropy of the processes for the given time. */
 async function runFor(cell: ConfigurationCell, milliseconds: number, ...processes: readonly CellProcess[]) {
     const abort = new AbortController();
     const running = processes.map(({ configurationManager }) => configurationManager.run(abort.signal));
@@ -32,14 +32,14 @@
     await cell.complete(Promise.all(running));
 }
 
-/** Longest time until the store client has noticed that the store is back. */
+/** Upper bound of the time until the store client detects that the store answers again. */
 const probeMilliseconds = 6_000;
 
 const generationsOf = (...processes: readonly CellProcess[]) =>
     processes.map(({ configurationManager }) => configurationManager.current().generation);
 
 describe("the configuration under failures", () => {
-    it("is in force everywhere also if the store goes down right after the commit", async () => {
+    it("becomes active at all processes even if the store goes down right after the commit", async () => {
         const cell = createConfigurationCell();
         const processes = ["a", "b", "c"].map(cell.start);
         cell.store.script(TableFaultKind.None, TableFaultKind.None);
@@ -47,12 +47,12 @@
         const answer = await publish(cell, processes[0]!, "one");
         assert.deepEqual(answer.unwrapOr(undefined)?.inForceAt, ["a", "b", "c"]);
         assert.deepEqual(generationsOf(...processes), [1, 1, 1]);
-        const refused = await publish(cell, processes[1]!, "two");
-        assert.ok(refused.isErr);
+        const rejected = await publish(cell, processes[1]!, "two");
+        assert.ok(rejected.isErr);
         assert.deepEqual(generationsOf(...processes), [1, 1, 1]);
     });
 
-    it("tells the outcome at another process after the answer was lost, without a second generation", async () => {
+    it("reports the outcome at another process after the answer was lost, without a second generation", async () => {
         const cell = createConfigurationCell();
         const [first, second] = [cell.start("a"), cell.start("b")];
         cell.store.script(TableFaultKind.None, TableFaultKind.BreakAfterCommit);
@@ -60,8 +60,8 @@
         const lost = await publish(cell, first, "one");
         assert.equal(lost.isErr && lost.error.verdict, ExecutionVerdict.MayHaveRun);
         cell.store.setStandingFault(TableFaultKind.None);
-        const told = await publish(cell, second, "one");
-        assert.equal(told.unwrapOr(undefined)?.generation, 1);
+        const repeated = await publish(cell, second, "one");
+        assert.equal(repeated.unwrapOr(undefined)?.generation, 1);
         assert.deepEqual(generationsOf(first, second), [1, 1]);
         const other = await cell.complete(
             second.configurationManager.publish({ ...createRequest("two"), writeId: "write-one" }),
@@ -69,11 +69,11 @@
         assert.equal(other.isErr && other.error.reason, FailureReason.IdempotencyKeyReused);
     });
 
-    it("never takes a transaction that arrives after others went ahead, or after its write id was cancelled", async () => {
+    it("rejects a transaction that arrives after another change, or after its write id was cancelled", async () => {
         const cell = createConfigurationCell();
         const [first, second] = [cell.start("a"), cell.start("b")];
         for (
-            const goAhead of [
+            const supersede of [
                 () => publish(cell, second, "two"),
                 () => second.configurationManager.cancel("north", "write-one"),
             ]
@@ -84,14 +84,14 @@
             assert.equal(unknown.isErr && unknown.error.reason, FailureReason.OutcomeUnknown);
             cell.store.setStandingFault(TableFaultKind.None);
             await cell.clock.advance(probeMilliseconds);
-            await cell.complete<unknown>(goAhead());
+            await cell.complete<unknown>(supersede());
             const late = await cell.store.releaseLateCommits();
             assert.deepEqual(late.map(answer => answer.outcome), ["rejected"]);
         }
         assert.deepEqual(generationsOf(first, second), [1, 1]);
     });
 
-    it("finds a transaction that arrives late and first", async () => {
+    it("detects a transaction that is committed late, before any other change", async () => {
         const cell = createConfigurationCell();
         const [first, second] = [cell.start("a"), cell.start("b")];
         cell.store.script(TableFaultKind.None, TableFaultKind.CommitLate);
@@ -103,7 +103,7 @@
         assert.deepEqual(generationsOf(first, second), [1, 1]);
     });
 
-    it("reaches a minority that was cut off once it is back, and says meanwhile who has not confirmed", async () => {
+    it("names processes that are cut off as not having confirmed, and reaches them once they reconnect", async () => {
         const cell = createConfigurationCell();
         const processes = ["a", "b", "c"].map(cell.start);
         cell.networks.isolate("c");
@@ -114,10 +114,10 @@
         cell.store.setStandingFault(TableFaultKind.Down);
         await runFor(cell, 3_000, ...processes);
         assert.deepEqual(generationsOf(...processes), [1, 1, 1]);
-        assertNeverBack(...processes);
+        assertGenerationsIncrease(...processes);
     });
 
-    it("reaches processes that no peer tells, through the store", async () => {
+    it("reaches processes without contact to peers through the store", async () => {
         const cell = createConfigurationCell();
         const processes = ["a", "b", "c"].map(cell.start);
         ["a", "b", "c"].forEach(cell.networks.isolate);
@@ -126,7 +126,7 @@
         assert.deepEqual(generationsOf(...processes), [1, 1, 1]);
     });
 
-    it("spreads news found in the store to the cell at once", async () => {
+    it("announces a change found in the store to the cell immediately", async () => {
         const cell = createConfigurationCell({ timing: { pullIntervalMilliseconds: 1_000_000 } });
         const publisher = cell.start("far");
         await publish(cell, publisher, "one");
@@ -136,7 +136,7 @@
         await cell.complete(Promise.all(near.map(one => one.configurationManager.adopt(new AbortController().signal))));
         await publish(cell, publisher, "two");
         const abort = new AbortController();
-        // Only one process looks at the store.
+        // Only one process runs anti-entropy and reads the head of the store.
         const running = near[0]!.configurationManager.run(abort.signal);
         await cell.clock.advance(10_000);
         assert.deepEqual(generationsOf(...near), [2, 2, 2, 2, 2]);
@@ -144,7 +144,7 @@
         await cell.complete(running);
     });
 
-    it("keeps the operator from waiting for the dead, and names them", async () => {
+    it("does not make the operator wait for dead members, and names them", async () => {
         const cell = createConfigurationCell();
         const [first] = ["a", "b", "c"].map(cell.start);
         cell.setState("c", MemberState.Dead);
@@ -155,7 +155,7 @@
         assert.ok(cell.clock.monotonicNow() - start < 100);
     });
 
-    it("does not make one partner's change wait until the other's is confirmed", async () => {
+    it("commits a change without waiting until the change before it is confirmed", async () => {
         const cell = createConfigurationCell();
         const [first] = ["a", "b"].map(cell.start);
         cell.networks.cutBoth("a", "b");
@@ -165,7 +165,7 @@
         assert.equal(first!.configurationManager.current().generation, 2);
     });
 
-    it("refuses changes and stays where it is if the store has lost generations", async () => {
+    it("rejects changes and keeps its generation if the store has lost generations", async () => {
         const cell = createConfigurationCell();
         const first = cell.start("a");
         await publish(cell, first, "one");
@@ -174,13 +174,13 @@
             conditions: [],
             writes: [{ key: headKey, value: undefined }],
         }, Infinity);
-        const refused = await publish(cell, first, "two");
-        assert.equal(refused.isErr && refused.error.reason, FailureReason.Internal);
+        const rejected = await publish(cell, first, "two");
+        assert.equal(rejected.isErr && rejected.error.reason, FailureReason.Internal);
         assert.equal(first.eventLog.of(EventKind.Fault).length, 1);
         assert.deepEqual(generationsOf(first), [1]);
     });
 
-    it("prunes old changes and their write ids, and still brings a process up that lags further", async () => {
+    it("prunes old changes and their write ids, and still updates a process that is further behind", async () => {
         const cell = createConfigurationCell({ timing: { retainedChanges: 3 } });
         const [first, second] = [cell.start("a"), cell.start("b")];
         await publish(cell, first, "0");
@@ -198,7 +198,7 @@
         assert.deepEqual(history.map(change => change.generation), [10, 9, 8]);
     });
 
-    it("hands a large configuration over in pages, without a mix of generations, while changes go on", async () => {
+    it("transfers a large configuration in pages without mixing generations while changes continue", async () => {
         const cell = createConfigurationCell();
         const [first, second] = [cell.start("a"), cell.start("b")];
         cell.networks.cutBoth("a", "b");
@@ -210,7 +210,7 @@
         }
         cell.networks.healAll();
         cell.networks.delay("a", "b", 30);
-        cell.cutFromStore("b");
+        cell.disconnectFromStore("b");
         const adopting = second.configurationManager.adopt(new AbortController().signal);
         await cell.clock.advance(40);
         const removal = createChangeRequest("north", "remove", accounts.slice(0, 90).map(remove));
@@ -222,7 +222,7 @@
         assert.ok(cell.networks.sent.filter(message => message.parameters["page"]).length > 5);
     });
 
-    it("takes nothing from a peer whose changes have a gap", async () => {
+    it("applies nothing from a peer whose changes have a gap", async () => {
         const cell = createConfigurationCell();
         const [first, second] = [cell.start("a"), cell.start("b")];
         for (const name of ["one", "two"]) {
@@ -240,14 +240,14 @@
         assert.deepEqual(generationsOf(second), [0]);
     });
 
-    it("keeps every answer to a pull well below the longest line between peers", () => {
-        const inForce = createInForce(new MemoryEventLog());
+    it("keeps every answer to a pull well below the line limit between peers", () => {
+        const activeVersion = createActiveVersion(new MemoryEventLog());
         const accounts = Array.from({ length: 15_000 }, (...[, index]) => createAccount("north", `a${index}`, []));
-        inForce.advance(createConfigurationVersion(1, accounts));
+        activeVersion.advance(createConfigurationVersion(1, accounts));
         let offset: number | undefined = 0;
         let count = 0;
         while (offset !== undefined) {
-            const answer: ReturnType<typeof answerPull> = answerPull(inForce, 1, {
+            const answer: ReturnType<typeof answerPull> = answerPull(activeVersion, 1, {
                 generation: 0,
                 page: { generation: 1, offset },
             });
@@ -277,10 +277,10 @@
         pin.release();
         assert.deepEqual([(await report())?.isComplete, (await report())?.notConfirmedBy], [false, ["c"]]);
         cell.networks.healAll();
-        assert.deepEqual((await report())?.notConfirmedBy, ["c"], "it still takes requests under the old generation");
+        assert.deepEqual((await report())?.notConfirmedBy, ["c"], "it still accepts requests under the old generation");
         await runFor(cell, 3_000, paused!);
         assert.equal((await report())?.isComplete, true);
-        // Made anew under the same name, it is in use again, but not as what was retired.
+        // An item created again under the same name is in use, but it is not the item that was retired.
         await publish(cell, first!, "one-again");
         second!.configurationManager.pin().use(createProfile("north", "one"));
         assert.equal((await report())?.isComplete, true);
--- a/packages/daisyturn/src/process/configuration/exchange/answerPull.ts
+++ b/packages/daisyturn/src/process/configuration/exchange/answerPull.ts
@@ -1,33 +1,33 @@
 import type { ConfigurationItem } from "../../../version/configurationItems.js";
-import type { InForce } from "../createInForce.js";
+import type { ActiveVersion } from "../createActiveVersion.js";
 import type { ItemPage, PullAnswer, PullMessage } from "./configurationMessages.js";
 
 /**
- * A page of items is filled up to this size. All items of a large fleet in one message would exceed the longest line
- * between peers, and would hold up the streams of both processes while it is written and read.
+ * Items are added to a page until it reaches this size. All items of a large fleet in one message would exceed the line
+ * limit between peers, and would delay the streams of both processes while the message is encoded and decoded.
  */
 const pageBytes = 131_072;
 
-/** Answers a peer that asks for what this process has beyond the peer's generation. */
-export function answerPull(inForce: InForce, cellSize: number, message: PullMessage): PullAnswer {
-    const { generation } = inForce.current();
+/** Answers a pull request of a peer with the changes or items that are newer than the peer's generation. */
+export function answerPull(activeVersion: ActiveVersion, cellSize: number, message: PullMessage): PullAnswer {
+    const { generation } = activeVersion.current();
     if (message.page) {
-        const page = createPage(inForce, message.page.generation, message.page.offset);
+        const page = createPage(activeVersion, message.page.generation, message.page.offset);
         return { generation, cellSize, ...(page && { page }) };
     }
     if (generation <= message.generation) {
         return { generation, cellSize };
     }
-    const changes = inForce.changesAfter(message.generation);
+    const changes = activeVersion.changesAfter(message.generation);
     if (changes) {
         return { generation, cellSize, changes };
     }
-    const page = createPage(inForce, generation, 0);
+    const page = createPage(activeVersion, generation, 0);
     return { generation, cellSize, ...(page && { page }) };
 }
 
-function createPage(inForce: InForce, generation: number, offset: number): ItemPage | undefined {
-    const items = inForce.recentVersion(generation)?.items;
+function createPage(activeVersion: ActiveVersion, generation: number, offset: number): ItemPage | undefined {
+    const items = activeVersion.recentVersion(generation)?.items;
     if (!items) {
         return undefined;
     }
@@ -39,7 +39,7 @@
     };
 }
 
-/** At least one item, so that the reader gets on. */
+/** A page has at least one item, so that the reader always makes progress. */
 function findPageEnd(items: readonly ConfigurationItem[], offset: number): number {
     let end = offset;
     let bytes = 0;
--- a/packages/daisyturn/src/process/membership/createMemberTable.ts
+++ b/packages/daisyturn/src/process/membership/createMemberTable.ts
@@ -3,28 +3,28 @@
 import { EndProof, FalseSuspicion, type MemberEntry } from "./heartbeatMessage.js";
 import type { MembershipTiming } from "./membershipTiming.js";
 
-/** What this process knows of another; all times are monotonic. */
+/** State of another process as known to this one; all times are monotonic. */
 export interface MemberRecord {
     readonly identity: ProcessIdentity;
     state: MemberState;
-    /** Undefined for a member known from others only. */
-    lastHeardAt: number | undefined;
-    /** Since when silence counts: last sign of life, first knowledge, or the end of this process's own pause. */
-    silentSince: number;
-    /** Since when there was no silence long enough for a suspicion. */
-    steadySince: number;
-    /** Times of the returns from suspicion that still count for {@link chooseHold}. */
+    /** Undefined if no message has been received from the member itself. */
+    lastContactAt: number | undefined;
+    /** Start of the current silence: last contact, registration of the member, or end of a pause of this process. */
+    silenceStartedAt: number;
+    /** Time since which no silence was long enough for a suspicion. */
+    stableSince: number;
+    /** Times of recent changes from suspect to alive, for {@link computeHoldDown}. */
     recoveries: readonly number[];
-    /** When another process last said that it hears from the member. */
-    vouchedAt: number | undefined;
-    /** To be told with the next heartbeat. */
-    misjudgement: FalseSuspicion | undefined;
-    /** Whether its last heartbeat showed other members than this process knows of. */
+    /** When another process last confirmed recent contact with the member. */
+    confirmedAliveAt: number | undefined;
+    /** Sent with the next heartbeat. */
+    falseSuspicion: FalseSuspicion | undefined;
+    /** Whether the member list of its last heartbeat differed from that of this process. */
     viewDiffers: boolean;
-    /** When the run was proved to have ended. */
+    /** When the incarnation was proved to have ended. */
     endedAt: number | undefined;
-    /** Aborted when the record no longer counts. */
-    readonly over: AbortController;
+    /** Aborted when the incarnation has ended or been replaced. */
+    readonly monitoringStop: AbortController;
 }
 
 export interface MemberTableOptions {
@@ -34,22 +34,22 @@
     readonly timing: MembershipTiming;
 }
 
-/** The members that one process knows of: one record for each process id, for its newest run. */
+/** Known members: one record for the newest incarnation of each process id. */
 export interface MemberTable {
     find(processId: string): MemberRecord | undefined;
     all(): readonly MemberRecord[];
-    /** Those not proved to have ended. */
+    /** Returns the members that are not proved to have ended. */
     present(): readonly MemberRecord[];
-    /** Puts a record in place of the one of an earlier run. */
+    /** Adds a record, replacing that of an earlier incarnation. */
     add(identity: ProcessIdentity): MemberRecord;
-    noteHeard(record: MemberRecord): void;
-    noteEnded(record: MemberRecord, proof: EndProof): void;
+    recordContact(record: MemberRecord): void;
+    recordEnded(record: MemberRecord, proof: EndProof): void;
     setState(record: MemberRecord, state: MemberState): void;
-    /** Drops records that ended long ago. */
-    dropOld(): void;
-    /** Hash of the members present, this process included. */
+    /** Removes the records of incarnations that ended longer ago than the retention time. */
+    removeExpired(): void;
+    /** Returns a hash of the present members, including this process. */
     view(): string;
-    /** The members present, for telling peers. */
+    /** Returns the present members, for sending to peers. */
     entries(): MemberEntry[];
     onChange(listener: (member: Member) => void): void;
 }
@@ -87,49 +87,49 @@
         const record: MemberRecord = {
             identity,
             state: MemberState.Suspect,
-            lastHeardAt: undefined,
-            silentSince: now,
-            steadySince: now,
+            lastContactAt: undefined,
+            silenceStartedAt: now,
+            stableSince: now,
             recoveries: [],
-            vouchedAt: undefined,
-            misjudgement: undefined,
+            confirmedAliveAt: undefined,
+            falseSuspicion: undefined,
             viewDiffers: false,
             endedAt: undefined,
-            over: new AbortController(),
+            monitoringStop: new AbortController(),
         };
-        records.get(identity.processId)?.over.abort();
+        records.get(identity.processId)?.monitoringStop.abort();
         records.set(identity.processId, record);
         cachedView = undefined;
         return record;
     };
 
-    const noteHeard = (record: MemberRecord) => {
+    const recordContact = (record: MemberRecord) => {
         const now = clock.monotonicNow();
-        const wasSilent = now - record.silentSince > timing.suspectLimit;
+        const wasSilent = now - record.silenceStartedAt > timing.suspectLimit;
         if (wasSilent) {
-            record.steadySince = now;
-            record.misjudgement = chooseMisjudgement(record);
+            record.stableSince = now;
+            record.falseSuspicion = determineFalseSuspicion(record);
         }
         if (record.state === MemberState.Dead) {
             setState(record, MemberState.Suspect);
         }
-        const isReturning = record.lastHeardAt !== undefined;
-        record.lastHeardAt = now;
-        record.silentSince = now;
-        if (record.state === MemberState.Suspect && now - record.steadySince >= chooseHold(record, timing, now)) {
+        const isReturning = record.lastContactAt !== undefined;
+        record.lastContactAt = now;
+        record.silenceStartedAt = now;
+        if (record.state === MemberState.Suspect && now - record.stableSince >= computeHoldDown(record, timing, now)) {
             record.recoveries = isReturning ? [...recentRecoveries(record, timing, now), now] : [];
             setState(record, MemberState.Alive);
         }
     };
 
-    const noteEnded = (record: MemberRecord, proof: EndProof) => {
+    const recordEnded = (record: MemberRecord, proof: EndProof) => {
         record.endedAt = clock.monotonicNow();
-        record.over.abort();
+        record.monitoringStop.abort();
         cachedView = undefined;
         setState(record, proof === EndProof.Left ? MemberState.Left : MemberState.Dead);
     };
 
-    const dropOld = () => {
+    const removeExpired = () => {
         const oldest = clock.monotonicNow() - timing.endedRetention;
         all()
             .filter(record => record.endedAt !== undefined && record.endedAt < oldest)
@@ -137,7 +137,9 @@
     };
 
     const view = (): string => {
-        cachedView ??= hashText([self(), ...present().map(record => record.identity)].map(nameRun).sort().join(" "))
+        cachedView ??= hashText(
+            [self(), ...present().map(record => record.identity)].map(formatIncarnationKey).sort().join(" "),
+        )
             .slice(0, viewLength);
         return cachedView;
     };
@@ -147,23 +149,22 @@
         all,
         present,
         add,
-        noteHeard,
-        noteEnded,
+        recordContact,
+        recordEnded,
         setState,
-        dropOld,
+        removeExpired,
         view,
         entries: () => [{ identity: self() }, ...present().map(({ identity }) => ({ identity }))],
         onChange: listener => void listeners.push(listener),
     };
 }
 
-/** One run of one process, as a key. */
-export function nameRun(identity: ProcessIdentity): string {
+export function formatIncarnationKey(identity: ProcessIdentity): string {
     return `${identity.processId}/${identity.incarnation}`;
 }
 
-function chooseMisjudgement(record: MemberRecord): FalseSuspicion | undefined {
-    if (record.lastHeardAt === undefined) {
+function determineFalseSuspicion(record: MemberRecord): FalseSuspicion | undefined {
+    if (record.lastContactAt === undefined) {
         return undefined;
     }
     switch (record.state) {
@@ -176,12 +177,12 @@
     }
 }
 
-/** A member that keeps falling silent has to be steady for longer each time before it counts as alive again. */
-function chooseHold(record: MemberRecord, timing: MembershipTiming, now: number): number {
-    const excess = recentRecoveries(record, timing, now).length - timing.freeRecoveries;
-    return excess < 0 ? 0 : Math.min(timing.longestHold, timing.heartbeatInterval * 2 ** (excess + 1));
+/** A member that is suspected repeatedly must be stable for longer each time before it is considered alive again. */
+function computeHoldDown(record: MemberRecord, timing: MembershipTiming, now: number): number {
+    const excess = recentRecoveries(record, timing, now).length - timing.recoveriesWithoutHoldDown;
+    return excess < 0 ? 0 : Math.min(timing.maxHoldDown, timing.heartbeatInterval * 2 ** (excess + 1));
 }
 
 function recentRecoveries(record: MemberRecord, timing: MembershipTiming, now: number): readonly number[] {
-    return record.recoveries.filter(at => at > now - timing.flapWindow);
+    return record.recoveries.filter(at => at > now - timing.recoveryWindow);
 }
--- a/packages/daisyturn/src/process/store/__tests__/storeBudget.test.ts
+++ b/packages/daisyturn/src/process/store/__tests__/storeBudget.test.ts
@@ -1,17 +1,18 @@
 import { FakeClock } from "daisyturn-utils";
 import assert from "node:assert/strict";
 import { describe, it } from "node:test";
-import { createStoreBudget, mostPassedOver } from "../storeBudget.js";
+import { createStoreBudget, maxSkips } from "../storeBudget.js";
 import { StorePriority } from "../storeClient.js";
 
 const farDeadline = 1_000_000;
 
-/** A budget of 10 calls a second whose saved-up calls are spent. */
-function createSpentBudget() {
+/** A budget of 10 calls per second without accumulated tokens. */
+function createEmptyBudget() {
     const clock = new FakeClock();
     const budget = createStoreBudget({ clock, callsPerSecond: 10 });
     budget.drain();
     const grants: string[] = [];
+    /** Queues a call, and records in `grants` whether it was granted. */
     const line = (priority: StorePriority, deadline = farDeadline) => {
         void budget.acquire(priority, deadline).then(granted => grants.push(`${priority}:${granted}`));
     };
@@ -20,7 +21,7 @@
 
 describe("createStoreBudget", () => {
     it("serves leases before claims and claims before the rest", async () => {
-        const { clock, grants, line } = createSpentBudget();
+        const { clock, grants, line } = createEmptyBudget();
         line(StorePriority.Other);
         line(StorePriority.Claim);
         line(StorePriority.Lease);
@@ -28,21 +29,23 @@
         assert.deepEqual(grants, ["lease:true", "claim:true", "other:true"]);
     });
 
-    it("passes a waiting call over only so often", async () => {
-        const { clock, grants, line } = createSpentBudget();
+    it("skips a waiting call at most a fixed number of times", async () => {
+        const { clock, grants, line } = createEmptyBudget();
         line(StorePriority.Other);
         line(StorePriority.Claim);
         for (let count = 0; count < 30; count++) {
             line(StorePriority.Lease);
         }
         await clock.advance(3_200);
-        const turns = [grants.indexOf("claim:true"), grants.indexOf("other:true")].sort((one, other) => one - other);
-        assert.deepEqual(turns, [mostPassedOver, mostPassedOver + 1]);
+        const positions = [grants.indexOf("claim:true"), grants.indexOf("other:true")].sort((one, other) =>
+            one - other
+        );
+        assert.deepEqual(positions, [maxSkips, maxSkips + 1]);
         assert.equal(grants.length, 32);
     });
 
-    it("keeps to the rate and saves up a quarter of a second's calls", async () => {
-        const { clock, grants, line } = createSpentBudget();
+    it("keeps to the rate and accumulates at most the calls of a quarter of a second", async () => {
+        const { clock, grants, line } = createEmptyBudget();
         for (let count = 0; count < 100; count++) {
             line(StorePriority.Other);
         }
@@ -58,8 +61,8 @@
         assert.equal(grants.length, 102);
     });
 
-    it("refuses at the deadline, not at the next grant", async () => {
-        const { clock, grants, line } = createSpentBudget();
+    it("rejects a call at its deadline, not at the next grant", async () => {
+        const { clock, grants, line } = createEmptyBudget();
         line(StorePriority.Lease);
         await clock.advance(100);
         line(StorePriority.Lease, 120);
