--- a/packages/daisyturn/src/ports/faultyTableService.ts
+++ b/packages/daisyturn/src/ports/faultyTableService.ts
@@ -14,9 +14,9 @@
     /** Nothing goes wrong. */
     None = "none",
     /** The connection is refused: nothing is sent. */
-    Down = "down",
+    ConnectionRefused = "down",
     /** The call runs after a delay; if the deadline passes first, the answer is lost but the call still runs. */
-    Slow = "slow",
+    Delayed = "slow",
     /** The call runs at once, its answer is lost and the caller waits for its deadline. */
     LoseAnswer = "lose_answer",
     /** The call runs at once and the connection breaks before the answer. */
@@ -102,11 +102,11 @@
         switch (fault.kind) {
             case TableFaultKind.None:
                 return await run();
-            case TableFaultKind.Down:
+            case TableFaultKind.ConnectionRefused:
                 return { outcome: TransactionOutcome.Rejected, cause: RejectionCause.NotSent };
             case TableFaultKind.Throttle:
                 return { outcome: TransactionOutcome.Rejected, cause: RejectionCause.Throttled };
-            case TableFaultKind.Slow:
+            case TableFaultKind.Delayed:
                 return await runSlowly(fault, deadline, run, unknownAnswer);
             case TableFaultKind.LoseAnswer:
                 await run();
@@ -133,12 +133,12 @@
                 return await run();
             case TableFaultKind.Throttle:
                 return err<Value, Failure>(notRun(FailureReason.RateLimited, "the table service is over its rate"));
-            case TableFaultKind.Slow:
+            case TableFaultKind.Delayed:
                 return await runSlowly(fault, deadline, run, failed);
             case TableFaultKind.LoseAnswer:
                 await clock.sleepUntil(deadline);
                 return failed;
-            case TableFaultKind.Down:
+            case TableFaultKind.ConnectionRefused:
             case TableFaultKind.BreakAfterCommit:
             case TableFaultKind.BreakBeforeCommit:
             case TableFaultKind.CommitLate:
--- a/packages/daisyturn/src/ports/http/__tests__/requestProgress.test.ts
+++ b/packages/daisyturn/src/ports/http/__tests__/requestProgress.test.ts
@@ -1,7 +1,7 @@
 import assert from "node:assert/strict";
 import { describe, it } from "node:test";
 import { Dispatcher } from "undici";
-import { type RequestProgress, trackProgress } from "../requestProgress.js";
+import { type RequestProgress, trackRequestProgress } from "../requestProgress.js";
 
 /** Begins each request it is given as often as told, and counts how often the beginning was allowed. */
 class BeginningDispatcher extends Dispatcher {
@@ -33,21 +33,21 @@
 
 function dispatchOnce(dispatcher: Dispatcher, progress: RequestProgress): void {
     const options = { path: "/", method: "POST" as const, opaque: progress };
-    trackProgress(dispatcher).dispatch(options, { onRequestStart: () => undefined });
+    trackRequestProgress(dispatcher).dispatch(options, { onRequestStart: () => undefined });
 }
 
 describe("trackProgress", () => {
     it("notes that a request is begun, and lets it begin once", () => {
-        const progress = { begun: false, abandoned: false };
+        const progress = { started: false, abandoned: false };
         const dispatcher = new BeginningDispatcher(2);
         dispatchOnce(dispatcher, progress);
-        assert.deepEqual([progress.begun, dispatcher.allowed], [true, 1]);
+        assert.deepEqual([progress.started, dispatcher.allowed], [true, 1]);
     });
 
     it("does not let a request begin that was given up", () => {
-        const progress = { begun: false, abandoned: true };
+        const progress = { started: false, abandoned: true };
         const dispatcher = new BeginningDispatcher(1);
         dispatchOnce(dispatcher, progress);
-        assert.deepEqual([progress.begun, dispatcher.allowed], [false, 0]);
+        assert.deepEqual([progress.started, dispatcher.allowed], [false, 0]);
     });
 });
--- a/packages/daisyturn/src/ports/http/createHttpEngine.ts
+++ b/packages/daisyturn/src/ports/http/createHttpEngine.ts
@@ -13,9 +13,9 @@
     type StreamEvent,
 } from "../engine.js";
 import { cacheEventPageSchema, engineStateSchema, loadReportSchema, orderAnswerSchema } from "./engineMessages.js";
-import { createOperation, type Operation, StopCause } from "./operation.js";
+import { AbortReason, createOperation, type Operation } from "./operation.js";
 import { readEngineStream } from "./readEngineStream.js";
-import { parseJson, readRefusal } from "./refusal.js";
+import { parseErrorAnswer, parseJson } from "./refusal.js";
 import {
     createTargetHttpClient,
     type OpenedAnswer,
@@ -32,11 +32,11 @@
 const defaultSilenceMilliseconds = 10_000;
 const defaultCancelMilliseconds = 5_000;
 /** Pause between two tries to cancel. */
-const cancelPauseMilliseconds = 500;
+const cancelRetryDelayMilliseconds = 500;
 /** Most tokens of a resumed stream, whose request is not known here. */
 const unlimitedTokens = Number.MAX_SAFE_INTEGER;
 /** Longest time, in milliseconds, for which a resumed stream is followed. */
-const longestResumeMilliseconds = 86_400_000;
+const maxResumeMilliseconds = 86_400_000;
 
 /** How one engine is reached. */
 export interface HttpEngineOptions extends TargetHttpOptions {
@@ -60,7 +60,7 @@
     const maxAnswerBytes = options.maxAnswerBytes ?? defaultMaxAnswerBytes;
 
     /** Sends a request whose answer is one JSON object. */
-    const ask = async <T>(
+    const exchangeJson = async <T>(
         request: TargetRequest,
         deadline: number,
         schema: z.ZodType<T>,
@@ -70,20 +70,20 @@
             return Result.err(answer.error);
         }
         if (answer.value.status !== 200) {
-            return Result.err(readRefusal(answer.value.status, answer.value.body));
+            return Result.err(parseErrorAnswer(answer.value.status, answer.value.body));
         }
         const parsed = schema.safeParse(parseJson(answer.value.body));
-        return parsed.success ? Result.ok(parsed.data) : Result.err(unreadableAnswer());
+        return parsed.success ? Result.ok(parsed.data) : Result.err(createInvalidAnswerFailure());
     };
 
     /** Checks that an answer comes from the engine that was asked: an address may have got a new tenant. */
-    const askAboutEngine = async <T extends { engineId: string; }>(
+    const readFromEngine = async <T extends { engineId: string; }>(
         path: string,
         deadline: number,
         schema: z.ZodType<T>,
     ): Promise<Result<T, Failure>> => {
-        const answer = await ask({ method: "GET", path }, deadline, schema);
-        return answer.isOk && answer.value.engineId !== engineId ? Result.err(unreadableAnswer()) : answer;
+        const answer = await exchangeJson({ method: "GET", path }, deadline, schema);
+        return answer.isOk && answer.value.engineId !== engineId ? Result.err(createInvalidAnswerFailure()) : answer;
     };
 
     const openStream = async (request: TargetRequest, operation: Operation): Promise<Result<OpenedAnswer, Failure>> => {
@@ -96,7 +96,7 @@
             return opened;
         }
         const refused = await readWhole(opened.value, operation, maxShortAnswerBytes);
-        return Result.err(refused.isOk ? readRefusal(refused.value.status, refused.value.body) : refused.error);
+        return Result.err(refused.isOk ? parseErrorAnswer(refused.value.status, refused.value.body) : refused.error);
     };
 
     class HttpEngine extends Engine {
@@ -108,7 +108,7 @@
         ): Promise<Result<AsyncIterable<StreamEvent>, Failure>> {
             const deadline = clock.monotonicNow() + request.deadline - clock.wallNow();
             if (signal.aborted || deadline <= clock.monotonicNow()) {
-                return Result.err(refuseUnsent(signal));
+                return Result.err(createUnsentFailure(signal));
             }
             const operation = createOperation({ clock, deadline, signal, silenceLimitMilliseconds });
             const opened = await openStream(jsonRequest("POST", "/generate", request), operation);
@@ -116,7 +116,7 @@
                 operation.end();
                 return Result.err(opened.error);
             }
-            this.cancelWhenStopped(request.streamId, operation);
+            this.cancelOnAbort(request.streamId, operation);
             if (opened.isErr) {
                 operation.end();
                 return Result.err(opened.error);
@@ -136,7 +136,7 @@
             offset: number,
             signal: AbortSignal,
         ): Promise<Result<AsyncIterable<StreamEvent>, Failure>> {
-            const deadline = clock.monotonicNow() + longestResumeMilliseconds;
+            const deadline = clock.monotonicNow() + maxResumeMilliseconds;
             const operation = createOperation({ clock, deadline, signal, silenceLimitMilliseconds });
             const path = `${streamPath(streamId)}?offset=${offset}`;
             const opened = await openStream({ method: "GET", path }, operation);
@@ -162,40 +162,44 @@
                 return Result.err(answer.error);
             }
             const { status, body } = answer.value;
-            return status === 204 ? Result.ok(undefined) : Result.err(readRefusal(status, body));
+            return status === 204 ? Result.ok(undefined) : Result.err(parseErrorAnswer(status, body));
         }
 
         override async order(order: EngineOrder, deadline: number): Promise<Result<OrderAnswer, Failure>> {
-            const answer = await ask(jsonRequest("POST", "/order", order), deadline, orderAnswerSchema);
+            const answer = await exchangeJson(jsonRequest("POST", "/order", order), deadline, orderAnswerSchema);
             if (answer.isErr) {
                 return Result.err(answer.error);
             }
             const isOwn = answer.value.orderId === order.orderId;
-            return isOwn ? Result.ok(answer.value.answer) : Result.err(unreadableAnswer());
+            return isOwn ? Result.ok(answer.value.answer) : Result.err(createInvalidAnswerFailure());
         }
 
         override readState(deadline: number): Promise<Result<EngineState, Failure>> {
-            return askAboutEngine("/state", deadline, engineStateSchema);
+            return readFromEngine("/state", deadline, engineStateSchema);
         }
 
         override readLoad(deadline: number): Promise<Result<LoadReport, Failure>> {
-            return askAboutEngine("/load", deadline, loadReportSchema);
+            return readFromEngine("/load", deadline, loadReportSchema);
         }
 
         override readCacheEvents(cursor: number, deadline: number): Promise<Result<CacheEventPage, Failure>> {
-            return ask({ method: "GET", path: `/cache-events?cursor=${cursor}` }, deadline, cacheEventPageSchema);
+            return exchangeJson(
+                { method: "GET", path: `/cache-events?cursor=${cursor}` },
+                deadline,
+                cacheEventPageSchema,
+            );
         }
 
         /** Tries again when a try is lost: the engine would go on until the request's deadline. */
-        private async cancelPersistently(streamId: string, deadline: number): Promise<void> {
+        private async cancelWithRetries(streamId: string, deadline: number): Promise<void> {
             while (clock.monotonicNow() < deadline && (await this.cancel(streamId, deadline)).isErr) {
-                await clock.sleepUntil(Math.min(deadline, clock.monotonicNow() + cancelPauseMilliseconds));
+                await clock.sleepUntil(Math.min(deadline, clock.monotonicNow() + cancelRetryDelayMilliseconds));
             }
         }
 
         /** Closing the connection alone leaves the work running, since a caller may resume it at another entry VM. */
-        private cancelWhenStopped(streamId: string, operation: Operation): void {
-            const cancel = () => void this.cancelPersistently(streamId, clock.monotonicNow() + cancelMilliseconds);
+        private cancelOnAbort(streamId: string, operation: Operation): void {
+            const cancel = () => void this.cancelWithRetries(streamId, clock.monotonicNow() + cancelMilliseconds);
             if (operation.signal.aborted) {
                 cancel();
             }
@@ -215,17 +219,17 @@
 ): Promise<void> {
     await clock.sleepUntil(clock.monotonicNow() + acceptMilliseconds, accepted);
     if (!accepted.aborted) {
-        operation.stop(StopCause.Silent);
+        operation.stop(AbortReason.Silent);
     }
 }
 
-function refuseUnsent(signal: AbortSignal): Failure {
+function createUnsentFailure(signal: AbortSignal): Failure {
     return signal.aborted
         ? notRun(FailureReason.Cancelled, "Cancelled before the request was sent.")
         : notRun(FailureReason.DeadlinePassed, "The deadline passed before the request was sent.");
 }
 
-function unreadableAnswer(): Failure {
+function createInvalidAnswerFailure(): Failure {
     return mayHaveRun(FailureReason.TargetFailed, "The engine's answer can't be read or is not its own.");
 }
 
--- a/packages/daisyturn/src/ports/http/createHttpPlainService.ts
+++ b/packages/daisyturn/src/ports/http/createHttpPlainService.ts
@@ -2,7 +2,7 @@
 import Result from "true-myth/result";
 import { PlainService, type ServiceAnswer, type ServiceCall } from "../plainService.js";
 import { createOperation } from "./operation.js";
-import { parseRefusal, readRefusal } from "./refusal.js";
+import { parseErrorAnswer, parseRefusal } from "./refusal.js";
 import {
     createTargetHttpClient,
     type TargetHttpOptions,
@@ -37,7 +37,7 @@
         override async invoke(call: ServiceCall, signal: AbortSignal): Promise<Result<ServiceAnswer, Failure>> {
             const deadline = clock.monotonicNow() + call.deadline - clock.wallNow();
             if (signal.aborted || deadline <= clock.monotonicNow()) {
-                return Result.err(refuseUnsent(signal));
+                return Result.err(createUnsentFailure(signal));
             }
             const operation = createOperation({ clock, deadline, signal });
             const answer = await client.exchange(toRequest(call), operation, maxAnswerBytes);
@@ -66,7 +66,7 @@
         return Result.err(mayHaveRun(FailureReason.TargetFailed, "The answer belongs to another call."));
     }
     if (answer.status === refusedStatus && parseRefusal(answer.body)) {
-        return Result.err(readRefusal(answer.status, answer.body));
+        return Result.err(parseErrorAnswer(answer.status, answer.body));
     }
     return Result.ok({
         status: answer.status,
@@ -75,7 +75,7 @@
     });
 }
 
-function refuseUnsent(signal: AbortSignal): Failure {
+function createUnsentFailure(signal: AbortSignal): Failure {
     return signal.aborted
         ? notRun(FailureReason.Cancelled, "Cancelled before the call was sent.")
         : notRun(FailureReason.DeadlinePassed, "The deadline passed before the call was sent.");
--- a/packages/daisyturn/src/ports/http/httpTableService.ts
+++ b/packages/daisyturn/src/ports/http/httpTableService.ts
@@ -65,7 +65,7 @@
     class HttpTables extends TableService {
         override async transact(transaction: Transaction, deadline: number): Promise<TransactionAnswer> {
             const sent = await post(TablePath.Transact, toJson(transaction), deadline);
-            return sent.isOk ? parseTransactionAnswer(sent.value) : toUnsettledAnswer(sent.error);
+            return sent.isOk ? parseTransactionAnswer(sent.value) : toAnswerAfterFailure(sent.error);
         }
 
         override read(keys: readonly string[], deadline: number): Promise<Result<readonly Row[], Failure>> {
@@ -85,7 +85,7 @@
     return { tableService: new HttpTables(), close: connection.close };
 }
 
-function toUnsettledAnswer(failure: Failure): TransactionAnswer {
+function toAnswerAfterFailure(failure: Failure): TransactionAnswer {
     return failure.verdict === ExecutionVerdict.NotRun
         ? { outcome: TransactionOutcome.Rejected, cause: RejectionCause.NotSent }
         : unknownAnswer;
--- a/packages/daisyturn/src/ports/http/operation.ts
+++ b/packages/daisyturn/src/ports/http/operation.ts
@@ -1,7 +1,7 @@
 import type { Clock } from "daisyturn-utils";
 
 /** Why an operation was stopped from this side. */
-export enum StopCause {
+export enum AbortReason {
     Cancelled = "cancelled",
     DeadlinePassed = "deadline_passed",
     /** Nothing was heard from the target for too long. */
@@ -13,8 +13,8 @@
     /** Aborted once the operation is stopped, for whatever cause. */
     readonly signal: AbortSignal;
     /** The first cause; undefined while it runs. */
-    cause(): StopCause | undefined;
-    stop(cause: StopCause): void;
+    cause(): AbortReason | undefined;
+    stop(cause: AbortReason): void;
     /** Notes that the target was heard. */
     recordActivity(): void;
     /** Ends the timers; the signal stays as it is. */
@@ -38,26 +38,26 @@
     const { clock, deadline } = options;
     const stopper = new AbortController();
     const timers = new AbortController();
-    let stopCause: StopCause | undefined;
-    let lastHeardAt = clock.monotonicNow();
+    let abortReason: AbortReason | undefined;
+    let lastActivityAt = clock.monotonicNow();
 
-    const stop = (cause: StopCause) => {
-        if (stopCause === undefined && !timers.signal.aborted) {
-            stopCause = cause;
+    const stop = (cause: AbortReason) => {
+        if (abortReason === undefined && !timers.signal.aborted) {
+            abortReason = cause;
             stopper.abort(new Error(cause));
         }
     };
-    const onCallerAbort = () => stop(StopCause.Cancelled);
+    const onCallerAbort = () => stop(AbortReason.Cancelled);
 
     const watchDeadline = async () => {
         await clock.sleepUntil(deadline, timers.signal);
-        stop(StopCause.DeadlinePassed);
+        stop(AbortReason.DeadlinePassed);
     };
     const watchSilence = async (limit: number) => {
-        while (!timers.signal.aborted && clock.monotonicNow() < lastHeardAt + limit) {
-            await clock.sleepUntil(lastHeardAt + limit, timers.signal);
+        while (!timers.signal.aborted && clock.monotonicNow() < lastActivityAt + limit) {
+            await clock.sleepUntil(lastActivityAt + limit, timers.signal);
         }
-        stop(StopCause.Silent);
+        stop(AbortReason.Silent);
     };
 
     if (options.signal?.aborted) {
@@ -71,10 +71,10 @@
 
     return {
         signal: stopper.signal,
-        cause: () => stopCause,
+        cause: () => abortReason,
         stop,
         recordActivity: () => {
-            lastHeardAt = clock.monotonicNow();
+            lastActivityAt = clock.monotonicNow();
         },
         end: () => {
             options.signal?.removeEventListener("abort", onCallerAbort);
--- a/packages/daisyturn/src/ports/http/platformConnection.ts
+++ b/packages/daisyturn/src/ports/http/platformConnection.ts
@@ -1,7 +1,7 @@
 import { type Clock, type Failure, FailureReason, mayHaveRun, notRun } from "daisyturn-utils";
 import { err, ok, type Result } from "true-myth/result";
 import { Pool } from "undici";
-import { type RequestProgress, trackProgress } from "./requestProgress.js";
+import { type RequestProgress, trackRequestProgress } from "./requestProgress.js";
 
 /** Where the platform answers, and how much is asked of it at once. */
 export interface HttpPlatformOptions {
@@ -59,7 +59,7 @@
         headersTimeout: 0,
         bodyTimeout: 0,
     });
-    const dispatcher = trackProgress(pool);
+    const dispatcher = trackRequestProgress(pool);
 
     const exchange = async (
         request: PlatformRequest,
@@ -88,7 +88,7 @@
         if (deadline <= options.clock.monotonicNow()) {
             return err(notRun(FailureReason.DeadlinePassed, "the deadline had passed before the platform was asked"));
         }
-        const progress: RequestProgress = { begun: false, abandoned: false };
+        const progress: RequestProgress = { started: false, abandoned: false };
         const timeout = new AbortController();
         const answered = new AbortController();
         const describe = () => err<PlatformAnswer, Failure>(describeFailedSend(progress));
@@ -111,7 +111,7 @@
 }
 
 function describeFailedSend(progress: RequestProgress): Failure {
-    return progress.begun
+    return progress.started
         ? mayHaveRun(FailureReason.OutcomeUnknown, "the platform did not answer in time or broke the connection")
         : notRun(FailureReason.StoreUnavailable, "no connection to the platform");
 }
--- a/packages/daisyturn/src/ports/http/readEngineStream.ts
+++ b/packages/daisyturn/src/ports/http/readEngineStream.ts
@@ -108,8 +108,8 @@
         if (line.offset !== offset) {
             return "an offset is missing or repeated";
         }
-        const mayGrow = !options.isPrefill && line.offset + line.tokenCount <= options.maxOutputTokens;
-        return mayGrow ? undefined : "it has more tokens than were asked for";
+        const isWithinLimit = !options.isPrefill && line.offset + line.tokenCount <= options.maxOutputTokens;
+        return isWithinLimit ? undefined : "it has more tokens than were asked for";
     };
 
     const findEndFault = (line: StreamEnd): string | undefined => {
--- a/packages/daisyturn/src/ports/http/refusal.ts
+++ b/packages/daisyturn/src/ports/http/refusal.ts
@@ -17,7 +17,7 @@
 const notRunStatus = 503;
 
 /** Reads an error answer. Only status 503 with a body that says so proves that the request did not run. */
-export function readRefusal(status: number, body: string): Failure {
+export function parseErrorAnswer(status: number, body: string): Failure {
     const refusal = parseRefusal(body);
     if (!refusal) {
         return mayHaveRun(FailureReason.TargetFailed, `The target answered with status ${status} and no refusal.`);
--- a/packages/daisyturn/src/ports/http/requestProgress.ts
+++ b/packages/daisyturn/src/ports/http/requestProgress.ts
@@ -3,7 +3,7 @@
 /** How far a request got. It decides between the verdicts, so it is set before the first byte is handed over. */
 export interface RequestProgress {
     /** True from the moment before the first byte of the request is written to a connected socket. */
-    begun: boolean;
+    started: boolean;
     /** Set by the sender when it gives the request up: it is then never begun. */
     abandoned: boolean;
 }
@@ -13,7 +13,7 @@
  * undici calls `onRequestStart` once a connected socket was chosen and before it writes to it, so a request for which
  * it was never called has sent nothing. This holds for every cause of failure, which a list of error codes would not.
  */
-export function trackProgress(dispatcher: Dispatcher): Dispatcher {
+export function trackRequestProgress(dispatcher: Dispatcher): Dispatcher {
     return dispatcher.compose(dispatch => (options, handler) => {
         const { opaque } = options as Dispatcher.RequestOptions<RequestProgress>;
         return dispatch(options, opaque ? createTrackingHandler(opaque, handler) : handler);
@@ -26,12 +26,12 @@
 ): Dispatcher.DispatchHandler {
     return {
         onRequestStart: (controller, context) => {
-            if (progress.begun || progress.abandoned) {
+            if (progress.started || progress.abandoned) {
                 // undici may put a request back into its queue when a connection ends; ours are sent once at most.
                 controller.abort(new Error("The request was already sent once, or given up."));
                 return;
             }
-            progress.begun = true;
+            progress.started = true;
             handler.onRequestStart?.(controller, context);
         },
         onRequestUpgrade: (...parameters) => handler.onRequestUpgrade?.(...parameters),
--- a/packages/daisyturn/src/ports/http/targetHttpClient.ts
+++ b/packages/daisyturn/src/ports/http/targetHttpClient.ts
@@ -1,8 +1,8 @@
 import { type Clock, ExecutionVerdict, type Failure, FailureReason, mayHaveRun, notRun } from "daisyturn-utils";
 import Result from "true-myth/result";
 import type { Dispatcher } from "undici";
-import { type Operation, StopCause } from "./operation.js";
-import { type RequestProgress, trackProgress } from "./requestProgress.js";
+import { AbortReason, type Operation } from "./operation.js";
+import { type RequestProgress, trackRequestProgress } from "./requestProgress.js";
 import { createTargetDispatcher } from "./targetDispatcher.js";
 
 /** How one target is reached. */
@@ -46,7 +46,7 @@
 
 /** Creates the client of one target. */
 export function createTargetHttpClient(options: TargetHttpOptions): TargetHttpClient {
-    const dispatcher = trackProgress(options.dispatcher ?? createTargetDispatcher());
+    const dispatcher = trackRequestProgress(options.dispatcher ?? createTargetDispatcher());
 
     const send = async (
         request: TargetRequest,
@@ -67,14 +67,14 @@
             return Result.ok({ status: answer.statusCode, headers: answer.headers, body: answer.body });
         }
         catch (error) {
-            const verdict = progress.begun ? ExecutionVerdict.MayHaveRun : ExecutionVerdict.NotRun;
+            const verdict = progress.started ? ExecutionVerdict.MayHaveRun : ExecutionVerdict.NotRun;
             return Result.err(describeFailure(error, operation, verdict));
         }
     };
 
     const open = (request: TargetRequest, operation: Operation): Promise<Result<OpenedAnswer, Failure>> => {
-        const progress: RequestProgress = { begun: false, abandoned: false };
-        return Promise.race([send(request, operation, progress), untilAbandoned(operation, progress)]);
+        const progress: RequestProgress = { started: false, abandoned: false };
+        return Promise.race([send(request, operation, progress), resolveWhenAbandoned(operation, progress)]);
     };
 
     const exchange = async (request: TargetRequest, operation: Operation, maxBytes: number) => {
@@ -91,10 +91,10 @@
  * Resolves when the operation is stopped before the request was begun. undici heeds a signal only once a connection is
  * there, which would hold a caller's abort up until the connection times out.
  */
-function untilAbandoned(operation: Operation, progress: RequestProgress): Promise<Result<OpenedAnswer, Failure>> {
+function resolveWhenAbandoned(operation: Operation, progress: RequestProgress): Promise<Result<OpenedAnswer, Failure>> {
     return new Promise(resolve => {
         const abandon = () => {
-            if (!progress.begun) {
+            if (!progress.started) {
                 progress.abandoned = true;
                 resolve(Result.err(describeFailure(undefined, operation, ExecutionVerdict.NotRun)));
             }
@@ -113,7 +113,7 @@
     maxBytes: number,
 ): Promise<Result<WholeAnswer, Failure>> {
     const { status, headers } = answer;
-    if (!hasMarkedEnd(answer)) {
+    if (!hasFramedBody(answer)) {
         answer.body.destroy();
         return Result.err(mayHaveRun(FailureReason.TargetFailed, "The answer's length is not given."));
     }
@@ -139,22 +139,22 @@
  * Whether a cut can be told from the end. A body that lasts until the connection closes looks whole wherever it is
  * cut, so it is never taken for an answer.
  */
-function hasMarkedEnd(answer: OpenedAnswer): boolean {
+function hasFramedBody(answer: OpenedAnswer): boolean {
     const bodyless = answer.status === 204 || answer.status === 304;
     const chunked = String(answer.headers["transfer-encoding"] ?? "").toLowerCase().includes("chunked");
     return bodyless || chunked || answer.headers["content-length"] !== undefined;
 }
 
-const reasonByStopCause: Record<StopCause, FailureReason> = {
-    [StopCause.Cancelled]: FailureReason.Cancelled,
-    [StopCause.DeadlinePassed]: FailureReason.DeadlinePassed,
-    [StopCause.Silent]: FailureReason.TargetFailed,
+const failureByAbortReason: Record<AbortReason, FailureReason> = {
+    [AbortReason.Cancelled]: FailureReason.Cancelled,
+    [AbortReason.DeadlinePassed]: FailureReason.DeadlinePassed,
+    [AbortReason.Silent]: FailureReason.TargetFailed,
 };
 
 /** Puts an error of the connection into words. Only its code is told: a message may hold what a caller wrote. */
 export function describeFailure(error: unknown, operation: Operation, verdict: ExecutionVerdict): Failure {
     const cause = operation.cause();
-    const reason = cause === undefined ? FailureReason.TargetFailed : reasonByStopCause[cause];
+    const reason = cause === undefined ? FailureReason.TargetFailed : failureByAbortReason[cause];
     const code = (error as { code?: string; } | undefined)?.code ?? "unknown error";
     const message = cause === undefined ? `The connection to the target failed: ${code}.` : `Stopped: ${cause}.`;
     return verdict === ExecutionVerdict.NotRun ? notRun(reason, message) : mayHaveRun(reason, message);
--- a/packages/daisyturn/src/ports/memoryTableService.ts
+++ b/packages/daisyturn/src/ports/memoryTableService.ts
@@ -64,7 +64,7 @@
 
     class MemoryTableService extends TableService {
         override transact(transaction: Transaction): Promise<TransactionAnswer> {
-            refuseDoubleWrites(transaction);
+            rejectDuplicateWrites(transaction);
             const failed = transaction.conditions.filter(condition => !conditionHolds(condition));
             return Promise.resolve(failed.length > 0 ? reject(failed) : apply(transaction));
         }
@@ -92,7 +92,7 @@
 }
 
 /** Two writes of one row in one transaction have no order: a programming error. */
-function refuseDoubleWrites(transaction: Transaction): void {
+function rejectDuplicateWrites(transaction: Transaction): void {
     const keys = new Set(transaction.writes.map(write => write.key));
     if (keys.size < transaction.writes.length) {
         throw new Error(`transaction ${transaction.writeId} writes a row twice`);
--- a/packages/daisyturn/src/process/configuration/__tests__/configurationFailures.test.ts
+++ b/packages/daisyturn/src/process/configuration/__tests__/configurationFailures.test.ts
@@ -43,7 +43,7 @@
         const cell = createConfigurationCell();
         const processes = ["a", "b", "c"].map(cell.start);
         cell.store.script(TableFaultKind.None, TableFaultKind.None);
-        cell.store.setStandingFault(TableFaultKind.Down);
+        cell.store.setStandingFault(TableFaultKind.ConnectionRefused);
         const answer = await publish(cell, processes[0]!, "one");
         assert.deepEqual(answer.unwrapOr(undefined)?.inForceAt, ["a", "b", "c"]);
         assert.deepEqual(generationsOf(...processes), [1, 1, 1]);
@@ -56,7 +56,7 @@
         const cell = createConfigurationCell();
         const [first, second] = [cell.start("a"), cell.start("b")];
         cell.store.script(TableFaultKind.None, TableFaultKind.BreakAfterCommit);
-        cell.store.setStandingFault(TableFaultKind.Down);
+        cell.store.setStandingFault(TableFaultKind.ConnectionRefused);
         const lost = await publish(cell, first, "one");
         assert.equal(lost.isErr && lost.error.verdict, ExecutionVerdict.MayHaveRun);
         cell.store.setStandingFault(TableFaultKind.None);
@@ -79,7 +79,7 @@
             ]
         ) {
             cell.store.script(TableFaultKind.None, TableFaultKind.CommitLate);
-            cell.store.setStandingFault(TableFaultKind.Down);
+            cell.store.setStandingFault(TableFaultKind.ConnectionRefused);
             const unknown = await publish(cell, first, "one");
             assert.equal(unknown.isErr && unknown.error.reason, FailureReason.OutcomeUnknown);
             cell.store.setStandingFault(TableFaultKind.None);
@@ -95,7 +95,7 @@
         const cell = createConfigurationCell();
         const [first, second] = [cell.start("a"), cell.start("b")];
         cell.store.script(TableFaultKind.None, TableFaultKind.CommitLate);
-        cell.store.setStandingFault(TableFaultKind.Down);
+        cell.store.setStandingFault(TableFaultKind.ConnectionRefused);
         await publish(cell, first, "one");
         cell.store.setStandingFault(TableFaultKind.None);
         await cell.store.releaseLateCommits();
@@ -111,7 +111,7 @@
         assert.deepEqual(answer.unwrapOr(undefined)?.notConfirmedBy, ["c"]);
         assert.deepEqual(generationsOf(...processes), [1, 1, 0]);
         cell.networks.healAll();
-        cell.store.setStandingFault(TableFaultKind.Down);
+        cell.store.setStandingFault(TableFaultKind.ConnectionRefused);
         await runFor(cell, 3_000, ...processes);
         assert.deepEqual(generationsOf(...processes), [1, 1, 1]);
         assertNeverBack(...processes);
@@ -235,7 +235,7 @@
             PeerMethod.PullConfiguration,
             () => ({ generation: 2, cellSize: 2, changes: changes.map(toJson) }),
         );
-        cell.store.setStandingFault(TableFaultKind.Down);
+        cell.store.setStandingFault(TableFaultKind.ConnectionRefused);
         await runFor(cell, 3_000, second);
         assert.deepEqual(generationsOf(second), [0]);
     });
--- a/packages/daisyturn/src/process/lease/__tests__/createLeaseManager.test.ts
+++ b/packages/daisyturn/src/process/lease/__tests__/createLeaseManager.test.ts
@@ -205,7 +205,7 @@
         const lease = one.leaseManager.current()!;
         const first = lease.deadline();
         const sentBefore = faulty.transactions.length;
-        faulty.setStandingFault({ kind: TableFaultKind.Slow, delayMilliseconds: 700 });
+        faulty.setStandingFault({ kind: TableFaultKind.Delayed, delayMilliseconds: 700 });
         while (faulty.transactions.length === sentBefore) {
             await clock.advance(10);
         }
@@ -221,7 +221,7 @@
         const faulty = createFaultyTableService(createMemoryTableService(), { clock });
         const one = startManager(clock, faulty.tableService, "p1");
         faulty.script(TableFaultKind.None, TableFaultKind.CommitLate);
-        faulty.setStandingFault(TableFaultKind.Down);
+        faulty.setStandingFault(TableFaultKind.ConnectionRefused);
         await clock.advance(3_000);
         assert.equal(one.leases.length, 0);
         await faulty.releaseLateCommits();
--- a/packages/daisyturn/src/process/store/__fixtures__/interleavings.ts
+++ b/packages/daisyturn/src/process/store/__fixtures__/interleavings.ts
@@ -67,7 +67,7 @@
     TableFaultKind.BreakAfterCommit,
     TableFaultKind.BreakBeforeCommit,
     TableFaultKind.CommitLate,
-    TableFaultKind.Down,
+    TableFaultKind.ConnectionRefused,
 ];
 const lastPosition = 4;
 const deadline = 60_000;
--- a/packages/daisyturn/src/process/store/__tests__/differential.test.ts
+++ b/packages/daisyturn/src/process/store/__tests__/differential.test.ts
@@ -39,7 +39,7 @@
     TableFaultKind.BreakAfterCommit,
     TableFaultKind.BreakBeforeCommit,
     TableFaultKind.CommitLate,
-    TableFaultKind.Down,
+    TableFaultKind.ConnectionRefused,
     TableFaultKind.Throttle,
 ];
 
--- a/packages/daisyturn/src/process/store/__tests__/interleavings.test.ts
+++ b/packages/daisyturn/src/process/store/__tests__/interleavings.test.ts
@@ -32,7 +32,8 @@
 const ifUndisturbed = ({ act }: Interleaving) => act === OtherAct.None;
 /** A try that must not be repeated is settled by reading back, if it had committed by then. */
 const ifCommittedAtOnce = ({ act, faults }: Interleaving) =>
-    act === OtherAct.None && faults.find(fault => fault !== TableFaultKind.Down) === TableFaultKind.BreakAfterCommit;
+    act === OtherAct.None
+    && faults.find(fault => fault !== TableFaultKind.ConnectionRefused) === TableFaultKind.BreakAfterCommit;
 const unlessOverwritten = ({ act }: Interleaving) => act === OtherAct.None || act === OtherAct.OverwriteB;
 
 // A row that is demanded to be absent must not be deleted meanwhile; only a marker makes up for that.
--- a/packages/daisyturn/src/process/store/__tests__/outages.test.ts
+++ b/packages/daisyturn/src/process/store/__tests__/outages.test.ts
@@ -29,7 +29,9 @@
         assert.equal(eventLog.of(EventKind.StoreUnavailable).length, 0);
     });
 
-    for (const fault of [TableFaultKind.Down, TableFaultKind.LoseAnswer, TableFaultKind.BreakBeforeCommit]) {
+    for (
+        const fault of [TableFaultKind.ConnectionRefused, TableFaultKind.LoseAnswer, TableFaultKind.BreakBeforeCommit]
+    ) {
         it(`refuses at once while the store is away (${fault}), notices its return and goes on`, async () => {
             const { clock, faulty, client, eventLog, stuck } = await createOutage(fault);
             const callsBefore = faulty.callCount();
@@ -42,7 +44,7 @@
             assert.equal(eventLog.of(EventKind.StoreUnavailable).length, 1);
             assert.equal(eventLog.of(EventKind.StoreAvailable).length, 1);
             const { outcome } = await stuck;
-            const wasNeverSent = fault === TableFaultKind.Down;
+            const wasNeverSent = fault === TableFaultKind.ConnectionRefused;
             assert.equal(outcome, wasNeverSent ? TransactionOutcome.Rejected : TransactionOutcome.Committed);
         });
     }
@@ -65,7 +67,7 @@
     it("settles a marked transaction for good, also if the store goes down before its abandonment", async () => {
         const { clock, inner, faulty, client } = createStoreSetup();
         faulty.script(TableFaultKind.BreakBeforeCommit, TableFaultKind.None);
-        faulty.setStandingFault(TableFaultKind.Down);
+        faulty.setStandingFault(TableFaultKind.ConnectionRefused);
         const transaction = addWriteMarker(createRows("w1", ["a"]), 0);
         const answer = client.commit(transaction, StorePriority.Claim, 1_000_000);
         await clock.advance(5);
@@ -82,7 +84,7 @@
     });
 
     it("probes a store that is down for an hour rarely, one call at a time", async () => {
-        const { clock, faulty } = await createOutage(TableFaultKind.Down);
+        const { clock, faulty } = await createOutage(TableFaultKind.ConnectionRefused);
         const callsBefore = faulty.callCount();
         await clock.advance(3_600_000);
         const probes = faulty.callCount() - callsBefore;
@@ -118,7 +120,7 @@
 
     it("waits for a slow store instead of asking it again and again", async () => {
         const { clock, faulty, client, eventLog } = createStoreSetup();
-        faulty.setStandingFault({ kind: TableFaultKind.Slow, delayMilliseconds: 3_000 });
+        faulty.setStandingFault({ kind: TableFaultKind.Delayed, delayMilliseconds: 3_000 });
         const first = client.commit(createRows("w0", ["r0"]), StorePriority.Claim, 60_000);
         await clock.advance(30_000);
         assert.equal((await first).outcome, TransactionOutcome.Committed);
--- a/packages/daisyturn/src/request/claims/__tests__/createClaimManager.test.ts
+++ b/packages/daisyturn/src/request/claims/__tests__/createClaimManager.test.ts
@@ -127,7 +127,7 @@
 
     it("refuses calls as not run while the store is down", async () => {
         const { clock, table, startManager, send, ran } = createClaimBench();
-        table.setStandingFault(TableFaultKind.Down);
+        table.setStandingFault(TableFaultKind.ConnectionRefused);
         const running = startManager("p").runOnce(createClaimRequest(clock), send);
         await clock.advance(10_000);
         const failure = failureOf(await running);
@@ -169,7 +169,7 @@
         const { clock, table, startManager, createFailingSend, readRow } = createClaimBench();
         const p = startManager("p");
         table.script(TableFaultKind.None);
-        table.setStandingFault(TableFaultKind.Down);
+        table.setStandingFault(TableFaultKind.ConnectionRefused);
         const running = p.runOnce(createClaimRequest(clock), createFailingSend(refusal, false));
         await clock.advance(10_000);
         const failure = failureOf(await running);
@@ -185,7 +185,7 @@
     it("answers at once and records after an outage of the store", async () => {
         const { clock, table, startManager, send, readRow } = createClaimBench();
         table.script(TableFaultKind.None);
-        table.setStandingFault(TableFaultKind.Down);
+        table.setStandingFault(TableFaultKind.ConnectionRefused);
         const first = await startManager("p").runOnce(createClaimRequest(clock), send);
         assert.deepEqual(first, Result.ok(firstAnswer));
         await clock.advance(60_000);
@@ -198,7 +198,7 @@
     it("does not send after the end of the send window, for example when the process was paused", async () => {
         const { clock, table, startManager, send, ran, readRow } = createClaimBench();
         const delayMilliseconds = defaultClaimLimits.sendWindowMilliseconds;
-        table.script({ kind: TableFaultKind.Slow, delayMilliseconds: 400 });
+        table.script({ kind: TableFaultKind.Delayed, delayMilliseconds: 400 });
         const p = startManager("p");
         const pending = createPendingSend();
         const sendLater: SendCall = async (call, permit) => {
