--- a/packages/daisyturn/src/ports/__tests__/httpTableService.test.ts
+++ b/packages/daisyturn/src/ports/__tests__/httpTableService.test.ts
@@ -10,7 +10,7 @@
 const deadline = 1_000;
 const committedBody = "{\"outcome\":\"committed\",\"version\":1}";
 
-/** Runs a body against a server that does with each connection's first bytes what the test says. */
+/** Runs a body against a server that calls `serve` with the first bytes of each connection. */
 async function withServer(
     serve: (socket: Socket, request: string) => void,
     body: (url: string) => Promise<void>,
@@ -40,7 +40,7 @@
     const silentAnswers: readonly (readonly [string, (socket: Socket) => void])[] = [
         ["a connection broken before the answer", socket => socket.destroy()],
         ["an answer cut short", socket => socket.end(httpAnswer(200, committedBody, committedBody.length + 1))],
-        ["an answer that is no JSON", socket => socket.end(httpAnswer(200, "fine"))],
+        ["an answer that is not JSON", socket => socket.end(httpAnswer(200, "fine"))],
         ["a gateway's error with a committed body", socket => socket.end(httpAnswer(502, committedBody))],
         [
             "a claim that nothing was sent",
@@ -48,7 +48,7 @@
         ],
     ];
     for (const [name, serve] of silentAnswers) {
-        it(`takes ${name} for unknown`, async () => {
+        it(`treats the outcome as unknown after ${name}`, async () => {
             await withServer(serve, async url => {
                 const { tableService, close } = createHttpTableService({ url, clock: new FakeClock() });
                 const answer = await tableService.transact(transaction, deadline);
@@ -58,7 +58,7 @@
         });
     }
 
-    it("takes a statement of the service for what it says", async () => {
+    it("returns the outcome that the service states", async () => {
         await withServer(socket => socket.end(httpAnswer(200, committedBody)), async url => {
             const { tableService, close } = createHttpTableService({ url, clock: new FakeClock() });
             const answer = await tableService.transact(transaction, deadline);
@@ -67,7 +67,7 @@
         });
     });
 
-    it("knows at the deadline which transaction was sent, and never sends one that still waited", async () => {
+    it("distinguishes sent and unsent transactions at the deadline, and never sends a queued one", async () => {
         const requests = new EventEmitter();
         const received: (string | undefined)[] = [];
         const serve = (...[, request]: [Socket, string]) => {
--- a/packages/daisyturn/src/ports/__tests__/memoryTableService.test.ts
+++ b/packages/daisyturn/src/ports/__tests__/memoryTableService.test.ts
@@ -11,7 +11,7 @@
 }
 
 describe("createMemoryTableService", () => {
-    it("writes all rows of a transaction or none, and tells the rows that stand in the way", async () => {
+    it("writes all rows of a transaction or none, and returns the conflicting rows", async () => {
         const tables = createMemoryTableService();
         await tables.transact(put("w1", "a"), deadline);
         const both = {
@@ -46,7 +46,7 @@
         assert.deepEqual(await listKeys(2, "p/2"), ["p/3"]);
     });
 
-    it("keeps what callers hold apart from what is stored", async () => {
+    it("does not change stored rows when a caller changes its values", async () => {
         const tables = createMemoryTableService();
         const value = { list: ["one"] };
         await tables.transact({ writeId: "w1", conditions: [], writes: [{ key: "a", value }] }, deadline);
--- a/packages/daisyturn/src/ports/engine.ts
+++ b/packages/daisyturn/src/ports/engine.ts
@@ -1,76 +1,76 @@
 import type { Failure } from "daisyturn-utils";
 import type { Result } from "true-myth/result";
 
-/** Which part of the work an engine does. */
+/** Which stages of a request an engine runs. */
 export enum EngineRole {
-    /** Both parts. */
+    /** Both stages. */
     Mixed = "mixed",
     Prefill = "prefill",
     Decode = "decode",
 }
 
-/** What an engine can do at the moment. */
+/** Whether an engine currently accepts work. */
 export enum EnginePhase {
     Serving = "serving",
-    /** Carrying out an order; it takes no work for some seconds. */
+    /** Carrying out an order. The engine accepts no work for some seconds. */
     Changing = "changing",
-    /** It stopped partway through a change and waits for an order. */
+    /** A change failed partway. The engine accepts no work until it receives another order. */
     Stuck = "stuck",
 }
 
-/** Which part of a request an engine is asked for. */
+/** Which part of a request an engine is to run. */
 export enum GeneratePart {
     Whole = "whole",
-    /** Only compute the KV cache and hold it for export; ends with {@link StreamEnd.kvHandle}. */
+    /** Only compute the KV cache and retain it for export. The stream ends with {@link StreamEnd.kvHandle}. */
     Prefill = "prefill",
     /** Import the KV cache named by {@link GenerateRequest.kvHandle} and decode. */
     Decode = "decode",
 }
 
-/** Order in which engines serve what waits. */
+/** Scheduling class of a request in an engine's queue. */
 export enum Priority {
     Interactive = "interactive",
     Bulk = "bulk",
 }
 
-/** Where a prefill engine holds a KV cache for export. */
+/** Location of a KV cache that a prefill engine retains for export. */
 export interface KvHandle {
     readonly engineId: string;
-    /** Address from which the importing engine fetches. */
+    /** Address from which the importing engine fetches the KV cache. */
     readonly address: string;
     readonly handleId: string;
     readonly tokenCount: number;
 }
 
-/** How an engine chooses tokens. What is absent is the engine's own default. */
+/** Sampling parameters. The engine's default applies to those that are absent. */
 export interface Sampling {
     readonly temperature?: number;
     readonly topP?: number;
     readonly seed?: number;
-    /** Texts that end the answer. */
+    /** Stop sequences. */
     readonly stop?: readonly string[];
 }
 
-/** Work for an engine. */
+/** A generation request to an engine. */
 export interface GenerateRequest {
-    /** Never used twice. Names the stream for resuming and cancelling. */
+    /** Unique, never reused. Identifies the stream when it is resumed or cancelled. */
     readonly streamId: string;
     readonly part: GeneratePart;
     readonly model: string;
     readonly adapter?: string;
     readonly prompt: string;
-    /** Chained hashes of the prompt's blocks, as made by `hashPromptBlocks`. */
+    /** Chained hashes of the prompt's blocks, as computed by `hashPromptBlocks`. */
     readonly promptBlocks: readonly string[];
     readonly maxOutputTokens: number;
     readonly priority: Priority;
-    /** Wall-clock time, in milliseconds, after which the answer is worth nothing. */
+    /** Wall-clock time, in milliseconds, after which the answer is no longer needed. */
     readonly deadline: number;
     readonly kvHandle?: KvHandle;
-    /** Tokens already delivered: the engine continues after them. Used where a stream moves to another engine. */
+    /** Tokens already delivered. The engine continues after them. Used when a stream moves to another engine. */
     readonly startOffset?: number;
     /**
-     * Text of the tokens before `startOffset`, where it is known: the engine continues from it. Without it the engine
-     * makes the answer anew and leaves out its first tokens, which is right only where sampling is deterministic.
+     * Text of the tokens before `startOffset`, if known. The engine continues from it. Without it, the engine
+     * regenerates the answer and skips the first tokens, which is correct only if sampling is deterministic.
      */
     readonly precedingText?: string;
     readonly sampling?: Sampling;
@@ -78,79 +78,79 @@
 
 /** Why a stream ended. */
 export enum FinishReason {
-    /** The model ended its answer. */
+    /** The model ended the answer. */
     Stop = "stop",
     /** The answer reached `maxOutputTokens`. */
     Length = "length",
-    /** A prefill part is done. */
+    /** The prefill part is complete. */
     Prefilled = "prefilled",
 }
 
-/** What an engine's stream yields. */
+/** Kinds of events in an engine's stream. */
 export enum StreamEventKind {
     Tokens = "tokens",
     End = "end",
     Broken = "broken",
 }
 
-/** Some tokens of the answer. */
+/** One or more tokens of the answer. */
 export interface StreamTokens {
     readonly kind: StreamEventKind.Tokens;
-    /** Tokens of the answer before these; equals the sum of all `tokenCount` before, or the stream is broken. */
+    /** Tokens of the answer before these. If it is not the sum of all earlier `tokenCount`, the stream is broken. */
     readonly offset: number;
     readonly tokenCount: number;
     readonly text: string;
 }
 
-/** The end mark. A stream without it is short, and a short stream is an error. */
+/** Final event of a complete stream. A stream that ends without it is truncated, which is an error. */
 export interface StreamEnd {
     readonly kind: StreamEventKind.End;
     readonly finishReason: FinishReason;
     readonly promptTokens: number;
     /** Prompt tokens found in the engine's prefix cache. */
     readonly cachedTokens: number;
-    /** Tokens of the whole answer, including those before `startOffset`. */
+    /** Tokens of the complete answer, including those before `startOffset`. */
     readonly outputTokens: number;
     readonly kvHandle?: KvHandle;
 }
 
-/** The stream was cut; nothing follows. */
+/** The stream failed. No events follow. */
 export interface StreamBroken {
     readonly kind: StreamEventKind.Broken;
     readonly failure: Failure;
 }
 
-/** One item of an engine's stream; the last one is an End or a Broken. */
+/** One event of an engine's stream. The last one is an End or a Broken. */
 export type StreamEvent = StreamTokens | StreamEnd | StreamBroken;
 
-/** An engine's report of its load; it lags. */
+/** An engine's report of its load. It may be out of date when it arrives. */
 export interface LoadReport {
     readonly engineId: string;
     /** Incarnation of the engine's own process. */
     readonly incarnation: string;
-    /** Wall-clock time, in milliseconds, of what is reported. */
+    /** Wall-clock time, in milliseconds, at which the reported values applied. */
     readonly asOf: number;
     readonly role: EngineRole;
     readonly phase: EnginePhase;
     readonly runningStreams: number;
     readonly queuedRequests: number;
-    /** Prompt tokens still to be prefilled, queued and running. */
+    /** Prompt tokens not yet prefilled, of queued and running requests. */
     readonly queuedPrefillTokens: number;
-    /** Output tokens promised to running and queued streams but not yet generated. */
+    /** Output tokens that running and queued streams may still generate. */
     readonly outstandingOutputTokens: number;
     readonly kvTokensUsed: number;
     readonly kvTokensCapacity: number;
-    /** Tokens a second when prefilling alone. */
+    /** Tokens per second while the engine only prefills. */
     readonly prefillRate: number;
-    /** Tokens a second and stream with a small batch. */
+    /** Tokens per second and stream with a small batch. */
     readonly decodeRate: number;
-    /** Ids of streams that the engine has taken in since its last report or that still run; may be cut short. */
+    /** Ids of streams accepted since the last report or still running. The list may be truncated. */
     readonly recentStreamIds?: readonly string[];
 }
 
 /** A change of an engine's prefix cache. */
 export interface CacheEvent {
-    /** Grows by one; a jump means that events were lost. */
+    /** Increases by one per event. A gap means that events were lost. */
     readonly sequence: number;
     readonly stored: readonly string[];
     readonly evicted: readonly string[];
@@ -160,19 +160,19 @@
 export interface CacheEventPage {
     readonly incarnation: string;
     readonly events: readonly CacheEvent[];
-    /** Cursor for the next call. */
+    /** Cursor to pass to the next call. */
     readonly cursor: number;
 }
 
-/** What an engine can be ordered to do. */
+/** Kinds of orders to an engine. */
 export enum OrderKind {
     ChangeRole = "change_role",
     LoadModel = "load_model",
     LoadAdapter = "load_adapter",
     LoadVersion = "load_version",
-    /** Take no new work and let streams end. */
+    /** Accept no new work and let running streams end. */
     Drain = "drain",
-    /** Take work again. */
+    /** Accept work again. */
     Resume = "resume",
 }
 
@@ -187,19 +187,19 @@
     readonly fencingNumber: number;
 }
 
-/** What an engine answers to an order. */
+/** An engine's answer to an order. */
 export enum OrderAnswer {
-    /** Begun; progress is seen by `readState`. */
+    /** Started. `readState` shows the progress. */
     Accepted = "accepted",
-    /** The same order id was taken before. */
+    /** An order with the same id was accepted before. */
     Repeated = "repeated",
-    /** The fencing number is older than one it has seen. */
+    /** The fencing number is lower than one that the engine has seen. */
     StaleFencingNumber = "stale_fencing_number",
-    /** Another change is running or the order makes no sense now. */
+    /** Another change is in progress, or the order does not apply in the current state. */
     Busy = "busy",
 }
 
-/** The engine's own view, not lagging. */
+/** The engine's current state, as read from the engine itself. */
 export interface EngineState {
     readonly engineId: string;
     readonly incarnation: string;
@@ -211,27 +211,27 @@
     readonly version: string;
     readonly runningStreams: number;
     readonly queuedRequests: number;
-    /** The last order that took effect or began; undefined after a crash that lost it. */
+    /** The last order that took effect or was started; undefined if it was lost in a crash. */
     readonly lastOrderId?: string;
-    /** Highest fencing number seen; undefined where the engine does not check. */
+    /** Highest fencing number seen; undefined if the engine does not check fencing numbers. */
     readonly highestFencingNumber?: number;
 }
 
 /**
- * One model engine. Only an adapter knows its wire protocol.
- * A failure's verdict tells whether the request may have run.
+ * One model engine. Adapters implement its wire protocol.
+ * A failure's verdict states whether the request may have run.
  */
 export abstract class Engine {
     abstract readonly engineId: string;
     /**
-     * Starts work. The result is a failure until the engine has accepted; afterwards the stream yields events.
-     * Aborting `signal` cancels the work at the engine.
+     * Starts a request. Resolves once the engine has accepted it, or with a failure if it has not. Later failures are
+     * events of the stream. Aborting `signal` cancels the work at the engine.
      */
     abstract generate(
         request: GenerateRequest,
         signal: AbortSignal,
     ): Promise<Result<AsyncIterable<StreamEvent>, Failure>>;
-    /** Attaches to a running or finished stream, after `offset` tokens. Engines keep ended streams for a while. */
+    /** Attaches to a running or finished stream after `offset` tokens. Engines retain ended streams for a while. */
     abstract resume(
         streamId: string,
         offset: number,
--- a/packages/daisyturn/src/ports/engineOrders.ts
+++ b/packages/daisyturn/src/ports/engineOrders.ts
@@ -2,9 +2,9 @@
 import type { Result } from "true-myth/result";
 import type { EngineStage, ListedTarget } from "./listedTarget.js";
 
-/** What an engine says of itself when asked. */
+/** Status that an engine reports on request. */
 export interface EngineStatus {
-    /** Which start of the engine has answered; see `ListedTarget.targetId`. */
+    /** Identifies the start of the engine that answered; see `ListedTarget.targetId`. */
     readonly targetId: string;
     readonly stage?: EngineStage;
     /** An order is being carried out. */
@@ -19,33 +19,33 @@
     readonly stage: EngineStage;
     readonly holder: string;
     readonly fencingNumber: number;
-    /** The order holds only if the engine has accepted so many before. */
+    /** The engine rejects the order unless it has accepted exactly this many orders before. */
     readonly expectedOrders: number;
 }
 
-/** How an engine answered an order. */
+/** Outcome of an order. */
 export enum OrderAnswer {
     Accepted = "accepted",
     AlreadyHolds = "already_holds",
-    /** Another order came first, or a holder with a higher fencing number gives them now. */
+    /** Another order was accepted first, or the engine has seen a higher fencing number. */
     Rejected = "rejected",
-    /** No answer: the order may be carried out, now or later. */
+    /** No answer. The order may be carried out, now or later. */
     Unknown = "unknown",
 }
 
-/** What an engine is doing, as far as its answer tells. */
+/** An engine's activity, according to its answer. */
 export enum EngineActivity {
-    /** It has requests that run or wait, or has answered without telling. */
+    /** Requests run or wait there, or the answer does not say. */
     Working = "working",
-    /** It has answered, and nothing runs or waits there. */
+    /** The engine answered that nothing runs or waits there. */
     Idle = "idle",
     NoAnswer = "no_answer",
 }
 
-/** Gives orders to engines. Only an adapter knows the wire. */
+/** Sends orders to engines. Adapters implement the protocol. */
 export abstract class EngineOrders {
     abstract readStatus(target: ListedTarget, deadline: number): Promise<Result<EngineStatus, Failure>>;
-    /** @param deadline monotonic time until which an answer counts */
+    /** @param deadline monotonic time after which an answer is ignored */
     abstract checkActivity(target: ListedTarget, deadline: number): Promise<EngineActivity>;
     abstract changeStage(order: StageOrder, deadline: number): Promise<OrderAnswer>;
 }
--- a/packages/daisyturn/src/ports/faultyTableService.ts
+++ b/packages/daisyturn/src/ports/faultyTableService.ts
@@ -9,15 +9,14 @@
     TransactionOutcome,
 } from "./tableService.js";
 
-/** What goes wrong with one call. */
+/** Faults that can be injected into a call. */
 export enum TableFaultKind {
-    /** Nothing goes wrong. */
     None = "none",
-    /** The connection is refused: nothing is sent. */
+    /** The connection is refused. Nothing is sent. */
     ConnectionRefused = "down",
-    /** The call runs after a delay; if the deadline passes first, the answer is lost but the call still runs. */
+    /** The call runs after a delay. If the deadline passes first, the answer is lost but the call still runs. */
     Delayed = "slow",
-    /** The call runs at once, its answer is lost and the caller waits for its deadline. */
+    /** The call runs at once, its answer is lost and the caller waits until its deadline. */
     LoseAnswer = "lose_answer",
     /** The call runs at once and the connection breaks before the answer. */
     BreakAfterCommit = "break_after_commit",
@@ -25,33 +24,32 @@
     BreakBeforeCommit = "break_before_commit",
     /** The connection breaks after the send, and the call runs when `releaseLateCommits` is called. */
     CommitLate = "commit_late",
-    /** The service refuses because of its rate limit. */
+    /** The service rejects the call because of its rate limit. */
     Throttle = "throttle",
 }
 
-/** A fault and, for Slow, its length. */
+/** A fault and, for Delayed, the delay. */
 export interface TableFault {
     readonly kind: TableFaultKind;
     readonly delayMilliseconds?: number;
 }
 
-/** What the wrapper needs. */
 export interface FaultyTableServiceOptions {
     readonly clock: Clock;
 }
 
-/** A table service whose calls go wrong as the test says. */
+/** A table service whose calls fail as configured by a test. */
 export interface FaultyTableService {
     readonly tableService: TableService;
-    /** Faults of the next calls, one each, in order; they go before the standing fault. */
+    /** Faults of the next calls, one each, in order. They take precedence over the standing fault. */
     script(...faults: readonly (TableFault | TableFaultKind)[]): void;
-    /** Fault of all calls that no script covers. */
+    /** Fault of all calls for which no fault is scripted. */
     setStandingFault(fault: TableFault | TableFaultKind): void;
-    /** Refuses calls over this many a second (counted by whole seconds of the clock); undefined lifts the limit. */
+    /** Rejects calls over this number per whole second of the clock; undefined removes the limit. */
     setCallsPerSecond(limit: number | undefined): void;
-    /** Lets transactions held back by CommitLate run, in the order in which they were sent. */
+    /** Runs the transactions delayed by CommitLate, in the order in which they were sent. */
     releaseLateCommits(): Promise<readonly TransactionAnswer[]>;
-    /** Transactions that reached the wrapper, in order, whatever became of them. */
+    /** All transactions that were submitted, in order, whatever their outcome. */
     readonly transactions: readonly Transaction[];
     /** Number of calls of any kind. */
     callCount(): number;
@@ -60,7 +58,7 @@
 const unknownAnswer: TransactionAnswer = { outcome: TransactionOutcome.Unknown };
 const millisecondsPerSecond = 1_000;
 
-/** Puts faults around a table service, for failure tests. */
+/** Wraps a table service and injects faults, for failure tests. */
 export function createFaultyTableService(inner: TableService, options: FaultyTableServiceOptions): FaultyTableService {
     const { clock } = options;
     const scripted: TableFault[] = [];
@@ -87,7 +85,7 @@
         return scripted.shift() ?? standing;
     };
 
-    /** Runs the call after the delay and answers unless the deadline came first. */
+    /** Runs the call after the delay. Returns `late` if the deadline passes first. */
     const runSlowly = async <Answer>(fault: TableFault, deadline: number, run: () => Promise<Answer>, late: Answer) => {
         const runAt = clock.monotonicNow() + (fault.delayMilliseconds ?? 0);
         const running = clock.sleepUntil(runAt).then(run);
--- a/packages/daisyturn/src/ports/forwardedCall.ts
+++ b/packages/daisyturn/src/ports/forwardedCall.ts
@@ -1,71 +1,71 @@
 import type { Failure } from "daisyturn-utils";
 import type { Result } from "true-myth/result";
 
-/** Header fields in their order, names and values by turns, as undici takes them. */
+/** Header fields in order, names and values alternating, in undici's raw format. */
 export type HeaderFields = readonly string[];
 
-/** A part of a prompt that other requests may share. */
+/** A part of a prompt that may be shared with other requests. */
 export interface PromptPart {
     readonly partId: string;
     readonly tokens: number;
 }
 
-/** What a caller tells about a prompt beside the bytes. */
+/** A caller's description of a prompt, sent in addition to the body. */
 export interface PromptDescription {
     readonly model: string;
     readonly promptTokens: number;
     readonly maxOutputTokens: number;
-    /** The caller's own estimate, or else the most it allows. */
+    /** The caller's estimate, or `maxOutputTokens` if it gives none. */
     readonly expectedOutputTokens: number;
-    /** In the order of the prompt. The last part is the request's own. */
+    /** In the order of the prompt. The last part is specific to the request. */
     readonly parts: readonly PromptPart[];
 }
 
-/** What the head of a caller's request says, in the product's terms. */
+/** Protocol-independent contents of the head of a caller's request. */
 export interface CallDescription {
-    /** Unique to one attempt of the caller; targets echo it. */
+    /** Unique to one attempt of the caller. Targets echo it. */
     readonly callId: string;
-    /** Milliseconds that the caller waits; undefined where it does not say. */
+    /** How long the caller waits, in milliseconds; undefined if it does not say. */
     readonly patienceMilliseconds?: number;
     readonly prompt?: PromptDescription;
-    /** Identifier of the last event that the caller has of an answer it wants continued. */
+    /** Identifier of the last event that the caller received of an answer that is to be continued. */
     readonly lastEventId?: string;
-    /** What targets are sent of the head: without fields that concern one connection, or that only the system sets. */
+    /** Fields to forward to targets, without connection-specific fields and those that only the system sets. */
     readonly forwardedFields: HeaderFields;
 }
 
-/** A caller's request, read whole. */
+/** A caller's complete request. */
 export interface ForwardedCall extends CallDescription {
     readonly method: string;
     readonly host: string;
     /** The request target as the caller sent it, with its query. */
     readonly url: string;
     readonly body: Buffer;
-    /** Monotonic time at which the head had arrived. */
+    /** Monotonic time at which the head was received. */
     readonly arrivedAt: number;
     /** Monotonic time until which the caller waits. */
     readonly deadline: number;
 }
 
-/** Where a KV cache that was computed for a request can be fetched. */
+/** Where the KV cache that was computed for a request can be fetched. */
 export interface KvSource {
     readonly address: string;
     readonly handle: string;
 }
 
-/** What one send of a call asks of the target. */
+/** Parameters of sending a call to a target once. */
 export interface SendTerms {
-    /** The name under which the target takes the call; any other refuses it. */
+    /** Name of the target that the call is meant for. A target with another name refuses it. */
     readonly targetName: string;
     readonly remainingMilliseconds: number;
-    /** Compute the KV cache only and keep it for another target. */
+    /** Compute only the KV cache and retain it for another target. */
     readonly prefillOnly?: boolean;
     readonly kvSource?: KvSource;
-    /** Address of an engine from which the target fetches what that one keeps of the prompt and the target does not. */
+    /** Address of an engine that has cached parts of the prompt. The target fetches those that it lacks from there. */
     readonly fetchKvFrom?: string;
-    /** From 0 (first) to 9. */
+    /** From 0 (most urgent) to 9. */
     readonly urgency?: number;
-    /** Overrides the caller's own, when the system goes on with an answer. */
+    /** Overrides the caller's value when the system itself continues an answer. */
     readonly lastEventId?: string;
 }
 
@@ -76,41 +76,41 @@
     readonly fields: HeaderFields;
 }
 
-/** How busy a target said it was. */
+/** Load that a target reported. */
 export interface ReportedLoad {
     readonly running: number;
     readonly waiting: number;
     readonly slots: number;
 }
 
-/** What the head of a target's answer says, in the product's terms. */
+/** Protocol-independent contents of the head of a target's answer. */
 export interface ReplyHead {
     readonly status: number;
-    /** Identifier of the call that is answered; undefined where the target echoes none. */
+    /** Identifier of the call that is answered; undefined if the target does not echo it. */
     readonly callId?: string;
-    /** The target states that it did not run the call and never will. */
+    /** Whether the target states that it did not run the call and never will. */
     readonly isNotRun: boolean;
-    /** Whether the target vouches for the answer as its own. */
+    /** Whether the answer carries the target's mark that the target itself produced it. */
     readonly isStamped: boolean;
     readonly load?: ReportedLoad;
-    /** What the caller is sent of the head. */
+    /** Fields to forward to the caller. */
     readonly forwardedFields: HeaderFields;
 }
 
-/** Headers of an answer as undici gives them. */
+/** Headers of an answer as parsed by undici. */
 export type IncomingFields = Readonly<Record<string, string | readonly string[] | undefined>>;
 
-/** Reads what callers say. Only an adapter knows the names of the fields. */
+/** Parses callers' requests. Adapters define the names of the header fields. */
 export abstract class CallerProtocol {
     abstract describeCall(rawFields: readonly string[]): Result<CallDescription, Failure>;
 }
 
-/** Speaks to targets. Only an adapter knows names and formats. */
+/** Encodes requests to targets and parses their answers. Adapters define names and formats. */
 export abstract class TargetProtocol {
     abstract encodeCall(call: ForwardedCall, terms: SendTerms): OutgoingHead;
     abstract readHead(status: number, fields: IncomingFields): ReplyHead;
-    /** Reads the answer to a call that was sent with `prefillOnly`. */
+    /** Parses the answer to a call that was sent with `prefillOnly`. */
     abstract readKvHandle(body: Buffer): Result<string, Failure>;
-    /** Frees a KV cache that will not be fetched. */
+    /** Encodes the request that releases a KV cache that will not be fetched. */
     abstract encodeKvRelease(handle: string): OutgoingHead;
 }
--- a/packages/daisyturn/src/ports/http/__fixtures__/engineCase.ts
+++ b/packages/daisyturn/src/ports/http/__fixtures__/engineCase.ts
@@ -15,7 +15,7 @@
 import { createTargetDispatcher } from "../targetDispatcher.js";
 import { type RawScript, type RawTarget, startRawTarget, writeChunk, writeChunkedHead } from "./startRawTarget.js";
 
-/** An engine adapter before a raw target. */
+/** An engine adapter connected to a raw target. */
 export interface EngineCase {
     readonly clock: FakeClock;
     readonly target: RawTarget;
@@ -24,14 +24,14 @@
 
 export const streamId = "st-1";
 
-/** A dispatcher that ends with the test. */
+/** Creates a dispatcher that is destroyed after the test. */
 export function createTestDispatcher(test: TestContext): Dispatcher {
     const dispatcher = createTargetDispatcher();
     test.after(() => dispatcher.destroy());
     return dispatcher;
 }
 
-/** A dispatcher whose connections are made, or not, by a function of the test. */
+/** Creates a dispatcher that uses the test's connector. */
 export function createConnectingDispatcher(test: TestContext, connect: buildConnector.connector): Dispatcher {
     const dispatcher = new Agent({ connect });
     test.after(() => dispatcher.destroy());
@@ -64,7 +64,7 @@
     };
 }
 
-/** One line with one token. */
+/** Builds a line with one token. */
 export function tokenLine(offset: number, changes: object = {}): object {
     return { kind: StreamEventKind.Tokens, streamId, offset, tokenCount: 1, text: `t${offset} `, ...changes };
 }
@@ -81,7 +81,7 @@
     };
 }
 
-/** Script that answers `generate` with these lines and leaves the connection open. */
+/** Creates a script that answers `generate` with these lines and leaves the connection open. */
 export function streamLines(lines: readonly object[], after: RawScript = () => undefined): RawScript {
     return request => {
         if (request.line.startsWith("POST /generate")) {
@@ -100,7 +100,7 @@
     return events;
 }
 
-/** The last event of a stream, or the failure to begin it, as `reason/verdict`; an end mark as `end`. */
+/** Describes the last event of a stream: a failure as `reason/verdict`, an end event as `end`. */
 export function outcomeOf(events: readonly StreamEvent[]): string {
     const last = events.at(-1);
     return last?.kind === StreamEventKind.Broken ? describe(last.failure) : last?.kind ?? "nothing";
@@ -110,12 +110,12 @@
     return `${failure.reason}/${failure.verdict}`;
 }
 
-/** The failure of a result as `reason/verdict`. */
+/** Describes a result: a failure as `reason/verdict`, a success as `ok`. */
 export function failureOf(result: Result<unknown, Failure>): string {
     return result.isErr ? describe(result.error) : "ok";
 }
 
-/** Generates and reads to the end. */
+/** Generates and reads the stream to the end. */
 export async function generateAll(
     engine: Engine,
     clock: Clock,
--- a/packages/daisyturn/src/ports/http/__fixtures__/startRawTarget.ts
+++ b/packages/daisyturn/src/ports/http/__fixtures__/startRawTarget.ts
@@ -2,33 +2,32 @@
 import { type AddressInfo, createServer, type Socket } from "node:net";
 import type { TestContext } from "node:test";
 
-/** One request as its bytes came in. */
+/** One request as received. */
 export interface RawRequest {
-    /** Such as `POST /generate`. */
+    /** Request line without the HTTP version, such as `POST /generate`. */
     readonly line: string;
     readonly body: string;
     readonly socket: Socket;
 }
 
-/** What a raw target does with a request. */
+/** Handles one request to a raw target. */
 export type RawScript = (request: RawRequest) => void;
 
-/** A TCP server that speaks HTTP only as far as a test tells it. */
+/** A TCP server that parses requests only. The test writes the bytes of the answers. */
 export interface RawTarget {
     readonly url: string;
     readonly requests: readonly RawRequest[];
-    /** Resolves with the first request, or that of another number, past or future, whose line starts so. */
+    /** Resolves with the `number`th request (from 1), past or future, whose line starts with `lineStart`. */
     received(lineStart: string, number?: number): Promise<RawRequest>;
 }
 
-/** Settings of a raw target. */
 export interface RawTargetOptions {
     readonly onRequest?: RawScript;
-    /** Called for each connection before anything is read. */
+    /** Called for each connection before any data is read. */
     readonly onConnection?: (socket: Socket) => void;
 }
 
-/** Starts a raw target that ends with the test. */
+/** Starts a raw target that is stopped after the test. */
 export async function startRawTarget(test: TestContext, options: RawTargetOptions): Promise<RawTarget> {
     const requests: RawRequest[] = [];
     const sockets = new Set<Socket>();
@@ -87,7 +86,7 @@
     });
 }
 
-/** Writes an answer with its length. */
+/** Writes an answer with a content-length. */
 export function writeAnswer(
     socket: Socket,
     status: number,
@@ -98,7 +97,7 @@
     socket.write(`HTTP/1.1 ${status} X\r\n${lines}content-length: ${Buffer.byteLength(body)}\r\n\r\n${body}`);
 }
 
-/** Writes the head of an answer in chunks. */
+/** Writes the head of a chunked answer. */
 export function writeChunkedHead(socket: Socket, headers = ""): void {
     socket.write(`HTTP/1.1 200 OK\r\n${headers}transfer-encoding: chunked\r\n\r\n`);
 }
@@ -110,12 +109,12 @@
     socket.write("\r\n");
 }
 
-/** Writes the mark after the last chunk. */
+/** Writes the last chunk, which ends the answer. */
 export function writeChunkedEnd(socket: Socket): void {
     socket.write("0\r\n\r\n");
 }
 
-/** An address at which nothing listens. */
+/** Returns the URL of a port at which nothing listens. */
 export async function findClosedUrl(): Promise<string> {
     const server = createServer();
     server.listen(0, "127.0.0.1");
--- a/packages/daisyturn/src/ports/http/__tests__/createHttpPlainService.test.ts
+++ b/packages/daisyturn/src/ports/http/__tests__/createHttpPlainService.test.ts
@@ -41,7 +41,7 @@
 }
 
 describe("createHttpPlainService", () => {
-    it("hands on the answer, also that of an error status", async test => {
+    it("returns the answer, also with an error status", async test => {
         const { clock, service, target } = await startServiceCase(test, ({ socket }) => {
             writeAnswer(socket, 404, "no such quote", { ...echo, "content-type": "text/plain" });
         });
@@ -59,13 +59,13 @@
         },
         { name: "a half-closed socket", script: ({ socket }) => void socket.end(), expected: failed },
         {
-            name: "a cut answer",
+            name: "a truncated answer",
             script: ({ socket }) =>
                 void socket.end("HTTP/1.1 200 X\r\nx-call-id: call-1\r\ncontent-length: 9\r\n\r\nhalf"),
             expected: failed,
         },
         {
-            name: "a cut answer in chunks",
+            name: "a truncated chunked answer",
             script: ({ socket }) => {
                 writeChunkedHead(socket, "x-call-id: call-1\r\n");
                 writeChunk(socket, "half");
@@ -109,7 +109,7 @@
             expected: "ok",
         },
         {
-            name: "an answer in chunks",
+            name: "a chunked answer",
             script: ({ socket }) => {
                 writeChunkedHead(socket, "x-call-id: call-1\r\n");
                 writeChunk(socket, "whole");
@@ -125,7 +125,7 @@
         });
     }
 
-    it("is NotRun when the connection is refused, and when the call can't be put into HTTP", async test => {
+    it("is NotRun when the connection is refused, and when the call is not valid as HTTP", async test => {
         const clock = new FakeClock();
         const service = createService(test, await findClosedUrl(), clock);
         assert.equal(failureOf(await service.invoke(buildCall(clock), test.signal)), "target_failed/not_run");
@@ -142,7 +142,7 @@
         assert.equal(target.requests.length, 1);
     });
 
-    it("is MayHaveRun when the deadline passes or the caller gives up after the call was sent", async test => {
+    it("is MayHaveRun when the deadline passes or the caller aborts after the call was sent", async test => {
         const caller = new AbortController();
         const { clock, service, target } = await startServiceCase(test, () => undefined);
         const late = service.invoke(buildCall(clock), test.signal);
@@ -155,7 +155,7 @@
         assert.equal(failureOf(await abandoned), "cancelled/may_have_run");
     });
 
-    it("sends a call once, also when the connection is closed under it", async test => {
+    it("sends a call once, also when a reused connection is closed during it", async test => {
         const { clock, service, target } = await startServiceCase(test, ({ line, socket }) => {
             writeAnswer(socket, 200, "ok", { ...echo, "keep-alive": "timeout=30" });
             if (line.startsWith("POST /tickets")) {
@@ -167,7 +167,7 @@
         assert.deepEqual(target.requests.map(request => request.line), ["POST /quotes", "POST /tickets"]);
     });
 
-    it("does not take a late second answer for the answer to the next call", async test => {
+    it("does not mistake a late second answer for the answer to the next call", async test => {
         const { clock, service } = await startServiceCase(test, ({ line, socket }) => {
             const isFirst = line === "POST /quotes";
             writeAnswer(socket, 200, isFirst ? "first" : "second", isFirst ? echo : { "x-call-id": "call-2" });
--- a/packages/daisyturn/src/ports/http/__tests__/exchanges.test.ts
+++ b/packages/daisyturn/src/ports/http/__tests__/exchanges.test.ts
@@ -43,7 +43,7 @@
         });
     }
 
-    it("sends the fencing number and tells the engine's answer", async test => {
+    it("sends the fencing number and returns the engine's answer", async test => {
         const { engine, target } = await startEngineCase(test, ({ socket }) => {
             writeAnswer(socket, 200, JSON.stringify({ orderId: "ord-1", answer: "stale_fencing_number" }));
         });
@@ -62,7 +62,7 @@
 });
 
 describe("readState and readLoad", () => {
-    it("take no answer of another engine", async test => {
+    it("reject an answer of another engine", async test => {
         const state = {
             engineId: "engine-2",
             incarnation: "run-1",
--- a/packages/daisyturn/src/ports/http/__tests__/generateVerdicts.test.ts
+++ b/packages/daisyturn/src/ports/http/__tests__/generateVerdicts.test.ts
@@ -13,7 +13,7 @@
 import { createHttpEngine } from "../createHttpEngine.js";
 
 const refusal = { verdict: ExecutionVerdict.NotRun, reason: FailureReason.Overloaded, message: "full", retryAt: 17 };
-/** undici demands it beside an error. */
+/** undici requires this argument in addition to an error. */
 // eslint-disable-next-line no-restricted-syntax
 const noSocket = null;
 
@@ -31,13 +31,13 @@
         assert.equal(failureOf(await engine.generate(buildRequest(clock), test.signal)), "target_failed/not_run");
     });
 
-    it("is NotRun for any failure to connect, also under the code of a reset", async test => {
+    it("is NotRun for any failure to connect, also with the error code of a reset", async test => {
         const reset = Object.assign(new Error("reset"), { code: "ECONNRESET" });
         const { clock, engine } = createUnconnectedEngine(test, (...[, callback]) => callback(reset, noSocket));
         assert.equal(failureOf(await engine.generate(buildRequest(clock), test.signal)), "target_failed/not_run");
     });
 
-    it("is NotRun, and never sent, when the caller gives up while connecting", async test => {
+    it("is NotRun, and never sent, when the caller aborts while connecting", async test => {
         const caller = new AbortController();
         const target = await startRawTarget(test, {});
         const connect = buildConnector({});
@@ -129,7 +129,7 @@
             expected: "target_failed/may_have_run",
         },
         {
-            name: "a refusal under another status",
+            name: "a refusal with another status",
             script: ({ socket }) => writeAnswer(socket, 500, JSON.stringify(refusal)),
             expected: "overloaded/may_have_run",
         },
@@ -140,7 +140,7 @@
             expected: "overloaded/may_have_run",
         },
         {
-            name: "a refusal that is cut",
+            name: "a truncated refusal",
             script: ({ socket }) =>
                 void socket.end(`HTTP/1.1 503 X\r\ncontent-length: 200\r\n\r\n${JSON.stringify(refusal)}`),
             expected: "target_failed/may_have_run",
@@ -158,14 +158,14 @@
         });
     }
 
-    it("hands on when a refused request may be tried again", async test => {
+    it("returns the time from which a refused request may be retried", async test => {
         const script: RawScript = ({ socket }) => writeAnswer(socket, 503, JSON.stringify(refusal));
         const { clock, engine } = await startEngineCase(test, script);
         const refused = await engine.generate(buildRequest(clock), test.signal);
         assert.equal(refused.isErr && refused.error.retryAt, 17);
     });
 
-    it("is MayHaveRun, and cancels, when the head of the answer does not come", async test => {
+    it("is MayHaveRun, and cancels, when the head of the answer does not arrive", async test => {
         const { clock, engine, target } = await startEngineCase(test, () => undefined, { acceptMilliseconds: 1_000 });
         const pending = engine.generate(buildRequest(clock), test.signal);
         await target.received("POST /generate");
@@ -176,7 +176,7 @@
         await target.received("DELETE /streams/st-1");
     });
 
-    it("is MayHaveRun, and cancels, when the caller gives up after the request was sent", async test => {
+    it("is MayHaveRun, and cancels, when the caller aborts after the request was sent", async test => {
         const caller = new AbortController();
         const { clock, engine, target } = await startEngineCase(test, () => undefined);
         const pending = engine.generate(buildRequest(clock), caller.signal);
--- a/packages/daisyturn/src/ports/http/__tests__/readEngineStream.test.ts
+++ b/packages/daisyturn/src/ports/http/__tests__/readEngineStream.test.ts
@@ -30,7 +30,7 @@
 const halfClose: RawScript = ({ socket }) => void socket.end();
 const reset: RawScript = ({ socket }) => socket.resetAndDestroy();
 
-/** Resolves when a task begins to sleep for that long. */
+/** Resolves when a task starts to sleep for `milliseconds`. */
 function watchForSleep(clock: FakeClock, milliseconds: number): Promise<void> {
     return new Promise(resolve => {
         const sleepUntil = clock.sleepUntil.bind(clock);
@@ -44,7 +44,7 @@
 }
 
 describe("readEngineStream", () => {
-    it("ends whole at the end mark, without waiting for the connection", async test => {
+    it("ends at the end event, without waiting for the connection to close", async test => {
         const lines = [tokenLine(0), tokenLine(1, { tokenCount: 2, text: "two " }), endLine(3)];
         const { clock, engine } = await startEngineCase(test, streamLines(lines));
         const events = await generateAll(engine, clock, test.signal);
@@ -52,7 +52,7 @@
         assert.deepEqual(events[0], { kind: StreamEventKind.Tokens, offset: 0, tokenCount: 1, text: "t0 " });
     });
 
-    it("puts together characters and lines that are cut over chunks", async test => {
+    it("reassembles characters and lines that are split over chunks", async test => {
         const bytes = Buffer.from(
             `${JSON.stringify(tokenLine(0, { text: "vůz €" }))}\n${JSON.stringify(endLine(1))}\n`,
         );
@@ -66,12 +66,12 @@
     });
 
     const faults: { name: string; lines: readonly object[]; after?: RawScript; expected?: string; }[] = [
-        { name: "a clean close without an end mark", lines: [tokenLine(0)], after: closeCleanly },
+        { name: "a clean close without an end event", lines: [tokenLine(0)], after: closeCleanly },
         { name: "a half-closed socket", lines: [tokenLine(0)], after: halfClose },
         { name: "a reset", lines: [tokenLine(0)], after: reset },
         { name: "a half-closed socket before the first line", lines: [], after: halfClose },
         {
-            name: "an end mark without its line feed",
+            name: "an end event without its line feed",
             lines: [tokenLine(0)],
             after: ({ socket }) => {
                 writeChunk(socket, JSON.stringify(endLine(1)));
@@ -80,15 +80,15 @@
         },
         { name: "a repeated event", lines: [tokenLine(0), tokenLine(0)] },
         { name: "a missing event", lines: [tokenLine(0), tokenLine(2)] },
-        { name: "crossed events", lines: [tokenLine(1), tokenLine(0)] },
+        { name: "reordered events", lines: [tokenLine(1), tokenLine(0)] },
         { name: "an event of another stream", lines: [tokenLine(0), tokenLine(1, { streamId: "st-2" })] },
-        { name: "an end mark of another stream", lines: [tokenLine(0), endLine(1, { streamId: "st-2" })] },
-        { name: "an end mark that counts more tokens", lines: [tokenLine(0), endLine(2)] },
-        { name: "an end mark that counts fewer tokens", lines: [tokenLine(0), endLine(0)] },
-        { name: "the end mark of a prefill part", lines: [endLine(0, { finishReason: "prefilled", kvHandle })] },
-        { name: "more tokens than asked for", lines: [tokenLine(0, { tokenCount: 5 })] },
+        { name: "an end event of another stream", lines: [tokenLine(0), endLine(1, { streamId: "st-2" })] },
+        { name: "an end event that counts more tokens", lines: [tokenLine(0), endLine(2)] },
+        { name: "an end event that counts fewer tokens", lines: [tokenLine(0), endLine(0)] },
+        { name: "the end event of a prefill part", lines: [endLine(0, { finishReason: "prefilled", kvHandle })] },
+        { name: "more tokens than requested", lines: [tokenLine(0, { tokenCount: 5 })] },
         { name: "an event without tokens", lines: [tokenLine(0, { tokenCount: 0 })] },
-        { name: "a line that is no event", lines: [{ kind: "surprise" }] },
+        { name: "a line that is not an event", lines: [{ kind: "surprise" }] },
         {
             name: "an answer over the limit",
             lines: Array.from(Array(40).keys(), () => ({ kind: "waiting", streamId: "st-1" })),
@@ -111,9 +111,9 @@
     }
 
     const prefillEnds = [
-        { name: "its end mark", lines: [endLine(0, { finishReason: "prefilled", kvHandle })], expected: "end" },
-        { name: "an end mark without a handle", lines: [endLine(0, { finishReason: "prefilled" })], expected: broken },
-        { name: "the end mark of a whole answer", lines: [endLine(0, { finishReason: "stop" })], expected: broken },
+        { name: "its end event", lines: [endLine(0, { finishReason: "prefilled", kvHandle })], expected: "end" },
+        { name: "an end event without a handle", lines: [endLine(0, { finishReason: "prefilled" })], expected: broken },
+        { name: "the end event of a whole answer", lines: [endLine(0, { finishReason: "stop" })], expected: broken },
         { name: "a token", lines: [tokenLine(0)], expected: broken },
     ];
     for (const { name, lines, expected } of prefillEnds) {
@@ -129,7 +129,7 @@
         assert.equal(outcomeOf(await generateAll(engine, clock, test.signal, { startOffset: 2 })), broken);
     });
 
-    it("is broken by silence, which any line puts off", async test => {
+    it("is broken after the silence limit, which any line restarts", async test => {
         const script = streamLines([tokenLine(0)]);
         const { clock, engine, target } = await startEngineCase(test, script, { silenceMilliseconds: 100 });
         const stream = (await engine.generate(buildRequest(clock), test.signal)).unwrapOr([] as never);
@@ -169,7 +169,7 @@
         await target.received("DELETE /streams/st-1");
     });
 
-    it("cancels again when the first try is lost", async test => {
+    it("retries the cancellation when the first attempt fails", async test => {
         const caller = new AbortController();
         const clock = new FakeClock();
         const paused = watchForSleep(clock, 500);
@@ -184,7 +184,7 @@
         writeAnswer((await second).socket, 204, "");
     });
 
-    it("does not cancel when the reader leaves or the stream has ended", async test => {
+    it("does not cancel when the reader stops early or the stream has ended", async test => {
         const caller = new AbortController();
         const { clock, engine, target } = await startEngineCase(test, streamLines([tokenLine(0), endLine(1)]));
         for await (const event of (await engine.generate(buildRequest(clock), caller.signal)).unwrapOr([] as never)) {
@@ -202,7 +202,7 @@
 });
 
 describe("resume", () => {
-    it("asks for the tokens after the offset and takes no others", async test => {
+    it("requests the tokens after the offset and accepts no others", async test => {
         const { engine, target } = await startEngineCase(test, ({ socket }) => {
             writeChunkedHead(socket);
             [tokenLine(2), endLine(3)].forEach(line => writeChunk(socket, `${JSON.stringify(line)}\n`));
@@ -214,7 +214,7 @@
         assert.equal(outcomeOf(wrong), broken);
     });
 
-    it("never says NotRun, since the stream's work was begun before", async test => {
+    it("never returns NotRun, since the stream was started earlier", async test => {
         const { clock } = await startEngineCase(test, () => undefined);
         const url = await findClosedUrl();
         const engine = createHttpEngine({ engineId: "engine-1", url, clock, dispatcher: createTestDispatcher(test) });
--- a/packages/daisyturn/src/ports/http/__tests__/readLines.test.ts
+++ b/packages/daisyturn/src/ports/http/__tests__/readLines.test.ts
@@ -15,7 +15,7 @@
 }
 
 describe("readLines", () => {
-    it("gives the same lines however the bytes are cut", async () => {
+    it("yields the same lines however the bytes are split into chunks", async () => {
         const line = fc.string({ unit: "grapheme", maxLength: 8 }).map(text => text.replaceAll("\n", ""));
         const cuts = fc.array(fc.integer({ min: 0, max: 60 }), { maxLength: 8 });
         await fc.assert(fc.asyncProperty(fc.array(line, { maxLength: 6 }), cuts, line, async (lines, at, rest) => {
@@ -26,7 +26,7 @@
         }));
     });
 
-    it("refuses a line over the limit, in one piece or several, before its end has come", async () => {
+    it("rejects a line over the limit, in one chunk or several, before its end arrives", async () => {
         assert.deepEqual(await collectLines([Buffer.from("12345\n")], 5), ["12345"]);
         await assert.rejects(collectLines([Buffer.from("123456\n")], 5), LineTooLongError);
         await assert.rejects(collectLines([Buffer.from("1234"), Buffer.from("56")], 5), LineTooLongError);
--- a/packages/daisyturn/src/ports/http/__tests__/requestProgress.test.ts
+++ b/packages/daisyturn/src/ports/http/__tests__/requestProgress.test.ts
@@ -3,7 +3,7 @@
 import { Dispatcher } from "undici";
 import { type RequestProgress, trackRequestProgress } from "../requestProgress.js";
 
-/** Begins each request it is given as often as told, and counts how often the beginning was allowed. */
+/** Starts each request `beginnings` times and counts the starts that were allowed. */
 class BeginningDispatcher extends Dispatcher {
     allowed = 0;
 
@@ -37,14 +37,14 @@
 }
 
 describe("trackProgress", () => {
-    it("notes that a request is begun, and lets it begin once", () => {
+    it("records that a request is started, and allows one start only", () => {
         const progress = { started: false, abandoned: false };
         const dispatcher = new BeginningDispatcher(2);
         dispatchOnce(dispatcher, progress);
         assert.deepEqual([progress.started, dispatcher.allowed], [true, 1]);
     });
 
-    it("does not let a request begin that was given up", () => {
+    it("does not start an abandoned request", () => {
         const progress = { started: false, abandoned: true };
         const dispatcher = new BeginningDispatcher(1);
         dispatchOnce(dispatcher, progress);
--- a/packages/daisyturn/src/ports/http/createHttpEngine.ts
+++ b/packages/daisyturn/src/ports/http/createHttpEngine.ts
@@ -24,33 +24,31 @@
     type TargetRequest,
 } from "./targetHttpClient.js";
 
-/** Most bytes of a refusal, a state or another short answer. */
+/** Maximum size of a refusal, a state or another short answer. */
 const maxShortAnswerBytes = 1_048_576;
-/** Most bytes of a stream. */
 const defaultMaxAnswerBytes = 67_108_864;
 const defaultAcceptMilliseconds = 10_000;
 const defaultSilenceMilliseconds = 10_000;
 const defaultCancelMilliseconds = 5_000;
-/** Pause between two tries to cancel. */
 const cancelRetryDelayMilliseconds = 500;
-/** Most tokens of a resumed stream, whose request is not known here. */
+/** Used for a resumed stream, because the token limit of its request is not known here. */
 const unlimitedTokens = Number.MAX_SAFE_INTEGER;
-/** Longest time, in milliseconds, for which a resumed stream is followed. */
+/** Maximum duration of a resumed stream. */
 const maxResumeMilliseconds = 86_400_000;
 
-/** How one engine is reached. */
+/** Options of the adapter to one engine. */
 export interface HttpEngineOptions extends TargetHttpOptions {
     readonly engineId: string;
-    /** Longest wait for the engine's acceptance. */
+    /** Maximum wait for the engine to accept a request. */
     readonly acceptMilliseconds?: number;
-    /** Longest silence on an accepted stream. The engine sends a waiting line more often than this. */
+    /** Maximum time without data on an accepted stream. The engine sends a waiting line more often than this. */
     readonly silenceMilliseconds?: number;
-    /** Limit of the cancellation that follows an abort. */
+    /** Maximum time spent on cancelling at the engine after an abort. */
     readonly cancelMilliseconds?: number;
     readonly maxAnswerBytes?: number;
 }
 
-/** Creates the adapter to one engine that speaks HTTP. */
+/** Creates the HTTP adapter to one engine. */
 export function createHttpEngine(options: HttpEngineOptions): Engine {
     const { clock, engineId } = options;
     const client = createTargetHttpClient(options);
@@ -76,7 +74,7 @@
         return parsed.success ? Result.ok(parsed.data) : Result.err(createInvalidAnswerFailure());
     };
 
-    /** Checks that an answer comes from the engine that was asked: an address may have got a new tenant. */
+    /** Rejects an answer of another engine, since the address may have been reassigned. */
     const readFromEngine = async <T extends { engineId: string; }>(
         path: string,
         deadline: number,
@@ -90,7 +88,7 @@
         const accepting = new AbortController();
         void limitAcceptance(clock, acceptMilliseconds, operation, accepting.signal);
         const opened = await client.open(request, operation);
-        // A reason saves the error with its stack that abort would build.
+        // Without a reason, abort would create an error with a stack trace.
         accepting.abort("accepted");
         if (opened.isErr || opened.value.status === 200) {
             return opened;
@@ -142,7 +140,7 @@
             const opened = await openStream({ method: "GET", path }, operation);
             if (opened.isErr) {
                 operation.end();
-                // The stream's work was begun before, so that no failure to attach proves that it did not run.
+                // The stream was started earlier, so a failure to attach does not prove that it did not run.
                 return Result.err(mayHaveRun(opened.error.reason, opened.error.message, opened.error.retryAt));
             }
             return Result.ok(readEngineStream(opened.value, {
@@ -190,14 +188,14 @@
             );
         }
 
-        /** Tries again when a try is lost: the engine would go on until the request's deadline. */
+        /** Retries failed cancellations, since otherwise the engine would continue until the request's deadline. */
         private async cancelWithRetries(streamId: string, deadline: number): Promise<void> {
             while (clock.monotonicNow() < deadline && (await this.cancel(streamId, deadline)).isErr) {
                 await clock.sleepUntil(Math.min(deadline, clock.monotonicNow() + cancelRetryDelayMilliseconds));
             }
         }
 
-        /** Closing the connection alone leaves the work running, since a caller may resume it at another entry VM. */
+        /** Closing the connection alone does not end the work, since a caller may resume it at another entry VM. */
         private cancelOnAbort(streamId: string, operation: Operation): void {
             const cancel = () => void this.cancelWithRetries(streamId, clock.monotonicNow() + cancelMilliseconds);
             if (operation.signal.aborted) {
--- a/packages/daisyturn/src/ports/http/createHttpPlainService.ts
+++ b/packages/daisyturn/src/ports/http/createHttpPlainService.ts
@@ -10,22 +10,21 @@
     type WholeAnswer,
 } from "./targetHttpClient.js";
 
-/** Header that carries the call's id; the service repeats it in its answer. */
+/** Header that carries the call's id. The service echoes it in its answer. */
 export const callIdHeader = "x-call-id";
-/** Header that carries the call's deadline: wall-clock milliseconds. */
+/** Header that carries the call's deadline as wall-clock time in milliseconds. */
 export const deadlineHeader = "x-deadline";
 
-/** Most bytes of an answer. */
 const defaultMaxAnswerBytes = 8_388_608;
 const refusedStatus = 503;
 
-/** How one plain service is reached. */
+/** Options of the adapter to one plain service. */
 export interface HttpPlainServiceOptions extends TargetHttpOptions {
     readonly targetId: string;
     readonly maxAnswerBytes?: number;
 }
 
-/** Creates the adapter to one plain service that speaks HTTP. */
+/** Creates the HTTP adapter to one plain service. */
 export function createHttpPlainService(options: HttpPlainServiceOptions): PlainService {
     const { clock } = options;
     const client = createTargetHttpClient(options);
@@ -60,7 +59,7 @@
     };
 }
 
-/** Any status is an answer, except the service's own statement that the call did not run. */
+/** Returns an answer of any status, unless it is a refusal, which states that the call did not run. */
 function readAnswer(call: ServiceCall, answer: WholeAnswer): Result<ServiceAnswer, Failure> {
     if (answer.headers[callIdHeader] !== call.callId) {
         return Result.err(mayHaveRun(FailureReason.TargetFailed, "The answer belongs to another call."));
--- a/packages/daisyturn/src/ports/http/engineMessages.ts
+++ b/packages/daisyturn/src/ports/http/engineMessages.ts
@@ -4,12 +4,12 @@
 /** Media type of a stream: one JSON object per line. */
 export const streamContentType = "application/x-ndjson";
 
-/** Kind of a line that only says that the engine is still there. */
+/** Kind of a keep-alive line, which shows that the engine is still connected. */
 export const waitingKind = "waiting";
 
 const countSchema = z.number().int().nonnegative();
 
-/** Where a prefill engine holds a KV cache. */
+/** Location of a KV cache that a prefill engine retains. */
 export const kvHandleSchema = z.object({
     engineId: z.string(),
     address: z.string(),
@@ -17,7 +17,7 @@
     tokenCount: countSchema,
 });
 
-/** One line of a stream. Each names its stream, so that a line which crossed over from another is found out. */
+/** One line of a stream. It carries the stream's id, so that lines of another stream are detected. */
 export const streamLineSchema = z.discriminatedUnion("kind", [
     z.object({ kind: z.literal(waitingKind), streamId: z.string() }),
     z.object({
@@ -41,7 +41,7 @@
 /** One line of a stream. */
 export type StreamLine = z.infer<typeof streamLineSchema>;
 
-/** Answer to an order; it names the order, so that a late answer to another one is not taken for it. */
+/** Answer to an order. It carries the order's id, so that a late answer to another order is not mistaken for it. */
 export const orderAnswerSchema = z.object({ orderId: z.string(), answer: z.enum(OrderAnswer) });
 
 /** Answer of `GET /state`. */
--- a/packages/daisyturn/src/ports/http/httpObjectStore.ts
+++ b/packages/daisyturn/src/ports/http/httpObjectStore.ts
@@ -3,20 +3,20 @@
 import { ObjectStore } from "../objectStore.js";
 import { createPlatformConnection, type HttpPlatformOptions, type PlatformAnswer } from "./platformConnection.js";
 
-/** An object store reached over HTTP, and the end of its connections. */
+/** An object store accessed over HTTP. `close` closes its connections. */
 export interface HttpObjectStore {
     readonly objectStore: ObjectStore;
     close(): Promise<void>;
 }
 
-/** Path under which objects stand; the name follows, percent-encoded. */
+/** Path prefix of objects. The percent-encoded name follows. */
 export const objectPathPrefix = "/objects/";
 
 const okStatus = 200;
 const notFoundStatus = 404;
 const tooManyRequestsStatus = 429;
 
-/** Creates the adapter to the platform's object store over HTTP. */
+/** Creates the HTTP adapter to the platform's object store. */
 export function createHttpObjectStore(options: HttpPlatformOptions): HttpObjectStore {
     const connection = createPlatformConnection(options);
     const pathOf = (name: string) => objectPathPrefix + encodeURIComponent(name);
--- a/packages/daisyturn/src/ports/http/httpTableService.ts
+++ b/packages/daisyturn/src/ports/http/httpTableService.ts
@@ -11,14 +11,13 @@
 } from "../tableService.js";
 import { createPlatformConnection, type HttpPlatformOptions, type PlatformAnswer } from "./platformConnection.js";
 
-/** Paths of the table service. */
 export enum TablePath {
     Transact = "/tables/transact",
     Read = "/tables/read",
     List = "/tables/list",
 }
 
-/** A table service reached over HTTP, and the end of its connections. */
+/** A table service accessed over HTTP. `close` closes its connections. */
 export interface HttpTableService {
     readonly tableService: TableService;
     close(): Promise<void>;
@@ -46,7 +45,7 @@
 
 const unknownAnswer: TransactionAnswer = { outcome: TransactionOutcome.Unknown };
 
-/** Creates the adapter to the platform's table service over HTTP and JSON. */
+/** Creates the HTTP and JSON adapter to the platform's table service. */
 export function createHttpTableService(options: HttpPlatformOptions): HttpTableService {
     const connection = createPlatformConnection(options);
 
@@ -91,7 +90,7 @@
         : unknownAnswer;
 }
 
-/** Any answer but the service's own statement of an outcome (an error page, a gateway's 502) tells nothing. */
+/** The outcome is unknown unless the service itself states it: an error page or a gateway's 502 does not. */
 function parseTransactionAnswer(answer: PlatformAnswer): TransactionAnswer {
     if (answer.status !== okStatus && answer.status !== tooManyRequestsStatus) {
         return unknownAnswer;
@@ -110,7 +109,7 @@
         : err(mayHaveRun(FailureReason.StoreUnavailable, `the table service answered with status ${answer.status}`));
 }
 
-/** Undefined where the text is no JSON. */
+/** Returns undefined if the text is not valid JSON. */
 function parseJson(text: string): unknown {
     try {
         return JSON.parse(text);
--- a/packages/daisyturn/src/ports/http/httpVmList.ts
+++ b/packages/daisyturn/src/ports/http/httpVmList.ts
@@ -4,13 +4,13 @@
 import { VmList, type VmListing, VmState } from "../vmList.js";
 import { createPlatformConnection, type HttpPlatformOptions, type PlatformAnswer } from "./platformConnection.js";
 
-/** A VM list reached over HTTP, and the end of its connections. */
+/** A VM list accessed over HTTP. `close` closes its connections. */
 export interface HttpVmList {
     readonly vmList: VmList;
     close(): Promise<void>;
 }
 
-/** Path at which the list of VMs stands. */
+/** Path of the list of VMs. */
 export const vmListPath = "/vms";
 
 const okStatus = 200;
@@ -25,7 +25,7 @@
     })),
 });
 
-/** Creates the adapter to the platform's list of VMs over HTTP and JSON. */
+/** Creates the HTTP and JSON adapter to the platform's list of VMs. */
 export function createHttpVmList(options: HttpPlatformOptions): HttpVmList {
     const connection = createPlatformConnection(options);
 
@@ -39,7 +39,7 @@
     return { vmList: new HttpVms(), close: connection.close };
 }
 
-/** A list that can't be read in full is no list: a missing entry would say that a VM is gone. */
+/** Fails unless the entire list is valid, because a missing entry would mean that a VM was removed. */
 function parseListing(answer: PlatformAnswer): Result<VmListing, Failure> {
     try {
         if (answer.status === okStatus) {
--- a/packages/daisyturn/src/ports/http/httpWeightStore.ts
+++ b/packages/daisyturn/src/ports/http/httpWeightStore.ts
@@ -4,13 +4,13 @@
 import { type WeightGrant, WeightStore } from "../weightStore.js";
 import { createPlatformConnection, type HttpPlatformOptions, type PlatformAnswer } from "./platformConnection.js";
 
-/** A weight store reached over HTTP, and the end of its connections. */
+/** A weight store accessed over HTTP. `close` closes its connections. */
 export interface HttpWeightStore {
     readonly weightStore: WeightStore;
     close(): Promise<void>;
 }
 
-/** Path at which the right to load weights is asked for. */
+/** Path for requesting permission to load weights. */
 export const weightGrantPath = "/weights/grants";
 
 const okStatus = 200;
@@ -19,7 +19,7 @@
 const grantSchema = z.object({ grantId: z.string(), validUntil: z.number() });
 const refusalSchema = z.object({ retryAt: z.number() });
 
-/** Creates the adapter to the platform's rate-limited weight store over HTTP and JSON. */
+/** Creates the HTTP and JSON adapter to the platform's rate-limited weight store. */
 export function createHttpWeightStore(options: HttpPlatformOptions): HttpWeightStore {
     const connection = createPlatformConnection(options);
 
--- a/packages/daisyturn/src/ports/http/operation.ts
+++ b/packages/daisyturn/src/ports/http/operation.ts
@@ -1,36 +1,36 @@
 import type { Clock } from "daisyturn-utils";
 
-/** Why an operation was stopped from this side. */
+/** Why this process aborted an operation. */
 export enum AbortReason {
     Cancelled = "cancelled",
     DeadlinePassed = "deadline_passed",
-    /** Nothing was heard from the target for too long. */
+    /** The target sent no data within the silence limit. */
     Silent = "silent",
 }
 
-/** One exchange with a target, from the first attempt to connect to the last byte of the answer. */
+/** One exchange with a target, from the first connection attempt to the last byte of the answer. */
 export interface Operation {
-    /** Aborted once the operation is stopped, for whatever cause. */
+    /** Aborted when the operation is stopped, for any cause. */
     readonly signal: AbortSignal;
-    /** The first cause; undefined while it runs. */
+    /** The first cause for which the operation was stopped; undefined if it was not stopped. */
     cause(): AbortReason | undefined;
     stop(cause: AbortReason): void;
-    /** Notes that the target was heard. */
+    /** Records that the target sent data, which restarts the silence limit. */
     recordActivity(): void;
-    /** Ends the timers; the signal stays as it is. */
+    /** Stops the timers. The signal does not change any more. */
     end(): void;
 }
 
-/** What limits an operation. Deadlines are monotonic times. */
+/** Limits of an operation. Deadlines are monotonic times. */
 export interface OperationOptions {
     readonly clock: Clock;
     readonly deadline: number;
     readonly signal?: AbortSignal;
-    /** Longest silence of the target; absent: only the deadline counts. */
+    /** Maximum time without data from the target; unlimited if absent. */
     readonly silenceLimitMilliseconds?: number;
 }
 
-/** Given to `abort`, which else builds an error with its stack. */
+/** Passed to `abort`, which would otherwise create an error with a stack trace. */
 const endedReason = "ended";
 
 /** Starts the timers of one operation. */
--- a/packages/daisyturn/src/ports/http/platformConnection.ts
+++ b/packages/daisyturn/src/ports/http/platformConnection.ts
@@ -3,14 +3,14 @@
 import { Pool } from "undici";
 import { type RequestProgress, trackRequestProgress } from "./requestProgress.js";
 
-/** Where the platform answers, and how much is asked of it at once. */
+/** Address of a platform service and limits of the connections to it. */
 export interface HttpPlatformOptions {
     /** Origin of the platform's HTTP service, such as `http://10.0.0.5:7000`. */
     readonly url: string;
     readonly clock: Clock;
-    /** Connections kept to the service at most. */
+    /** Maximum number of connections to the service. */
     readonly connections?: number;
-    /** Milliseconds within which a connection is made or given up; undici's own limit where absent. */
+    /** Connection timeout in milliseconds; undici's default if absent. */
     readonly connectMilliseconds?: number;
 }
 
@@ -23,7 +23,7 @@
     readonly body?: string;
 }
 
-/** The platform's whole HTTP answer, whatever its status. */
+/** The platform's complete HTTP answer, of any status. */
 export interface PlatformAnswer {
     readonly status: number;
     readonly body: string;
@@ -34,20 +34,19 @@
 /** HTTP connections to the platform, shared by the adapters. */
 export interface PlatformConnection {
     /**
-     * Sends a request and reads the whole answer. A failure with NotRun means that no byte was sent; any other means
-     * that the request may have run, now or later.
+     * Sends a request and reads the complete answer. A failure with NotRun means that no byte was sent. Any other
+     * failure means that the request may run, now or later.
      * @param deadline monotonic time
      */
     send(request: PlatformRequest, deadline: number): Promise<Result<PlatformAnswer, Failure>>;
     close(): Promise<void>;
 }
 
-/** Enough for a few seconds of a process's writes while the store is slow; what waits beyond them is not sent. */
+/** Enough for a few seconds of a process's writes while the store is slow. Further requests wait unsent. */
 const defaultConnections = 128;
-/** Milliseconds for which an unused connection is kept. */
 const keepAliveMilliseconds = 4_000;
 
-/** Creates the connections to one platform service. Connections are made when first needed. */
+/** Creates the connection pool of one platform service. Connections are opened on demand. */
 export function createPlatformConnection(options: HttpPlatformOptions): PlatformConnection {
     const pool = new Pool(options.url, {
         connections: options.connections ?? defaultConnections,
@@ -92,15 +91,15 @@
         const timeout = new AbortController();
         const answered = new AbortController();
         const describe = () => err<PlatformAnswer, Failure>(describeFailedSend(progress));
-        // undici tells of the abort of a request that waits for a connection only once the connection is free, though
-        // it does not send it then. So the deadline answers by itself.
+        // If a request waits for a connection, undici reports its abort only once the connection is free (it does not
+        // send the request then). So the deadline resolves independently of undici.
         const timedOut = options.clock.sleepUntil(deadline, answered.signal).then(describe);
         const exchanged = exchange(request, progress, timeout.signal).then(
             answer => ok<PlatformAnswer, Failure>(answer),
             describe,
         );
         const result = await Promise.race([exchanged, timedOut]);
-        // What was told as not sent must not be sent afterwards.
+        // A request that was reported as not sent must not be sent later.
         progress.abandoned = true;
         answered.abort();
         timeout.abort();
--- a/packages/daisyturn/src/ports/http/readEngineStream.ts
+++ b/packages/daisyturn/src/ports/http/readEngineStream.ts
@@ -6,26 +6,25 @@
 import { parseJson } from "./refusal.js";
 import { describeFailure, type OpenedAnswer } from "./targetHttpClient.js";
 
-/** Longest line of a stream, in bytes. */
 const maxLineBytes = 1_048_576;
 
-/** What a stream must be to count as whole. */
+/** Properties that a complete stream must have. */
 export interface EngineStreamOptions {
     readonly streamId: string;
-    /** Whether the stream only prefills: then it ends without tokens and with a KV handle, and else never so. */
+    /** Whether the stream only prefills. Only then must it end without tokens and with a KV handle. */
     readonly isPrefill: boolean;
     /** Tokens delivered before this stream. */
     readonly startOffset: number;
-    /** Most tokens that the whole answer may have. */
+    /** Maximum number of tokens of the complete answer. */
     readonly maxOutputTokens: number;
-    /** Most bytes of the stream that are taken. */
+    /** Maximum number of bytes that are read. */
     readonly maxAnswerBytes: number;
     readonly operation: Operation;
 }
 
 /**
- * Reads an engine's stream and checks that nothing is missing, doubled or foreign. Ends with an End or a Broken in
- * every case; ends the operation. Leaving the loop early closes the connection, and the engine goes on.
+ * Reads an engine's stream and checks that no event is missing, repeated or of another stream. The last event is always
+ * an End or a Broken. Ends the operation. Leaving the loop early closes the connection, and the engine continues.
  */
 export async function* readEngineStream(
     answer: OpenedAnswer,
@@ -81,9 +80,9 @@
     return { kind: StreamEventKind.Broken, failure };
 }
 
-/** Follows one stream's offsets. */
+/** Checks the sequence of one stream's lines. */
 interface SequenceChecker {
-    /** The event in a line; undefined for a line that carries none. */
+    /** Returns the event in a line; undefined for a line without an event. */
     check(text: string): StreamEvent | undefined;
 }
 
@@ -142,7 +141,7 @@
     return { check };
 }
 
-/** The line without what only the wire needs. */
+/** Removes the fields that are only used on the wire. */
 function toEvent(line: Exclude<StreamLine, { kind: typeof waitingKind; }>): StreamEvent {
     if (line.kind === StreamEventKind.Tokens) {
         return { kind: line.kind, offset: line.offset, tokenCount: line.tokenCount, text: line.text };
--- a/packages/daisyturn/src/ports/http/readLines.ts
+++ b/packages/daisyturn/src/ports/http/readLines.ts
@@ -1,12 +1,12 @@
 const lineFeed = 0x0a;
 
-/** Raised when a line is longer than allowed. */
+/** Thrown when a line exceeds the maximum length. */
 export class LineTooLongError extends Error {}
 
 /**
- * Splits a body into lines. Bytes after the last line feed are no line and are dropped: the reader finds out by the
- * missing end mark that the body was cut.
- * @param maxBytes longest line that is taken
+ * Splits a body into lines. Bytes after the last line feed are dropped. The caller detects a truncated body by the
+ * missing end event.
+ * @param maxBytes maximum length of a line
  */
 export async function* readLines(body: AsyncIterable<Buffer>, maxBytes: number): AsyncGenerator<string> {
     let rest: Buffer[] = [];
--- a/packages/daisyturn/src/ports/http/refusal.ts
+++ b/packages/daisyturn/src/ports/http/refusal.ts
@@ -1,7 +1,7 @@
 import { ExecutionVerdict, type Failure, FailureReason, mayHaveRun, notRun } from "daisyturn-utils";
 import { z } from "zod";
 
-/** Body of an answer by which a target refuses a request. Without it, an error status proves nothing. */
+/** Body of a target's refusal. An error status without it does not prove that the request did not run. */
 export const refusalSchema = z.object({
     verdict: z.enum(ExecutionVerdict),
     reason: z.enum(FailureReason),
@@ -10,13 +10,13 @@
     retryAt: z.number().optional(),
 });
 
-/** A target's statement that it did not do what it was asked. */
+/** A target's statement that it did not carry out a request. */
 export type Refusal = z.infer<typeof refusalSchema>;
 
-/** Status with which a target says that a request did not run. */
+/** Status of a refusal by a target that did not run the request. */
 const notRunStatus = 503;
 
-/** Reads an error answer. Only status 503 with a body that says so proves that the request did not run. */
+/** Converts an error answer to a failure. Only status 503 with a NotRun refusal proves that the request did not run. */
 export function parseErrorAnswer(status: number, body: string): Failure {
     const refusal = parseRefusal(body);
     if (!refusal) {
@@ -26,13 +26,13 @@
     return build(refusal.reason, refusal.message, refusal.retryAt);
 }
 
-/** The refusal in a body, or undefined if it holds none. */
+/** Parses a refusal; returns undefined if the body is not one. */
 export function parseRefusal(body: string): Refusal | undefined {
     const parsed = refusalSchema.safeParse(parseJson(body));
     return parsed.success ? parsed.data : undefined;
 }
 
-/** Parses JSON; undefined if the text is none. */
+/** Parses JSON; returns undefined if the text is not valid. */
 export function parseJson(text: string): unknown {
     try {
         return JSON.parse(text);
--- a/packages/daisyturn/src/ports/http/requestProgress.ts
+++ b/packages/daisyturn/src/ports/http/requestProgress.ts
@@ -1,17 +1,17 @@
 import type { Dispatcher } from "undici";
 
-/** How far a request got. It decides between the verdicts, so it is set before the first byte is handed over. */
+/** Progress of a request. It determines the verdict of a failure, so it is updated before the first byte is written. */
 export interface RequestProgress {
-    /** True from the moment before the first byte of the request is written to a connected socket. */
+    /** Set immediately before the first byte of the request is written to a connected socket. */
     started: boolean;
-    /** Set by the sender when it gives the request up: it is then never begun. */
+    /** Set by the sender when it abandons the request, which is then never started. */
     abandoned: boolean;
 }
 
 /**
- * Makes a dispatcher note in the `opaque` option of each request, a {@link RequestProgress}, that writing began.
- * undici calls `onRequestStart` once a connected socket was chosen and before it writes to it, so a request for which
- * it was never called has sent nothing. This holds for every cause of failure, which a list of error codes would not.
+ * Wraps a dispatcher so that it sets `started` in the `opaque` option of each request, a {@link RequestProgress}.
+ * undici calls `onRequestStart` after it has chosen a connected socket and before it writes to it. If it was never
+ * called, no byte was sent. This covers every cause of failure, which a list of error codes would not.
  */
 export function trackRequestProgress(dispatcher: Dispatcher): Dispatcher {
     return dispatcher.compose(dispatch => (options, handler) => {
@@ -27,7 +27,7 @@
     return {
         onRequestStart: (controller, context) => {
             if (progress.started || progress.abandoned) {
-                // undici may put a request back into its queue when a connection ends; ours are sent once at most.
+                // undici may requeue a request when a connection ends, but a request must be sent at most once.
                 controller.abort(new Error("The request was already sent once, or given up."));
                 return;
             }
--- a/packages/daisyturn/src/ports/http/targetDispatcher.ts
+++ b/packages/daisyturn/src/ports/http/targetDispatcher.ts
@@ -1,13 +1,12 @@
 import { Agent, type Dispatcher } from "undici";
 
-/** Milliseconds that a TCP connection may take to be made. */
 const connectTimeoutMilliseconds = 2_000;
-/** Milliseconds for which an unused connection is kept; under the time after which targets close theirs. */
+/** Shorter than the time after which targets close idle connections. */
 const keepAliveMilliseconds = 4_000;
 
 /**
- * Creates the connections to targets. One request at a time goes over a connection, and undici's own time limits on
- * answers are off: the adapters hold deadlines by the Clock.
+ * Creates the connection pool for targets, without pipelining. undici's timeouts for answers are disabled because the
+ * adapters enforce deadlines with the Clock.
  */
 export function createTargetDispatcher(): Dispatcher {
     return new Agent({
--- a/packages/daisyturn/src/ports/http/targetHttpClient.ts
+++ b/packages/daisyturn/src/ports/http/targetHttpClient.ts
@@ -5,12 +5,12 @@
 import { type RequestProgress, trackRequestProgress } from "./requestProgress.js";
 import { createTargetDispatcher } from "./targetDispatcher.js";
 
-/** How one target is reached. */
+/** Connection options of one target. */
 export interface TargetHttpOptions {
     /** `http://address:port` or `https://address:port`. */
     readonly url: string;
     readonly clock: Clock;
-    /** Connections shared by several adapters; absent: the adapter's own. */
+    /** Connection pool shared by several adapters. If absent, the adapter creates its own. */
     readonly dispatcher?: Dispatcher;
 }
 
@@ -22,29 +22,28 @@
     readonly body?: string;
 }
 
-/** The head of an answer, and its body still to be read. */
+/** The head of an answer, and its unread body. */
 export interface OpenedAnswer {
     readonly status: number;
     readonly headers: Readonly<Record<string, string | string[] | undefined>>;
     readonly body: Dispatcher.ResponseData["body"];
 }
 
-/** An answer read whole. */
+/** A complete answer. */
 export interface WholeAnswer {
     readonly status: number;
     readonly headers: OpenedAnswer["headers"];
     readonly body: string;
 }
 
-/** Sends requests to one target over HTTP and gives each failure its verdict. */
+/** Sends requests to one target over HTTP and determines the verdict of each failure. */
 export interface TargetHttpClient {
-    /** Sends a request; resolves once the head of the answer is there. The operation must be ended by the caller. */
+    /** Sends a request and resolves when the head of the answer arrives. The caller must end the operation. */
     open(request: TargetRequest, operation: Operation): Promise<Result<OpenedAnswer, Failure>>;
-    /** Sends a request and reads the whole answer, at most `maxBytes` of it; ends the operation. */
+    /** Sends a request, reads the complete answer of at most `maxBytes`, and ends the operation. */
     exchange(request: TargetRequest, operation: Operation, maxBytes: number): Promise<Result<WholeAnswer, Failure>>;
 }
 
-/** Creates the client of one target. */
 export function createTargetHttpClient(options: TargetHttpOptions): TargetHttpClient {
     const dispatcher = trackRequestProgress(options.dispatcher ?? createTargetDispatcher());
 
@@ -88,8 +87,8 @@
 }
 
 /**
- * Resolves when the operation is stopped before the request was begun. undici heeds a signal only once a connection is
- * there, which would hold a caller's abort up until the connection times out.
+ * Resolves when the operation is stopped before the request was started. undici checks the signal only once a
+ * connection is established, which would delay a caller's abort until the connection attempt times out.
  */
 function resolveWhenAbandoned(operation: Operation, progress: RequestProgress): Promise<Result<OpenedAnswer, Failure>> {
     return new Promise(resolve => {
@@ -106,7 +105,7 @@
     });
 }
 
-/** Reads the rest of an answer. */
+/** Reads the body of an answer. */
 export async function readWhole(
     answer: OpenedAnswer,
     operation: Operation,
@@ -136,8 +135,8 @@
 }
 
 /**
- * Whether a cut can be told from the end. A body that lasts until the connection closes looks whole wherever it is
- * cut, so it is never taken for an answer.
+ * Whether a truncated body can be detected. A body that is delimited by the end of the connection looks complete
+ * wherever it is truncated, so it is never accepted.
  */
 function hasFramedBody(answer: OpenedAnswer): boolean {
     const bodyless = answer.status === 204 || answer.status === 304;
@@ -151,7 +150,7 @@
     [AbortReason.Silent]: FailureReason.TargetFailed,
 };
 
-/** Puts an error of the connection into words. Only its code is told: a message may hold what a caller wrote. */
+/** Converts a connection error to a failure. It contains only the error's code: the message may hold caller data. */
 export function describeFailure(error: unknown, operation: Operation, verdict: ExecutionVerdict): Failure {
     const cause = operation.cause();
     const reason = cause === undefined ? FailureReason.TargetFailed : failureByAbortReason[cause];
--- a/packages/daisyturn/src/ports/listedTarget.ts
+++ b/packages/daisyturn/src/ports/listedTarget.ts
@@ -1,27 +1,27 @@
-/** What an engine does of a request. */
+/** The stage of a request that an engine runs. */
 export enum EngineStage {
     Prefill = "prefill",
     Decode = "decode",
 }
 
-/** A target as the platform's list has it. */
+/** A target in the platform's list. */
 export interface ListedTarget {
     /**
-     * Unique to one start of the target. Whatever is believed of a target is kept under it, so that a target which
-     * starts again under its old name is met as a new one.
+     * Unique to one start of the target. All estimates about a target are stored under this id, so that a target that
+     * restarts under the same name is treated as a new one.
      */
     readonly targetId: string;
-    /** The target's own name, which calls and orders carry and which it may keep over a restart. */
+    /** The target's name, which calls and orders carry. It may stay the same after a restart. */
     readonly name: string;
-    /** Wall time of its start, in milliseconds; absent where the target does not say. */
+    /** Wall-clock time of the start, in milliseconds; absent if the target does not report it. */
     readonly startedAt?: number;
     readonly service: string;
-    /** IP number and port. */
+    /** IP address and port. */
     readonly address: string;
     readonly availabilityZone: string;
     readonly slots: number;
-    /** The target wants no new work. */
+    /** Whether the target is leaving and accepts no new work. */
     readonly isLeaving: boolean;
-    /** Absent where the target does both, or is no engine. */
+    /** Absent if the target runs both stages or is not an engine. */
     readonly stage?: EngineStage;
 }
--- a/packages/daisyturn/src/ports/memoryTableService.ts
+++ b/packages/daisyturn/src/ports/memoryTableService.ts
@@ -11,18 +11,16 @@
     TransactionOutcome,
 } from "./tableService.js";
 
-/** What a table service in memory starts with. */
 export interface MemoryTableServiceOptions {
-    /** Rows that stand from the start, written by one commit with the write id `initial`. */
+    /** Initial rows, written by one commit with the write id `initial`. */
     readonly initialRows?: readonly { readonly key: string; readonly value: JsonValue; }[];
 }
 
 const initialWriteId = "initial";
 
 /**
- * Creates a table service that keeps its rows in this process: for tests, for the platform's stand-in and for embedding
- * daisyturn in a single process. It never fails and ignores deadlines; failures are put around it by
- * `createFaultyTableService`.
+ * Creates a table service that stores its rows in memory, for tests, the platform's stand-in and embedding daisyturn in
+ * a single process. It never fails and ignores deadlines. `createFaultyTableService` wraps it to inject failures.
  */
 export function createMemoryTableService(options: MemoryTableServiceOptions = {}): TableService {
     const rows = new Map<string, Row>();
@@ -91,7 +89,7 @@
     return new MemoryTableService();
 }
 
-/** Two writes of one row in one transaction have no order: a programming error. */
+/** Writing a row twice in one transaction is a programming error, because the writes have no order. */
 function rejectDuplicateWrites(transaction: Transaction): void {
     const keys = new Set(transaction.writes.map(write => write.key));
     if (keys.size < transaction.writes.length) {
@@ -107,7 +105,7 @@
     return left < right ? -1 : 1;
 }
 
-/** Rows go in and out as copies, so that no caller can change what is stored. */
+/** Rows are copied on write and read, so that callers cannot modify stored rows. */
 function copyRow(row: Row): Row {
     return structuredClone(row);
 }
--- a/packages/daisyturn/src/ports/peerRegistry.ts
+++ b/packages/daisyturn/src/ports/peerRegistry.ts
@@ -1,28 +1,28 @@
 import type { Failure } from "daisyturn-utils";
 import type { Result } from "true-myth/result";
 
-/** Another process of the fleet, and where it takes datagrams. */
+/** A process of the fleet and the address at which it receives datagrams. */
 export interface RegisteredPeer {
     readonly peerId: string;
-    /** IP number. */
+    /** IP address. */
     readonly host: string;
     readonly port: number;
     readonly availabilityZone: string;
-    /** Its share of processor time, in cores. */
+    /** Processor time available to the process, in cores. */
     readonly strength: number;
 }
 
-/** The processes that are entered. */
+/** The registered processes. */
 export interface PeerListing {
     readonly peers: readonly RegisteredPeer[];
-    /** Entries that name no process: of another writer, or damaged. */
+    /** Number of entries that could not be parsed, because another writer made them or they are damaged. */
     readonly unreadable: number;
 }
 
-/** Where the processes of the fleet find each other. Only an adapter knows the wire. */
+/** Registry through which the processes of the fleet discover each other. Adapters implement the protocol. */
 export abstract class PeerRegistry {
-    /** Enters this process, or says that it still runs, and reads who is entered, this process among them. */
+    /** Registers this process or renews its entry, and returns all registered processes, including this one. */
     abstract refresh(self: RegisteredPeer, deadline: number): Promise<Result<PeerListing, Failure>>;
-    /** Takes this process's entry away. */
+    /** Removes this process's entry. */
     abstract leave(self: RegisteredPeer, deadline: number): Promise<void>;
 }
--- a/packages/daisyturn/src/ports/tableService.ts
+++ b/packages/daisyturn/src/ports/tableService.ts
@@ -1,12 +1,12 @@
 import type { Failure, JsonValue } from "daisyturn-utils";
 import type { Result } from "true-myth/result";
 
-/** What is known after a transaction was sent to the table service. */
+/** Known outcome of a transaction that was sent to the table service. */
 export enum TransactionOutcome {
     Committed = "committed",
-    /** A condition did not hold, or the service refused; nothing was written. */
+    /** A condition was not met, or the service refused the transaction. Nothing was written. */
     Rejected = "rejected",
-    /** No answer, or one that does not tell: the transaction may take effect, now or later. */
+    /** No answer, or no conclusive one. The transaction may take effect, now or later. */
     Unknown = "unknown",
 }
 
@@ -14,8 +14,8 @@
 export interface Row {
     readonly key: string;
     /**
-     * Number of the commit that last wrote the row. It grows over the whole service and is never used again,
-     * also not after the row was deleted.
+     * Number of the commit that last wrote the row. It increases across the whole service and is never reused, not even
+     * after the row was deleted.
      */
     readonly version: number;
     readonly value: JsonValue;
@@ -23,26 +23,26 @@
     readonly writeId: string;
 }
 
-/** Version in a condition that demands that the row is absent. */
+/** Expected version in a condition that requires the row to be absent. */
 export const absentVersion = 0;
 
-/** Holds if the row stands at this version. */
+/** Met if the row has the expected version. */
 export interface RowCondition {
     readonly key: string;
     readonly expectedVersion: number;
 }
 
-/** Sets a row's value, or deletes the row where `value` is undefined. */
+/** Sets a row's value, or deletes the row if `value` is undefined. */
 export interface RowWrite {
     readonly key: string;
     readonly value: JsonValue | undefined;
-    /** Stored with the row in place of the transaction's write id, where several transactions are sent as one. */
+    /** Stored with the row instead of the transaction's write id when several transactions are sent as one. */
     readonly writeId?: string;
 }
 
-/** All writes take effect, or none; only if every condition holds. */
+/** An atomic transaction: if all conditions are met, all writes take effect, and otherwise none. */
 export interface Transaction {
-    /** Unique to this transaction; the same on each try of it. Stored with each row written. */
+    /** Unique to this transaction and the same for all its attempts. Stored with each row written. */
     readonly writeId: string;
     readonly conditions: readonly RowCondition[];
     readonly writes: readonly RowWrite[];
@@ -51,7 +51,7 @@
 /** Why a transaction was rejected. */
 export enum RejectionCause {
     ConditionFailed = "condition_failed",
-    /** The service refused before it looked at the transaction, because of its rate limit. */
+    /** The service refused the transaction unprocessed, because of its rate limit. */
     Throttled = "throttled",
     /** The service could not be reached, and no byte of the transaction was sent. */
     NotSent = "not_sent",
@@ -65,19 +65,19 @@
     /** With Rejected: why. */
     readonly cause?: RejectionCause;
     /**
-     * With ConditionFailed: the present rows whose condition failed (absent rows are left out). With Unknown, where the
-     * rows could be read back: the same, as of the read.
+     * With ConditionFailed: the current rows whose condition failed, without absent rows. With Unknown, if the rows
+     * could be read back: the same, as of that read.
      */
     readonly conflicts?: readonly Row[];
 }
 
-/** The platform's transactional table service. Only an adapter knows its wire protocol. */
+/** The platform's transactional table service. Adapters implement its wire protocol. */
 export abstract class TableService {
     /** @param deadline monotonic time after which the answer is Unknown (or Rejected with NotSent) */
     abstract transact(transaction: Transaction, deadline: number): Promise<TransactionAnswer>;
-    /** Reads rows as of one moment; absent rows are left out. */
+    /** Reads a consistent snapshot of the rows. Absent rows are omitted. */
     abstract read(keys: readonly string[], deadline: number): Promise<Result<readonly Row[], Failure>>;
-    /** Reads the rows whose key starts with `prefix`, ordered by key, at most `limit`, after `afterKey`. */
+    /** Reads at most `limit` rows whose key starts with `prefix` and follows `afterKey`, ordered by key. */
     abstract list(
         prefix: string,
         limit: number,
