--- a/packages/daisyturn-standins/src/fleet/launchFleet.ts
+++ b/packages/daisyturn-standins/src/fleet/launchFleet.ts
@@ -1,4 +1,4 @@
-import { findFreePort, hashText, takeLoopbackHost } from "daisyturn-utils";
+import { allocateLoopbackHost, findFreePort, hashText } from "daisyturn-utils";
 import { mkdtempSync, writeFileSync } from "node:fs";
 import { createRequire } from "node:module";
 import { tmpdir } from "node:os";
@@ -214,7 +214,7 @@
 
 /** Peers must know each other's ports before any of them starts; at a host of its own, a port stays free until then. */
 async function findPeerPlace(): Promise<PeerPlace> {
-    const host = takeLoopbackHost();
+    const host = allocateLoopbackHost();
     return { host, port: await findFreePort(host) };
 }
 
--- a/packages/daisyturn-utils/src/events/boundedEventLog.ts
+++ b/packages/daisyturn-utils/src/events/boundedEventLog.ts
@@ -25,7 +25,7 @@
     let tokens = bounds.burst;
     let filledAt = clock.monotonicNow();
     let dropped = 0;
-    let toldAt = -Infinity;
+    let reportedAt = -Infinity;
 
     const fill = () => {
         const now = clock.monotonicNow();
@@ -34,9 +34,9 @@
         filledAt = now;
     };
 
-    const tellDropped = () => {
-        if (dropped > 0 && clock.monotonicNow() - toldAt >= millisecondsPerSecond) {
-            toldAt = clock.monotonicNow();
+    const reportDropped = () => {
+        if (dropped > 0 && clock.monotonicNow() - reportedAt >= millisecondsPerSecond) {
+            reportedAt = clock.monotonicNow();
             inner.record(EventKind.LogLinesDropped, { lines: dropped });
             dropped = 0;
         }
@@ -51,7 +51,7 @@
                 return;
             }
             tokens -= 1;
-            tellDropped();
+            reportDropped();
             inner.record(kind, fields);
         }
     }
--- a/packages/daisyturn-utils/src/index.ts
+++ b/packages/daisyturn-utils/src/index.ts
@@ -1,3 +1,4 @@
+export { allocateLoopbackHost } from "./allocateLoopbackHost.js";
 export { createBoundedEventLog, defaultEventLogBounds, type EventLogBounds } from "./events/boundedEventLog.js";
 export { type EventFields, EventKind, EventLog, MemoryEventLog, type RecordedEvent } from "./events/eventLog.js";
 export { createLogfmtEventLog, type EventLogOptions } from "./events/logfmtEventLog.js";
@@ -8,7 +9,6 @@
 export { type JsonObject, type JsonValue, toJson } from "./jsonValue.js";
 export { createSeededRandom, Random } from "./random.js";
 export { hashTextTo32Bits, rendezvousWeight, weightedRendezvous } from "./rendezvous.js";
-export { takeLoopbackHost } from "./takeLoopbackHost.js";
 export { Clock, SystemClock } from "./time/clock.js";
 export { createDecayingRate, type DecayingRate } from "./time/decayingRate.js";
 export { FakeClock } from "./time/fakeClock.js";
--- a/packages/daisyturn-utils/src/time/fakeClock.ts
+++ b/packages/daisyturn-utils/src/time/fakeClock.ts
@@ -53,7 +53,7 @@
         const end = this.now + milliseconds;
         await settleTasks();
         for (;;) {
-            const next = this.takeNextSleeper(end);
+            const next = this.removeNextSleeper(end);
             if (!next) {
                 break;
             }
@@ -65,7 +65,7 @@
         await settleTasks();
     }
 
-    private takeNextSleeper(end: number): Sleeper | undefined {
+    private removeNextSleeper(end: number): Sleeper | undefined {
         const due = this.sleepers.filter(sleeper => sleeper.deadline <= end);
         const next = due.reduce<Sleeper | undefined>(
             (best, sleeper) => best && best.deadline <= sleeper.deadline ? best : sleeper,
--- a/packages/daisyturn/src/__fixtures__/__tests__/fakeEngine.test.ts
+++ b/packages/daisyturn/src/__fixtures__/__tests__/fakeEngine.test.ts
@@ -69,10 +69,10 @@
         engine.generateFaults.push(CallFaultKind.Refuse, CallFaultKind.LoseAnswer);
         const refused = await engine.generate(request, test.signal);
         assert.equal(refused.isErr && refused.error.verdict, ExecutionVerdict.NotRun);
-        assert.equal(engine.taken.length, 0);
+        assert.equal(engine.accepted.length, 0);
         const lost = await engine.generate(request, test.signal);
         assert.equal(lost.isErr && lost.error.verdict, ExecutionVerdict.MayHaveRun);
-        assert.equal(engine.taken.length, 1);
+        assert.equal(engine.accepted.length, 1);
     });
 
     it("takes one change at a time and is stuck after a crash partway", async () => {
@@ -84,11 +84,11 @@
         engine.crash();
         engine.restart();
         await clock.advance(1_000);
-        assert.equal(engine.desk.phase, EnginePhase.Stuck);
+        assert.equal(engine.orderHandler.phase, EnginePhase.Stuck);
         const stale = { ...second, fencingNumber: 0 };
         assert.equal((await engine.order(stale, 10)).unwrapOr(OrderAnswer.Busy), OrderAnswer.StaleFencingNumber);
         assert.equal((await engine.order(second, 10)).unwrapOr(OrderAnswer.Busy), OrderAnswer.Accepted);
         await clock.advance(1_000);
-        assert.equal(engine.desk.role, EngineRole.Decode);
+        assert.equal(engine.orderHandler.role, EngineRole.Decode);
     });
 });
--- a/packages/daisyturn/src/__fixtures__/__tests__/fakePeerNetwork.test.ts
+++ b/packages/daisyturn/src/__fixtures__/__tests__/fakePeerNetwork.test.ts
@@ -9,56 +9,57 @@
     const networks = createFakePeerNetworks(clock);
     const one = networks.join(createFakeIdentity("p1"));
     const other = networks.join(createFakeIdentity("p2"));
-    const taken: number[] = [];
+    const received: number[] = [];
     other.handle(PeerMethod.AskClaim, (from, parameters) => {
-        taken.push(Number(parameters["number"]));
+        received.push(Number(parameters["number"]));
         return { from: from.processId, number: parameters["number"] };
     });
-    const ask = (number: number) => one.request("p2", PeerMethod.AskClaim, { number }, clock.monotonicNow() + 100);
-    return { clock, networks, one, other, taken, ask };
+    const sendRequest = (number: number) =>
+        one.request("p2", PeerMethod.AskClaim, { number }, clock.monotonicNow() + 100);
+    return { clock, networks, one, other, received, sendRequest };
 }
 
 describe("createFakePeerNetworks", () => {
     it("carries a request and its answer", async () => {
-        const { ask } = createPair();
-        assert.deepEqual((await ask(1)).unwrapOr({}), { from: "p1", number: 1 });
+        const { sendRequest } = createPair();
+        assert.deepEqual((await sendRequest(1)).unwrapOr({}), { from: "p1", number: 1 });
     });
 
     it("loses requests on a cut way, and answers on a cut way back", async () => {
-        const { clock, networks, taken, ask } = createPair();
+        const { clock, networks, received, sendRequest } = createPair();
         for (const [from, to] of [["p1", "p2"], ["p2", "p1"]] as const) {
             networks.cut(from, to);
-            const answer = ask(1);
+            const answer = sendRequest(1);
             await clock.advance(100);
             const result = await answer;
             assert.ok(result.isErr && result.error.verdict === ExecutionVerdict.MayHaveRun);
             networks.healAll();
         }
-        assert.equal(taken.length, 1);
+        assert.equal(received.length, 1);
     });
 
     it("fails with NotRun towards a process that has ended", async () => {
-        const { networks, ask } = createPair();
+        const { networks, sendRequest } = createPair();
         networks.remove("p2");
-        const result = await ask(1);
+        const result = await sendRequest(1);
         assert.ok(result.isErr && result.error.verdict === ExecutionVerdict.NotRun);
     });
 
     it("delays, loses and crosses answers", async () => {
-        const { clock, networks, taken, ask } = createPair();
+        const { clock, networks, received, sendRequest } = createPair();
         const order: number[] = [];
         networks.delay("p1", "p2", 30);
-        networks.crossAnswers("p2", "p1");
-        const both = [1, 2].map(number => ask(number).then(() => order.push(number)));
+        networks.reorderAnswers("p2", "p1");
+        const both = [1, 2].map(number => sendRequest(number).then(() => order.push(number)));
         await clock.advance(29);
-        assert.deepEqual(taken, []);
+        assert.deepEqual(received, []);
         await clock.advance(1);
         await Promise.all(both);
         assert.deepEqual(order, [2, 1]);
         networks.loseAnswers("p2", "p1", 1);
-        const lost = ask(3);
+        const lost = sendRequest(3);
         await clock.advance(100);
         assert.ok((await lost).isErr);
-        assert.deepEqual(taken, [1, 2, 3]);
+        assert.deepEqual(received, [1, 2, 3]);
     });
 });
--- a/packages/daisyturn/src/__fixtures__/eagerClock.ts
+++ b/packages/daisyturn/src/__fixtures__/eagerClock.ts
@@ -8,7 +8,7 @@
 /** A clock that moves on to the next deadline by itself whenever all tasks wait. For tests that run many times. */
 export class EagerClock extends Clock {
     private now = 0;
-    private isMoving = false;
+    private isScheduled = false;
     private readonly sleepers = new Set<Sleeper>();
 
     override monotonicNow(): number {
@@ -36,20 +36,20 @@
             const sleeper: Sleeper = { deadline, wake };
             this.sleepers.add(sleeper);
             signal?.addEventListener("abort", onAbort, { once: true });
-            this.move();
+            this.scheduleWake();
         });
     }
 
     /** Wakes the next sleeper once all tasks that can run have run. */
-    private move(): void {
-        if (this.isMoving || this.sleepers.size === 0) {
+    private scheduleWake(): void {
+        if (this.isScheduled || this.sleepers.size === 0) {
             return;
         }
-        this.isMoving = true;
+        this.isScheduled = true;
         setImmediate(() => {
-            this.isMoving = false;
+            this.isScheduled = false;
             this.wakeNext();
-            this.move();
+            this.scheduleWake();
         });
     }
 
--- a/packages/daisyturn/src/__fixtures__/exploreInterleavings.ts
+++ b/packages/daisyturn/src/__fixtures__/exploreInterleavings.ts
@@ -17,7 +17,7 @@
 
 /** Enough for every task to reach its next step: chains of promises end within one turn. */
 const turnsPerStep = 2;
-const mostRuns = 50_000;
+const maxRuns = 50_000;
 
 /**
  * Runs a scenario once for every order in which its waiting steps can go on, and returns the number of runs.
@@ -27,8 +27,8 @@
     let planned: readonly Branch[] | undefined = [];
     let runs = 0;
     while (planned) {
-        if (runs >= mostRuns) {
-            throw new Error(`more than ${mostRuns} interleavings`);
+        if (runs >= maxRuns) {
+            throw new Error(`more than ${maxRuns} interleavings`);
         }
         planned = nextPlan(await runOnce(scenario, planned));
         runs += 1;
--- a/packages/daisyturn/src/__fixtures__/fakeEngine.ts
+++ b/packages/daisyturn/src/__fixtures__/fakeEngine.ts
@@ -13,7 +13,7 @@
     type StreamEvent,
 } from "../ports/engine.js";
 import { estimateTokenCount } from "../request/completion/promptBlocks.js";
-import { createFakeOrderDesk, type FakeOrderDesk, type FakeOrderDeskOptions } from "./fakeOrderDesk.js";
+import { createFakeOrderHandler, type FakeOrderHandler, type FakeOrderHandlerOptions } from "./fakeOrderHandler.js";
 import { createFakeStream, type FakeStream, type StreamFault } from "./fakeStream.js";
 
 /** What goes wrong with one call to a fake engine. */
@@ -29,7 +29,7 @@
 }
 
 /** Settings of a fake engine. */
-export interface FakeEngineOptions extends FakeOrderDeskOptions {
+export interface FakeEngineOptions extends FakeOrderHandlerOptions {
     readonly engineId?: string;
     readonly firstTokenMilliseconds?: number;
     readonly tokenMilliseconds?: number;
@@ -40,10 +40,10 @@
 /** An engine in memory, which does what a test tells it. */
 export interface FakeEngine extends Engine {
     /** Requests that it took in, in order. */
-    readonly taken: GenerateRequest[];
+    readonly accepted: GenerateRequest[];
     /** Streams that were cancelled. */
     readonly cancelled: string[];
-    readonly desk: FakeOrderDesk;
+    readonly orderHandler: FakeOrderHandler;
     readonly streams: ReadonlyMap<string, FakeStream>;
     /** Faults of the next calls of `generate`, used up one by one; undefined lets one call pass. */
     readonly generateFaults: (CallFaultKind | undefined)[];
@@ -79,10 +79,10 @@
     const running = () => [...streams.values()].filter(stream => !stream.isOver());
 
     /** Takes the next fault of a kind of call; undefined if the call goes through. */
-    const meetFault = async (faults: (CallFaultKind | undefined)[], giveUp: Promise<void>) => {
+    const applyNextFault = async (faults: (CallFaultKind | undefined)[], callEnded: Promise<void>) => {
         const fault = isDown ? CallFaultKind.Refuse : faults.shift();
         if (fault === CallFaultKind.Hang) {
-            await giveUp;
+            await callEnded;
         }
         return fault;
     };
@@ -98,28 +98,28 @@
             tokenMilliseconds: options.tokenMilliseconds ?? 0,
         });
         streams.set(request.streamId, stream);
-        engine.taken.push(request);
+        engine.accepted.push(request);
         return stream;
     };
 
     const findRefusal = (request: GenerateRequest): string | undefined => {
-        const takesWork = engine.desk.phase === EnginePhase.Serving && !engine.desk.draining;
-        if (!takesWork) {
+        const acceptsWork = engine.orderHandler.phase === EnginePhase.Serving && !engine.orderHandler.draining;
+        if (!acceptsWork) {
             return "The fake engine takes no work.";
         }
-        return engine.desk.models.includes(request.model) ? undefined : "The fake engine lacks the model.";
+        return engine.orderHandler.models.includes(request.model) ? undefined : "The fake engine lacks the model.";
     };
 
     const readAnswer = async <T>(deadline: number, build: () => T): Promise<Result<T, Failure>> => {
-        const fault = await meetFault(engine.readFaults, clock.sleepUntil(deadline));
+        const fault = await applyNextFault(engine.readFaults, clock.sleepUntil(deadline));
         return fault === undefined ? Result.ok(build()) : Result.err(failureOf(fault));
     };
 
     class MemoryEngine extends Engine implements FakeEngine {
         override readonly engineId = engineId;
-        readonly taken: GenerateRequest[] = [];
+        readonly accepted: GenerateRequest[] = [];
         readonly cancelled: string[] = [];
-        readonly desk = createFakeOrderDesk(options);
+        readonly orderHandler = createFakeOrderHandler(options);
         readonly streams = streams;
         readonly generateFaults: (CallFaultKind | undefined)[] = [];
         readonly streamFaults: (StreamFault | undefined)[] = [];
@@ -132,7 +132,7 @@
             request: GenerateRequest,
             signal: AbortSignal,
         ): Promise<Result<AsyncIterable<StreamEvent>, Failure>> {
-            const fault = await meetFault(this.generateFaults, untilAborted(signal));
+            const fault = await applyNextFault(this.generateFaults, untilAborted(signal));
             const refusal = findRefusal(request);
             if (fault === CallFaultKind.LoseAnswer && refusal === undefined) {
                 start(request);
@@ -169,11 +169,11 @@
         }
 
         override async order(order: EngineOrder, deadline: number): Promise<Result<OrderAnswer, Failure>> {
-            const fault = await meetFault(this.orderFaults, clock.sleepUntil(deadline));
+            const fault = await applyNextFault(this.orderFaults, clock.sleepUntil(deadline));
             if (fault !== undefined && fault !== CallFaultKind.LoseAnswer) {
                 return Result.err(failureOf(fault));
             }
-            const answer = this.desk.take(order);
+            const answer = this.orderHandler.handle(order);
             return fault === undefined ? Result.ok(answer) : Result.err(failureOf(fault));
         }
 
@@ -181,16 +181,16 @@
             return readAnswer(deadline, () => ({
                 engineId,
                 incarnation: incarnation(),
-                role: this.desk.role,
-                phase: this.desk.phase,
-                draining: this.desk.draining,
-                models: [...this.desk.models],
-                adapters: [...this.desk.adapters],
-                version: this.desk.version,
+                role: this.orderHandler.role,
+                phase: this.orderHandler.phase,
+                draining: this.orderHandler.draining,
+                models: [...this.orderHandler.models],
+                adapters: [...this.orderHandler.adapters],
+                version: this.orderHandler.version,
                 runningStreams: running().length,
                 queuedRequests: 0,
-                lastOrderId: this.desk.lastOrderId,
-                highestFencingNumber: options.checksFencingNumbers ? this.desk.highestFencingNumber : undefined,
+                lastOrderId: this.orderHandler.lastOrderId,
+                highestFencingNumber: options.checksFencingNumbers ? this.orderHandler.highestFencingNumber : undefined,
             }));
         }
 
@@ -199,8 +199,8 @@
                 engineId,
                 incarnation: incarnation(),
                 asOf: clock.wallNow(),
-                role: this.desk.role,
-                phase: this.desk.phase,
+                role: this.orderHandler.role,
+                phase: this.orderHandler.phase,
                 runningStreams: running().length,
                 queuedRequests: 0,
                 queuedPrefillTokens: 0,
@@ -225,13 +225,13 @@
             isDown = true;
             streams.forEach(stream => stream.lose());
             streams.clear();
-            this.desk.crash();
+            this.orderHandler.crash();
         }
 
         restart(): void {
             isDown = false;
             incarnationNumber += 1;
-            this.desk.lastOrderId = undefined;
+            this.orderHandler.lastOrderId = undefined;
         }
 
         private stop(streamId: string): void {
--- a/packages/daisyturn/src/__fixtures__/fakeOrderDesk.ts
+++ b/packages/daisyturn/src/__fixtures__/fakeOrderHandler.ts
@@ -2,7 +2,7 @@
 import { type EngineOrder, EnginePhase, EngineRole, OrderAnswer, OrderKind } from "../ports/engine.js";
 
 /** The part of a fake engine that orders change. */
-export interface FakeOrderDesk {
+export interface FakeOrderHandler {
     role: EngineRole;
     phase: EnginePhase;
     draining: boolean;
@@ -15,13 +15,13 @@
     readonly effects: EngineOrder[];
     /** The next change stops partway: phase Stuck. */
     stopNextPartway: boolean;
-    take(order: EngineOrder): OrderAnswer;
+    handle(order: EngineOrder): OrderAnswer;
     /** Loses a change that is under way. */
     crash(): void;
 }
 
 /** What a fake engine starts with. */
-export interface FakeOrderDeskOptions {
+export interface FakeOrderHandlerOptions {
     readonly clock: Clock;
     readonly role?: EngineRole;
     readonly models?: readonly string[];
@@ -32,25 +32,25 @@
 }
 
 /** Creates the part that takes orders. Drain and Resume take effect at once, all others after the change time. */
-export function createFakeOrderDesk(options: FakeOrderDeskOptions): FakeOrderDesk {
+export function createFakeOrderHandler(options: FakeOrderHandlerOptions): FakeOrderHandler {
     const { clock } = options;
     const seenOrderIds = new Set<string>();
     let crashes = 0;
 
     const finish = (order: EngineOrder) => {
-        desk.phase = EnginePhase.Serving;
+        handler.phase = EnginePhase.Serving;
         switch (order.kind) {
             case OrderKind.ChangeRole:
-                desk.role = order.role ?? desk.role;
+                handler.role = order.role ?? handler.role;
                 break;
             case OrderKind.LoadModel:
-                desk.models.push(order.artifact ?? "");
+                handler.models.push(order.artifact ?? "");
                 break;
             case OrderKind.LoadAdapter:
-                desk.adapters.push(order.artifact ?? "");
+                handler.adapters.push(order.artifact ?? "");
                 break;
             case OrderKind.LoadVersion:
-                desk.version = order.artifact ?? desk.version;
+                handler.version = order.artifact ?? handler.version;
                 break;
             case OrderKind.Drain:
             case OrderKind.Resume:
@@ -60,35 +60,35 @@
 
     const change = async (order: EngineOrder) => {
         const crashesBefore = crashes;
-        desk.phase = EnginePhase.Changing;
+        handler.phase = EnginePhase.Changing;
         await clock.sleepUntil(clock.monotonicNow() + (options.changeMilliseconds ?? 0));
         if (crashes !== crashesBefore) {
             return;
         }
-        if (desk.stopNextPartway) {
-            desk.stopNextPartway = false;
-            desk.phase = EnginePhase.Stuck;
+        if (handler.stopNextPartway) {
+            handler.stopNextPartway = false;
+            handler.phase = EnginePhase.Stuck;
             return;
         }
         finish(order);
     };
 
-    const take = (order: EngineOrder): OrderAnswer => {
-        if (options.checksFencingNumbers && order.fencingNumber < desk.highestFencingNumber) {
+    const handle = (order: EngineOrder): OrderAnswer => {
+        if (options.checksFencingNumbers && order.fencingNumber < handler.highestFencingNumber) {
             return OrderAnswer.StaleFencingNumber;
         }
-        desk.highestFencingNumber = Math.max(desk.highestFencingNumber, order.fencingNumber);
+        handler.highestFencingNumber = Math.max(handler.highestFencingNumber, order.fencingNumber);
         if (seenOrderIds.has(order.orderId)) {
             return OrderAnswer.Repeated;
         }
-        if (desk.phase === EnginePhase.Changing) {
+        if (handler.phase === EnginePhase.Changing) {
             return OrderAnswer.Busy;
         }
         seenOrderIds.add(order.orderId);
-        desk.lastOrderId = order.orderId;
-        desk.effects.push(order);
+        handler.lastOrderId = order.orderId;
+        handler.effects.push(order);
         if (order.kind === OrderKind.Drain || order.kind === OrderKind.Resume) {
-            desk.draining = order.kind === OrderKind.Drain;
+            handler.draining = order.kind === OrderKind.Drain;
         }
         else {
             void change(order);
@@ -98,10 +98,10 @@
 
     const crash = () => {
         crashes += 1;
-        desk.phase = desk.phase === EnginePhase.Changing ? EnginePhase.Stuck : desk.phase;
+        handler.phase = handler.phase === EnginePhase.Changing ? EnginePhase.Stuck : handler.phase;
     };
 
-    const desk: FakeOrderDesk = {
+    const handler: FakeOrderHandler = {
         role: options.role ?? EngineRole.Mixed,
         phase: EnginePhase.Serving,
         draining: false,
@@ -112,8 +112,8 @@
         highestFencingNumber: 0,
         effects: [],
         stopNextPartway: false,
-        take,
+        handle,
         crash,
     };
-    return desk;
+    return handler;
 }
--- a/packages/daisyturn/src/__fixtures__/fakePeerNetwork.ts
+++ b/packages/daisyturn/src/__fixtures__/fakePeerNetwork.ts
@@ -15,7 +15,7 @@
     delay: number;
     answersToLose: number;
     /** While set, answers wait here and leave in reverse order once two are held. */
-    heldAnswers?: (() => void)[];
+    queuedAnswers?: (() => void)[];
 }
 
 /** Several peer networks joined in memory. Messages pass by value, through JSON. */
@@ -37,7 +37,7 @@
     /** Loses the next answers that `from` gives to `to`, after the handler has run. */
     loseAnswers(from: string, to: string, count: number): void;
     /** Delivers the next two answers that `from` gives to `to` in reverse order. */
-    crossAnswers(from: string, to: string): void;
+    reorderAnswers(from: string, to: string): void;
     /** Messages handed to the wire so far, by sender, with their JSON length. */
     readonly sent: readonly SentMessage[];
 }
@@ -78,7 +78,7 @@
     };
 
     /** Waits for the way to be covered; false if the message was lost on it. */
-    const travel = async (from: string, to: string): Promise<boolean> => {
+    const transmit = async (from: string, to: string): Promise<boolean> => {
         const route = routeOf(from, to);
         if (route.cut) {
             return false;
@@ -89,24 +89,24 @@
         return !route.cut;
     };
 
-    const travelBack = async (from: string, to: string): Promise<boolean> => {
+    const transmitAnswer = async (from: string, to: string): Promise<boolean> => {
         const route = routeOf(from, to);
         if (route.answersToLose > 0) {
             route.answersToLose -= 1;
             return false;
         }
-        const held = route.heldAnswers;
-        if (held) {
+        const queued = route.queuedAnswers;
+        if (queued) {
             await new Promise<void>(resolve => {
-                held.push(resolve);
-                if (held.length === 2) {
-                    route.heldAnswers = undefined;
+                queued.push(resolve);
+                if (queued.length === 2) {
+                    route.queuedAnswers = undefined;
                     resolve();
-                    setImmediate(held[0] ?? resolve);
+                    setImmediate(queued[0] ?? resolve);
                 }
             });
         }
-        return await travel(from, to);
+        return await transmit(from, to);
     };
 
     class FakePeerNetwork extends DialingPeerNetwork {
@@ -144,11 +144,11 @@
         ): Promise<Result<JsonObject, Failure>> {
             const { processId } = target.self;
             const message = this.record(processId, method, parameters);
-            if (!await travel(this.self.processId, processId) || !target.isJoined()) {
+            if (!await transmit(this.self.processId, processId) || !target.isJoined()) {
                 return await new Promise(() => undefined);
             }
             const answer = await target.answer(this.self, method, message);
-            if (!await travelBack(processId, this.self.processId)) {
+            if (!await transmitAnswer(processId, this.self.processId)) {
                 return await new Promise(() => undefined);
             }
             return answer;
@@ -177,7 +177,7 @@
                 return;
             }
             const message = this.record(processId, method, parameters);
-            void travel(this.self.processId, processId).then(async arrived => {
+            void transmit(this.self.processId, processId).then(async arrived => {
                 if (arrived && target.isJoined()) {
                     await target.answer(this.self, method, message);
                 }
@@ -218,9 +218,9 @@
         }
 
         private reaches(peer: FakePeerNetwork): boolean {
-            const there = routeOf(this.self.processId, peer.self.processId);
-            const back = routeOf(peer.self.processId, this.self.processId);
-            return !there.cut && !back.cut;
+            const outbound = routeOf(this.self.processId, peer.self.processId);
+            const inbound = routeOf(peer.self.processId, this.self.processId);
+            return !outbound.cut && !inbound.cut;
         }
 
         private isJoined(): boolean {
@@ -262,8 +262,8 @@
         loseAnswers: (from, to, count) => {
             routeOf(from, to).answersToLose = count;
         },
-        crossAnswers: (from, to) => {
-            routeOf(from, to).heldAnswers = [];
+        reorderAnswers: (from, to) => {
+            routeOf(from, to).queuedAnswers = [];
         },
     };
 }
--- a/packages/daisyturn/src/__fixtures__/fakeStream.ts
+++ b/packages/daisyturn/src/__fixtures__/fakeStream.ts
@@ -117,7 +117,7 @@
         ...(isPrefill ? { kvHandle: buildKvHandle(options) } : {}),
     });
 
-    async function* readWhole(start: number, signal: AbortSignal): AsyncGenerator<StreamEvent> {
+    async function* readEvents(start: number, signal: AbortSignal): AsyncGenerator<StreamEvent> {
         for (let offset = start;; offset++) {
             await waitForMore(offset, signal);
             if (signal.aborted || stopper.signal.aborted) {
@@ -133,7 +133,7 @@
     }
 
     const read = (offset: number, fault: StreamFault | undefined, signal: AbortSignal) =>
-        fault ? applyFault(readWhole(offset, signal), fault, clock, signal) : readWhole(offset, signal);
+        fault ? applyFault(readEvents(offset, signal), fault, clock, signal) : readEvents(offset, signal);
 
     void produce();
     return {
--- a/packages/daisyturn/src/request/forwarding/serveForwardedCall.ts
+++ b/packages/daisyturn/src/request/forwarding/serveForwardedCall.ts
@@ -70,7 +70,7 @@
         return err(notRun(FailureReason.NotFound, "No route takes this host and path."));
     }
     const service = table.configuration.services.get(serviceName) ?? { name: serviceName };
-    const pauseAim = table.shortestPauseAim(serviceName);
+    const pauseAim = table.minPauseAim(serviceName);
     const deadline = Math.min(call.deadline, call.arrivedAt + route.timeoutMilliseconds);
     const wallDeadline = parts.clock.wallNow() + deadline - parts.clock.monotonicNow();
     const lifetime = startRequestLifetime(parts.clock, exchange.signal, wallDeadline);
--- a/packages/daisyturn/src/version/__tests__/createConfigurationVersion.test.ts
+++ b/packages/daisyturn/src/version/__tests__/createConfigurationVersion.test.ts
@@ -101,10 +101,10 @@
         let version = createConfigurationVersion(1, accounts);
         for (let index = 0; index < 200; index++) {
             const account = createAccount("south", `b${index}`, []);
-            const gone = accounts[index] as ConfigurationItem;
-            version = version.apply({ generation: version.generation + 1, changes: [put(account), remove(gone)] });
+            const removed = accounts[index] as ConfigurationItem;
+            version = version.apply({ generation: version.generation + 1, changes: [put(account), remove(removed)] });
             assert.equal(version.findAccountByKeyHash(account.keyHash), account);
-            assert.equal(version.findItem(gone), undefined);
+            assert.equal(version.findItem(removed), undefined);
             assert.equal(version.items.length, 2_000);
         }
     });
--- a/packages/daisyturn/src/version/createVersionUsage.ts
+++ b/packages/daisyturn/src/version/createVersionUsage.ts
@@ -55,8 +55,8 @@
 
     const countBefore = (generation: number, identity: ItemIdentity) => {
         const identityText = formatItemIdentity(identity);
-        const isUnder = (record: PinRecord) => record.items.size === 0 || record.items.has(identityText);
-        return [...pins].filter(record => record.generation < generation && isUnder(record)).length;
+        const usesItem = (record: PinRecord) => record.items.size === 0 || record.items.has(identityText);
+        return [...pins].filter(record => record.generation < generation && usesItem(record)).length;
     };
 
     const list = () => {
--- a/packages/daisyturn/src/version/forwarding/createRouteTable.ts
+++ b/packages/daisyturn/src/version/forwarding/createRouteTable.ts
@@ -7,7 +7,7 @@
     /** The route of this host with the longest prefix that begins the path. */
     find(host: string, path: string): ForwardRoute | undefined;
     /** Shortest of the pauses that the routes to a service allow between two events; Infinity where none sets one. */
-    shortestPauseAim(service: string): number;
+    minPauseAim(service: string): number;
 }
 
 /** Groups the routes by host, the longest prefix first, so that the first match is the right one. */
@@ -28,7 +28,7 @@
     byHost.forEach(routes => routes.sort((left, right) => right.pathPrefix.length - left.pathPrefix.length));
     return {
         configuration,
-        shortestPauseAim: service => pauseAims.get(service) ?? Infinity,
+        minPauseAim: service => pauseAims.get(service) ?? Infinity,
         find: (host, path) => byHost.get(host.toLowerCase())?.find(route => path.startsWith(route.pathPrefix)),
     };
 }
--- a/packages/daisyturn/src/version/itemSchemas.ts
+++ b/packages/daisyturn/src/version/itemSchemas.ts
@@ -4,23 +4,23 @@
 import { HoldKind, ItemKind, ServiceKind, TargetKind } from "./configurationItems.js";
 
 /** Longest name of an item or partner, so that keys of rows stay short. */
-const longestName = 63;
-const longestText = 500;
-const mostReferences = 1_000;
+const maxNameLength = 63;
+const maxTextLength = 500;
+const maxReferences = 1_000;
 /** A day: a longer limit is a slip of the unit. */
-const longestLimitMilliseconds = 86_400_000;
+const maxLimitMilliseconds = 86_400_000;
 /** Each step writes a row, and table services commonly take no more than 100 rows in one transaction. */
-const mostChanges = 90;
+const maxChanges = 90;
 
 /** Lower-case letters, digits, `-` and `.`, as in the host names that operators know. */
-const nameSchema = z.string().max(longestName).regex(
+const nameSchema = z.string().max(maxNameLength).regex(
     /^[a-z0-9]([a-z0-9.-]*[a-z0-9])?$/,
     "must consist of lower-case letters, digits, - and ., and begin and end with a letter or digit",
 );
-const textSchema = z.string().min(1).max(longestText);
-const limitSchema = z.number().int().positive().max(longestLimitMilliseconds);
-const namesSchema = z.array(nameSchema).max(mostReferences);
-const pathSchema = z.string().max(longestText).regex(/^\/\S*$/, "must begin with a slash and hold no space");
+const textSchema = z.string().min(1).max(maxTextLength);
+const limitSchema = z.number().int().positive().max(maxLimitMilliseconds);
+const namesSchema = z.array(nameSchema).max(maxReferences);
+const pathSchema = z.string().max(maxTextLength).regex(/^\/\S*$/, "must begin with a slash and hold no space");
 
 const profileSchema = z.strictObject({
     kind: z.literal(ItemKind.Profile),
@@ -50,7 +50,7 @@
     serviceKind: z.enum(ServiceKind),
     profile: nameSchema.optional(),
     targets: namesSchema.optional(),
-    routes: z.array(routeSchema).max(mostReferences).optional(),
+    routes: z.array(routeSchema).max(maxReferences).optional(),
     callLimitMilliseconds: limitSchema.optional(),
 });
 
@@ -79,11 +79,11 @@
     partner: nameSchema,
     name: nameSchema,
     targetKind: z.enum(TargetKind),
-    url: z.string().max(longestText).regex(/^https?:\/\/\S+$/, "must begin with http:// or https://"),
+    url: z.string().max(maxTextLength).regex(/^https?:\/\/\S+$/, "must begin with http:// or https://"),
     availabilityZone: textSchema,
     checksFencingNumbers: z.boolean().optional(),
     allowedRoles: z.array(z.enum(EngineRole)).min(1).optional(),
-    models: z.array(textSchema).max(mostReferences).optional(),
+    models: z.array(textSchema).max(maxReferences).optional(),
 });
 
 const shareSchema = z.strictObject({
@@ -110,7 +110,7 @@
 export const changesSchema: z.ZodType<ItemChange[]> = z.array(z.discriminatedUnion("action", [
     z.strictObject({ action: z.literal(ChangeAction.Put), item: itemSchema }),
     z.strictObject({ action: z.literal(ChangeAction.Remove), identity: identitySchema }),
-])).min(1).max(mostChanges);
+])).min(1).max(maxChanges);
 
 /** Chosen by the operator's client; becomes part of a row's key. */
 export const writeIdSchema = z.string().regex(
--- a/packages/daisyturn/src/version/layeredMap.ts
+++ b/packages/daisyturn/src/version/layeredMap.ts
@@ -8,7 +8,7 @@
 }
 
 /** Below this many edits a successor never copies the base, however small that is. */
-const smallestFold = 32;
+const minFoldThreshold = 32;
 
 /**
  * Creates a map of two layers: a large base that successors share, and the edits since, copied on each change.
@@ -47,7 +47,7 @@
             nextSize += Number(value !== undefined) - Number(get(key) !== undefined);
             merged.set(key, value);
         }
-        return merged.size > Math.max(smallestFold, Math.sqrt(base.size))
+        return merged.size > Math.max(minFoldThreshold, Math.sqrt(base.size))
             ? createLayeredMap(fold(base, merged))
             : createLayers(base, merged, nextSize);
     };
--- a/packages/daisyturn/src/version/validateChange.ts
+++ b/packages/daisyturn/src/version/validateChange.ts
@@ -121,8 +121,8 @@
     }
     const indexed = after.findAccountByKeyHash(account.keyHash);
     const earlier = before.findAccountByKeyHash(account.keyHash);
-    const stillThere = earlier && after.findItem(earlier) as CallerAccount | undefined;
-    const isTaken = stillThere?.keyHash === account.keyHash && !isSame(stillThere, account);
+    const remaining = earlier && after.findItem(earlier) as CallerAccount | undefined;
+    const isTaken = remaining?.keyHash === account.keyHash && !isSame(remaining, account);
     return isTaken || !indexed || !isSame(indexed, account)
         ? notRun(FailureReason.Conflict, `${describe(account)}: its key belongs to another account`)
         : undefined;
