--- a/packages/daisyturn-utils/src/events/__tests__/boundedEventLog.test.ts
+++ b/packages/daisyturn-utils/src/events/__tests__/boundedEventLog.test.ts
@@ -6,7 +6,7 @@
 
 const bounds = { linesPerSecond: 10, burst: 20, reserved: 5 };
 
-test("a flood of requests leaves room for what the process believes, and what is dropped is told", async () => {
+test("many request events leave the reserve for other events, and dropped lines are reported", async () => {
     const clock = new FakeClock();
     const inner = new MemoryEventLog();
     const log = createBoundedEventLog(inner, clock, bounds);
--- a/packages/daisyturn-utils/src/events/boundedEventLog.ts
+++ b/packages/daisyturn-utils/src/events/boundedEventLog.ts
@@ -1,22 +1,22 @@
 import type { Clock } from "../time/clock.js";
 import { type EventFields, EventKind, EventLog } from "./eventLog.js";
 
-/** How much a bounded log may write. */
+/** Rate limits of a bounded log. */
 export interface EventLogBounds {
-    /** Lines a second, on average. */
+    /** Average number of lines per second. */
     readonly linesPerSecond: number;
-    /** Lines that may come at once after a quiet time. */
+    /** Maximum number of lines that may be written at once after an idle period. */
     readonly burst: number;
-    /** Lines of the burst that are kept for events that name no request: what the process believes comes first. */
+    /** Part of the burst reserved for events without a request, since those on the process's state take precedence. */
     readonly reserved: number;
 }
 
-/** A line costs some tens of microseconds, so a flood of failures stays below a hundredth of a core. */
+/** A line costs some tens of microseconds, so many failures at once use less than a hundredth of a core. */
 export const defaultEventLogBounds: EventLogBounds = { linesPerSecond: 60, burst: 240, reserved: 80 };
 
 const millisecondsPerSecond = 1_000;
 
-/** Creates a log that passes on at most so many lines; what it drops it counts, and tells once a second. */
+/** Creates a log that limits the lines written to `inner` and reports dropped lines at most once a second. */
 export function createBoundedEventLog(
     inner: EventLog,
     clock: Clock,
--- a/packages/daisyturn-utils/src/events/eventLog.ts
+++ b/packages/daisyturn-utils/src/events/eventLog.ts
@@ -1,6 +1,6 @@
 /**
- * What happened, as one word per event. Each log line carries one; the time line filters by them.
- * Add a kind here rather than writing free text.
+ * Kinds of events. Each log line has one, and the time line filters by kind.
+ * Add a kind here instead of logging free text.
  */
 export enum EventKind {
     ProcessStarted = "process_started",
@@ -8,7 +8,7 @@
     ProcessDraining = "process_draining",
     ProcessStopped = "process_stopped",
     OutOfService = "out_of_service",
-    /** The process has more to do than its processor bears, and refuses a part of the calls. */
+    /** The load exceeds the process's processor time, so it refuses some of the calls. */
     Overloaded = "overloaded",
     BackInService = "back_in_service",
     RequestAccepted = "request_accepted",
@@ -25,7 +25,7 @@
     ClaimRecorded = "claim_recorded",
     ClaimReplayed = "claim_replayed",
     ClaimSettled = "claim_settled",
-    /** How many prompts of each size were served since the last such line. */
+    /** Number of prompts of each size served since the previous event of this kind. */
     PromptsBySize = "prompts_by_size",
     ConfigurationAccepted = "configuration_accepted",
     ConfigurationRejected = "configuration_rejected",
@@ -38,13 +38,13 @@
     OrderConfirmed = "order_confirmed",
     OrderAbandoned = "order_abandoned",
     OrderWithheld = "order_withheld",
-    /** Another process coordinates this one's group. */
+    /** Another process became the coordinator of this process's group. */
     CoordinatorChosen = "coordinator_chosen",
     PeerAlive = "peer_alive",
     PeerSuspect = "peer_suspect",
     PeerDead = "peer_dead",
     PeerLeft = "peer_left",
-    /** Others took this process for dead or ended, for instance while it was paused. */
+    /** Other processes falsely suspected this one to be dead or ended, for instance while it was paused. */
     Misjudged = "misjudged",
     TargetListed = "target_listed",
     TargetGone = "target_gone",
@@ -72,7 +72,7 @@
     Fault = "fault",
 }
 
-/** Fields that the time line knows; other modules may add their own beside them. */
+/** Fields of an event. The time line uses the named ones. Modules may add others. */
 export interface EventFields {
     readonly request?: string;
     readonly engine?: string;
@@ -88,18 +88,18 @@
     readonly [field: string]: string | number | boolean | undefined;
 }
 
-/** Records events: one key=value line each, stamped by the process's hybrid logical clock. */
+/** Records events, one key=value line each, with a timestamp of the process's hybrid logical clock. */
 export abstract class EventLog {
     abstract record(kind: EventKind, fields?: EventFields): void;
 }
 
-/** An event kept in memory, for tests. */
+/** An event stored in memory. */
 export interface RecordedEvent {
     readonly kind: EventKind;
     readonly fields: EventFields;
 }
 
-/** Keeps events in memory instead of writing them; for tests and for embedding without logs. */
+/** Stores events in memory instead of writing them, for tests and for embedding without logs. */
 export class MemoryEventLog extends EventLog {
     readonly events: RecordedEvent[] = [];
 
@@ -107,7 +107,7 @@
         this.events.push({ kind, fields });
     }
 
-    /** The events of one kind, in order. */
+    /** Returns the events of one kind, in order. */
     of(kind: EventKind): readonly RecordedEvent[] {
         return this.events.filter(event => event.kind === kind);
     }
--- a/packages/daisyturn-utils/src/events/logfmtEventLog.ts
+++ b/packages/daisyturn-utils/src/events/logfmtEventLog.ts
@@ -3,17 +3,16 @@
 import type { HybridLogicalClock } from "../time/hybridLogicalClock.js";
 import { type EventFields, type EventKind, EventLog } from "./eventLog.js";
 
-/** What stands on every line of one process's log. */
 export interface EventLogOptions {
     readonly processId: string;
     readonly incarnation: string;
     readonly hybridClock: HybridLogicalClock;
-    /** Takes finished lines, each ended by a line feed. */
+    /** Called with each complete line, including its line feed. */
     readonly writeLine: (line: string) => void;
     readonly level?: string;
 }
 
-/** Creates a log that writes one key=value line per event through pino. */
+/** Creates a log that writes one key=value line per event, using pino. */
 export function createLogfmtEventLog(options: EventLogOptions): EventLog {
     const logger = pino({
         level: options.level ?? "info",
@@ -31,7 +30,7 @@
     return new LogfmtEventLog();
 }
 
-/** pino writes JSON; this puts each line into key=value form with the stamp and the event first. */
+/** Converts pino's JSON lines to key=value lines, with the timestamp and the event first. */
 function createLogfmtDestination(writeLine: (line: string) => void): DestinationStream {
     return {
         write: line => {
@@ -41,7 +40,7 @@
     };
 }
 
-/** logfmt leaves line feeds as they are, such as those of a stack trace, and an event must stay on one line. */
+/** Replaces line feeds, such as those of a stack trace: logfmt retains them, but an event must be a single line. */
 function replaceLineFeeds(field: string, value: unknown): unknown {
     return typeof value === "string" ? value.replaceAll(/[\r\n]+/g, " | ") : value;
 }
--- a/packages/daisyturn-utils/src/failure.ts
+++ b/packages/daisyturn-utils/src/failure.ts
@@ -1,6 +1,6 @@
 import { ExecutionVerdict } from "./verdict.js";
 
-/** Why a request, a store call or an order failed. The values appear in callers' error bodies and in logs. */
+/** Why a request, a store call or an order failed. The values appear in error responses to callers and in logs. */
 export enum FailureReason {
     BadRequest = "bad_request",
     Unauthenticated = "unauthenticated",
@@ -32,18 +32,18 @@
 export interface Failure {
     readonly verdict: ExecutionVerdict;
     readonly reason: FailureReason;
-    /** One sentence for a person; it never holds a secret or a caller's text. */
+    /** A human-readable sentence. It never contains secrets or text from a caller. */
     readonly message: string;
-    /** Wall-clock time, in milliseconds since the epoch, from which a retry makes sense. */
+    /** Wall-clock time, in milliseconds since the epoch, before which a retry is pointless. */
     readonly retryAt?: number;
 }
 
-/** Builds a failure of a request that certainly did not run. */
+/** Creates a failure of a request that certainly did not run. */
 export function notRun(reason: FailureReason, message: string, retryAt?: number): Failure {
     return createFailure(ExecutionVerdict.NotRun, reason, message, retryAt);
 }
 
-/** Builds a failure of a request that may have run. */
+/** Creates a failure of a request that may have run. */
 export function mayHaveRun(reason: FailureReason, message: string, retryAt?: number): Failure {
     return createFailure(ExecutionVerdict.MayHaveRun, reason, message, retryAt);
 }
--- a/packages/daisyturn-utils/src/findFreePort.ts
+++ b/packages/daisyturn-utils/src/findFreePort.ts
@@ -1,7 +1,7 @@
 import { once } from "node:events";
 import { type AddressInfo, createServer } from "node:net";
 
-/** A port of the host that nothing listens at; it is let go before it is returned. */
+/** Finds a port of the host at which nothing listens. The port is closed again before this returns. */
 export async function findFreePort(host: string): Promise<number> {
     const server = createServer().listen(0, host);
     await once(server, "listening");
--- a/packages/daisyturn-utils/src/idSource.ts
+++ b/packages/daisyturn-utils/src/idSource.ts
@@ -1,12 +1,12 @@
-/** Makes identifiers that are never used twice: the process's incarnation and a counter. */
+/** Generates identifiers that are never reused, from the process's incarnation and a counter. */
 export interface IdSource {
-    /** @param kind a short lower-case word such as `req`, `ord` or `wr`, put first so that logs read well */
+    /** @param kind a short lower-case prefix such as `req`, `ord` or `wr`, which makes logs easier to read */
     next(kind: string): string;
 }
 
 /**
- * Creates the identifiers of one process run.
- * @param incarnation unique to this run of the process, over all processes and times
+ * Creates the identifier source of one incarnation of a process.
+ * @param incarnation unique across all processes and their restarts
  */
 export function createIdSource(incarnation: string): IdSource {
     let counter = 0;
--- a/packages/daisyturn-utils/src/rendezvous.ts
+++ b/packages/daisyturn-utils/src/rendezvous.ts
@@ -1,10 +1,10 @@
 /**
  * Rendezvous (highest random weight) hashing: every process ranks the same engines in the same order for the same key
- * without talking to the others, and an engine that goes moves only its own keys.
+ * without coordination, and the removal of an engine moves only the keys of that engine.
  * Source: Thaler, Ravishankar, "Using name-based mappings to increase hit rates", IEEE/ACM ToN 1998.
  */
 
-/** Hash of a text to 32 bits (FNV-1a). */
+/** Hashes a text to 32 bits (FNV-1a). */
 export function hashTextTo32Bits(text: string): number {
     let hash = 0x811c9dc5;
     for (let index = 0; index < text.length; index++) {
@@ -13,7 +13,7 @@
     return hash >>> 0;
 }
 
-/** The weight of a member for a key, both hashed; the member with the highest weight comes first. */
+/** Computes the weight of a member for a key from their hashes. The member with the highest weight ranks first. */
 export function rendezvousWeight(keyHash: number, memberHash: number): number {
     let mixed = (keyHash ^ memberHash) >>> 0;
     mixed = Math.imul(mixed ^ (mixed >>> 16), 0x85ebca6b);
@@ -22,8 +22,8 @@
 }
 
 /**
- * The same with members of different weight: each comes first for a part of the keys that is as large as its part of
- * the weights.
+ * Computes the rendezvous weight for members of different weights. Each member ranks first for a share of the keys that
+ * equals its share of the total weight.
  * Source: Schindelhauer, Schomaker, "Weighted distributed hash tables", SPAA 2005 (the logarithmic method).
  */
 export function weightedRendezvous(keyHash: number, memberHash: number, weight: number): number {
--- a/packages/daisyturn-utils/src/time/__tests__/hybridLogicalClock.test.ts
+++ b/packages/daisyturn-utils/src/time/__tests__/hybridLogicalClock.test.ts
@@ -3,7 +3,7 @@
 import { createHybridLogicalClock, FakeClock } from "../../index.js";
 
 describe("createHybridLogicalClock", () => {
-    it("stamps after everything it has observed, also when the wall clock jumps back", () => {
+    it("creates stamps that sort after all observed ones, even if the wall clock jumps back", () => {
         const clock = new FakeClock();
         const hybrid = createHybridLogicalClock(clock);
         const first = hybrid.stamp();
--- a/packages/daisyturn-utils/src/time/clock.ts
+++ b/packages/daisyturn-utils/src/time/clock.ts
@@ -1,17 +1,17 @@
-/** Source of time. Passed in everywhere, so that tests decide how time goes by. */
+/** Source of time. It is always injected, so that tests control the time. */
 export abstract class Clock {
-    /** Milliseconds on a clock that never jumps and starts anywhere. Deadlines inside a process use it. */
+    /** Returns milliseconds on a clock that never jumps and has an arbitrary start. Used for deadlines in a process. */
     abstract monotonicNow(): number;
-    /** Milliseconds since the epoch. Only for what leaves the process; it may jump. */
+    /** Returns milliseconds since the epoch. May jump. Use it only for values that leave the process. */
     abstract wallNow(): number;
     /**
-     * Resolves once `monotonicNow()` has reached `deadline`, or as soon as `signal` is aborted.
-     * Never rejects: callers look at the signal.
+     * Resolves when `monotonicNow()` has reached `deadline` or `signal` is aborted.
+     * Never rejects; callers check the signal.
      */
     abstract sleepUntil(deadline: number, signal?: AbortSignal): Promise<void>;
 }
 
-/** The machine's own clocks. */
+/** The system's clocks. */
 export class SystemClock extends Clock {
     override monotonicNow(): number {
         return performance.now();
@@ -21,7 +21,7 @@
         return Date.now();
     }
 
-    /** Written with callbacks, since an aborted promise timer builds an error with its stack, several per request. */
+    /** Uses callbacks: an aborted promise timer would create an error with a stack trace, several times per request. */
     override sleepUntil(deadline: number, signal?: AbortSignal): Promise<void> {
         if (signal?.aborted) {
             return Promise.resolve();
--- a/packages/daisyturn-utils/src/time/decayingRate.ts
+++ b/packages/daisyturn-utils/src/time/decayingRate.ts
@@ -1,4 +1,4 @@
-/** How much comes in a second, with an exponential memory. */
+/** Rate per second with exponential decay. */
 export interface DecayingRate {
     add(amount: number, now: number): void;
     perSecond(now: number): number;
@@ -6,7 +6,7 @@
 
 const millisecondsPerSecond = 1_000;
 
-/** Creates the rate; what came `memory` milliseconds ago counts 1/e. Times are monotonic milliseconds. */
+/** Creates a rate. An amount added `memory` milliseconds ago has the weight 1/e. Times are monotonic milliseconds. */
 export function createDecayingRate(memory: number, start: number): DecayingRate {
     let sum = 0;
     let at = start;
--- a/packages/daisyturn-utils/src/time/fakeClock.ts
+++ b/packages/daisyturn-utils/src/time/fakeClock.ts
@@ -6,10 +6,10 @@
     readonly wake: () => void;
 }
 
-/** Turns of the event loop granted after each step, so that woken tasks reach their next wait. */
+/** Turns of the event loop after each step, so that resumed tasks reach their next wait. */
 const turnsPerStep = 8;
 
-/** A clock that stands still until a test moves it. */
+/** A clock that only advances when a test advances it. */
 export class FakeClock extends Clock {
     private now = 0;
     private wallOffset = 1_700_000_000_000;
@@ -33,7 +33,7 @@
                 resolve();
             };
             const wake = () => {
-                // A task that sleeps again and again under one signal must not pile up listeners.
+                // Prevents listeners from accumulating when a task sleeps repeatedly with the same signal.
                 signal?.removeEventListener("abort", onAbort);
                 resolve();
             };
@@ -43,12 +43,12 @@
         });
     }
 
-    /** Makes the wall clock jump without moving the monotonic one. */
+    /** Makes the wall clock jump. The monotonic clock does not change. */
     jumpWall(milliseconds: number): void {
         this.wallOffset += milliseconds;
     }
 
-    /** Moves both clocks on, waking sleepers in the order of their deadlines and letting each run. */
+    /** Advances both clocks, waking sleepers in the order of their deadlines and letting each run. */
     async advance(milliseconds: number): Promise<void> {
         const end = this.now + milliseconds;
         await settleTasks();
--- a/packages/daisyturn-utils/src/time/hybridLogicalClock.ts
+++ b/packages/daisyturn-utils/src/time/hybridLogicalClock.ts
@@ -1,17 +1,17 @@
 import type { Clock } from "./clock.js";
 
-/** Digits that hold the counter within one millisecond; enough for a million events. */
+/** Digits of the counter within one millisecond, enough for a million events. */
 const counterDigits = 6;
 const wallDigits = 14;
 
 /**
- * Hybrid logical clock: timestamps that follow the wall clock and never run against causality.
+ * Hybrid logical clock: timestamps that follow the wall clock and respect causality.
  * Source: Kulkarni, Demirbas, Madappa, Avva, Leone, "Logical Physical Clocks", OPODIS 2014.
  */
 export interface HybridLogicalClock {
-    /** Timestamp of an event of this process. */
+    /** Returns the timestamp of an event of this process. */
     stamp(): string;
-    /** Takes in a timestamp that arrived with a message, so that later stamps sort after it. */
+    /** Applies a timestamp that was received in a message, so that later stamps sort after it. */
     observe(remoteStamp: string): void;
 }
 
--- a/packages/daisyturn-utils/src/time/signal.ts
+++ b/packages/daisyturn-utils/src/time/signal.ts
@@ -1,13 +1,13 @@
 import type { Clock } from "./clock.js";
 
-/** Something that tasks wait for, and that may come about again and again. */
+/** A reusable signal that tasks can wait for. */
 export interface Signal {
     raise(): void;
-    /** Resolves once it is raised, at the deadline on the monotonic clock, or when the abort signal is. */
+    /** Resolves when the signal is raised, at the deadline on the monotonic clock, or when `signal` is aborted. */
     wait(clock: Clock, deadline: number, signal: AbortSignal): Promise<void>;
 }
 
-/** Creates a signal that nobody has raised. */
+/** Creates a signal that has not been raised. */
 export function createSignal(): Signal {
     let waiting = new Set<AbortController>();
     return {
--- a/packages/daisyturn-utils/src/userError.ts
+++ b/packages/daisyturn-utils/src/userError.ts
@@ -1,19 +1,19 @@
-/** What a person is told about an input that can't be taken. */
+/** Describes an invalid input to the user. */
 export interface UserErrorDetails {
     /** The option's path, such as `listeners.callers.port`. */
     readonly option: string;
-    /** What was given, already shortened and without secrets. */
+    /** The given value, already shortened and without secrets. */
     readonly value: string;
-    /** Why it can't be taken. */
+    /** Why the value is invalid. */
     readonly problem: string;
-    /** What to write in its place. */
+    /** How to correct the value. */
     readonly remedy: string;
     readonly file?: string;
-    /** Counted from 1. */
+    /** Line number, counted from 1. */
     readonly line?: number;
 }
 
-/** An error caused by the user's input: shown without a stack trace. */
+/** An error caused by the user's input. It is shown without a stack trace. */
 export class UserError extends Error {
     readonly details: UserErrorDetails;
 
@@ -24,7 +24,7 @@
     }
 }
 
-/** One line that names the place, the option, the value and the remedy. */
+/** Formats the error as one line with the location, the option, the problem, the value and the remedy. */
 export function formatUserError(details: UserErrorDetails): string {
     const place = details.file === undefined ? "" : `${details.file}:${details.line ?? 1}: `;
     return `${place}${details.option}: ${details.problem} (given: ${details.value}). ${details.remedy}`;
--- a/packages/daisyturn/src/__fixtures__/__tests__/fakeEngine.test.ts
+++ b/packages/daisyturn/src/__fixtures__/__tests__/fakeEngine.test.ts
@@ -64,7 +64,7 @@
         });
     }
 
-    it("takes the request in when only the answer is lost, and not when it refuses", async test => {
+    it("accepts the request when only the answer is lost, and not when it refuses", async test => {
         const engine = createFakeEngine({ clock: new FakeClock() });
         engine.generateFaults.push(CallFaultKind.Refuse, CallFaultKind.LoseAnswer);
         const refused = await engine.generate(request, test.signal);
@@ -75,7 +75,7 @@
         assert.equal(engine.accepted.length, 1);
     });
 
-    it("takes one change at a time and is stuck after a crash partway", async () => {
+    it("accepts one change at a time and is stuck after a crash during a change", async () => {
         const clock = new FakeClock();
         const engine = createFakeEngine({ clock, changeMilliseconds: 1_000, checksFencingNumbers: true });
         assert.equal((await engine.order(changeRole, 10)).unwrapOr(OrderAnswer.Busy), OrderAnswer.Accepted);
--- a/packages/daisyturn/src/__fixtures__/__tests__/fakePeerNetwork.test.ts
+++ b/packages/daisyturn/src/__fixtures__/__tests__/fakePeerNetwork.test.ts
@@ -25,7 +25,7 @@
         assert.deepEqual((await sendRequest(1)).unwrapOr({}), { from: "p1", number: 1 });
     });
 
-    it("loses requests on a cut way, and answers on a cut way back", async () => {
+    it("loses requests and answers in a direction that is cut", async () => {
         const { clock, networks, received, sendRequest } = createPair();
         for (const [from, to] of [["p1", "p2"], ["p2", "p1"]] as const) {
             networks.cut(from, to);
@@ -38,14 +38,14 @@
         assert.equal(received.length, 1);
     });
 
-    it("fails with NotRun towards a process that has ended", async () => {
+    it("fails with NotRun if the process was removed", async () => {
         const { networks, sendRequest } = createPair();
         networks.remove("p2");
         const result = await sendRequest(1);
         assert.ok(result.isErr && result.error.verdict === ExecutionVerdict.NotRun);
     });
 
-    it("delays, loses and crosses answers", async () => {
+    it("delays, loses and reorders answers", async () => {
         const { clock, networks, received, sendRequest } = createPair();
         const order: number[] = [];
         networks.delay("p1", "p2", 30);
--- a/packages/daisyturn/src/__fixtures__/eagerClock.ts
+++ b/packages/daisyturn/src/__fixtures__/eagerClock.ts
@@ -5,7 +5,7 @@
     readonly wake: () => void;
 }
 
-/** A clock that moves on to the next deadline by itself whenever all tasks wait. For tests that run many times. */
+/** A clock that advances to the next deadline whenever all tasks wait. For tests that run many times. */
 export class EagerClock extends Clock {
     private now = 0;
     private isScheduled = false;
@@ -29,7 +29,7 @@
                 resolve();
             };
             const wake = () => {
-                // A task that sleeps again and again under one signal must not pile up listeners.
+                // Prevents listeners from accumulating when a task sleeps repeatedly with the same signal.
                 signal?.removeEventListener("abort", onAbort);
                 resolve();
             };
@@ -40,7 +40,7 @@
         });
     }
 
-    /** Wakes the next sleeper once all tasks that can run have run. */
+    /** Wakes the next sleeper after all runnable tasks have run. */
     private scheduleWake(): void {
         if (this.isScheduled || this.sleepers.size === 0) {
             return;
--- a/packages/daisyturn/src/__fixtures__/exploreInterleavings.ts
+++ b/packages/daisyturn/src/__fixtures__/exploreInterleavings.ts
@@ -1,12 +1,12 @@
 import { setImmediate as nextTurn } from "node:timers/promises";
 
-/** Handed to a scenario; the explorer decides in which order its steps go on. */
+/** Passed to a scenario. The explorer determines the order in which its steps continue. */
 export interface Interleaving {
     /** Resolves when it is this step's turn. */
     step(label: string): Promise<void>;
-    /** One of the numbers from 0 to `count - 1`; all are tried. */
+    /** Returns a number from 0 to `count - 1`. All of them are tried. */
     choose(count: number): number;
-    /** Labels of the steps so far, in the order in which they went on. */
+    /** Labels of the steps so far, in the order in which they continued. */
     readonly trace: readonly string[];
 }
 
@@ -15,13 +15,13 @@
     readonly taken: number;
 }
 
-/** Enough for every task to reach its next step: chains of promises end within one turn. */
+/** Enough for every task to reach its next step, since chains of promises complete within one turn. */
 const turnsPerStep = 2;
 const maxRuns = 50_000;
 
 /**
- * Runs a scenario once for every order in which its waiting steps can go on, and returns the number of runs.
- * The scenario must be repeatable: the same choices must lead to the same steps.
+ * Runs a scenario once for every order in which its waiting steps can continue, and returns the number of runs.
+ * The scenario must be deterministic: the same choices must lead to the same steps.
  */
 export async function exploreInterleavings(scenario: (interleaving: Interleaving) => Promise<void>): Promise<number> {
     let planned: readonly Branch[] | undefined = [];
@@ -75,7 +75,7 @@
     return branches;
 }
 
-/** Takes the next choice at the last branch that has one left. */
+/** Advances the last branch that has an untried choice; returns undefined if there is none. */
 function nextPlan(branches: readonly Branch[]): readonly Branch[] | undefined {
     const last = branches.findLastIndex(branch => branch.taken + 1 < branch.count);
     const branch = branches[last];
--- a/packages/daisyturn/src/__fixtures__/fakeEngine.ts
+++ b/packages/daisyturn/src/__fixtures__/fakeEngine.ts
@@ -16,52 +16,51 @@
 import { createFakeOrderHandler, type FakeOrderHandler, type FakeOrderHandlerOptions } from "./fakeOrderHandler.js";
 import { createFakeStream, type FakeStream, type StreamFault } from "./fakeStream.js";
 
-/** What goes wrong with one call to a fake engine. */
+/** Faults that can be injected into a call to a fake engine. */
 export enum CallFaultKind {
-    /** The call is refused, or can't be sent: NotRun. */
+    /** The call is refused or cannot be sent: NotRun. */
     Refuse = "refuse",
-    /** The call has its effect, and its answer is lost: MayHaveRun. */
+    /** The call takes effect, but its answer is lost: MayHaveRun. */
     LoseAnswer = "lose_answer",
-    /** The call has no effect, and nobody can tell: MayHaveRun. */
+    /** The call has no effect, but its caller cannot know that: MayHaveRun. */
     LoseRequest = "lose_request",
-    /** No answer until the caller gives up; no effect; MayHaveRun. */
+    /** The call has no effect and gets no answer until its caller gives up: MayHaveRun. */
     Hang = "hang",
 }
 
-/** Settings of a fake engine. */
 export interface FakeEngineOptions extends FakeOrderHandlerOptions {
     readonly engineId?: string;
     readonly firstTokenMilliseconds?: number;
     readonly tokenMilliseconds?: number;
-    /** The whole answer, token by token; absent: {@link fakeAnswer}. */
+    /** Returns the tokens of the complete answer. Default: {@link fakeAnswer}. */
     readonly answer?: (request: GenerateRequest) => readonly string[];
 }
 
-/** An engine in memory, which does what a test tells it. */
+/** An engine in memory that a test controls. */
 export interface FakeEngine extends Engine {
-    /** Requests that it took in, in order. */
+    /** Accepted requests, in order. */
     readonly accepted: GenerateRequest[];
-    /** Streams that were cancelled. */
+    /** Ids of cancelled streams. */
     readonly cancelled: string[];
     readonly orderHandler: FakeOrderHandler;
     readonly streams: ReadonlyMap<string, FakeStream>;
-    /** Faults of the next calls of `generate`, used up one by one; undefined lets one call pass. */
+    /** Faults of the next calls of `generate`, one each, in order; undefined for a call without a fault. */
     readonly generateFaults: (CallFaultKind | undefined)[];
-    /** Faults of the next streams that are read, by `generate` or `resume`. */
+    /** Faults of the next streams that are returned by `generate` or `resume`. */
     readonly streamFaults: (StreamFault | undefined)[];
     readonly orderFaults: (CallFaultKind | undefined)[];
-    /** Faults of the next readings of state, load and cache events. */
+    /** Faults of the next reads of state, load and cache events. */
     readonly readFaults: (CallFaultKind | undefined)[];
     /** Overrides fields of the load report. */
     loadChanges: Partial<LoadReport>;
     readonly cacheEvents: CacheEvent[];
-    /** Loses all streams and answers nothing until `restart`. */
+    /** Loses all streams and refuses all calls until `restart`. */
     crash(): void;
-    /** Comes back under a new incarnation, with what it had loaded; Stuck if a change was under way. */
+    /** Restarts as a new incarnation with the loaded models and adapters. Stuck if a change was in progress. */
     restart(): void;
 }
 
-/** The answer of a fake engine to a prompt: as many tokens as the prompt's number asks for, or 5. */
+/** Default answer to a prompt. A prompt with `tokens:N` is answered with N tokens, any other with 5. */
 export function fakeAnswer(request: GenerateRequest): readonly string[] {
     const count = Number(/tokens:(\d+)/.exec(request.prompt)?.[1] ?? "5");
     return Array.from(Array(count).keys(), index => `${request.prompt.slice(0, 8)}#${index} `);
@@ -78,7 +77,7 @@
     const incarnation = () => `${engineId}-run${incarnationNumber}`;
     const running = () => [...streams.values()].filter(stream => !stream.isOver());
 
-    /** Takes the next fault of a kind of call; undefined if the call goes through. */
+    /** Returns the next fault from the list, after the wait if it is Hang; undefined if there is no fault. */
     const applyNextFault = async (faults: (CallFaultKind | undefined)[], callEnded: Promise<void>) => {
         const fault = isDown ? CallFaultKind.Refuse : faults.shift();
         if (fault === CallFaultKind.Hang) {
@@ -246,7 +245,7 @@
     return engine;
 }
 
-/** The failure that a fault looks like to the caller. */
+/** Returns the failure that a fault causes. */
 export function failureOf(fault: CallFaultKind): Failure {
     return fault === CallFaultKind.Refuse
         ? notRun(FailureReason.TargetRefused, "The fake target refused.")
--- a/packages/daisyturn/src/__fixtures__/fakeOrderHandler.ts
+++ b/packages/daisyturn/src/__fixtures__/fakeOrderHandler.ts
@@ -1,7 +1,7 @@
 import type { Clock } from "daisyturn-utils";
 import { type EngineOrder, EnginePhase, EngineRole, OrderAnswer, OrderKind } from "../ports/engine.js";
 
-/** The part of a fake engine that orders change. */
+/** Handles orders to a fake engine and stores the state that they change. */
 export interface FakeOrderHandler {
     role: EngineRole;
     phase: EnginePhase;
@@ -11,27 +11,27 @@
     version: string;
     lastOrderId: string | undefined;
     highestFencingNumber: number;
-    /** Orders that took effect, in order: two that overlap or conflict are seen here. */
+    /** Accepted orders, in order. Overlapping or conflicting orders are visible here. */
     readonly effects: EngineOrder[];
-    /** The next change stops partway: phase Stuck. */
+    /** Whether the next change stops partway, in phase Stuck. */
     stopNextPartway: boolean;
     handle(order: EngineOrder): OrderAnswer;
-    /** Loses a change that is under way. */
+    /** Aborts a change that is in progress. */
     crash(): void;
 }
 
-/** What a fake engine starts with. */
+/** Initial state and settings of a fake engine's order handling. */
 export interface FakeOrderHandlerOptions {
     readonly clock: Clock;
     readonly role?: EngineRole;
     readonly models?: readonly string[];
     readonly adapters?: readonly string[];
     readonly checksFencingNumbers?: boolean;
-    /** Milliseconds that a change of role or a load takes. */
+    /** Duration of a role change or a load, in milliseconds. */
     readonly changeMilliseconds?: number;
 }
 
-/** Creates the part that takes orders. Drain and Resume take effect at once, all others after the change time. */
+/** Creates the order handler. Drain and Resume take effect at once, all other orders after `changeMilliseconds`. */
 export function createFakeOrderHandler(options: FakeOrderHandlerOptions): FakeOrderHandler {
     const { clock } = options;
     const seenOrderIds = new Set<string>();
--- a/packages/daisyturn/src/__fixtures__/fakePeerNetwork.ts
+++ b/packages/daisyturn/src/__fixtures__/fakePeerNetwork.ts
@@ -8,41 +8,41 @@
     type ProcessIdentity,
 } from "../process/peers/index.js";
 
-/** What happens to messages from one process to another. */
+/** Faults of the messages from one process to another. */
 interface Route {
     cut: boolean;
-    /** Milliseconds from sending to arrival. */
+    /** Delivery delay in milliseconds. */
     delay: number;
     answersToLose: number;
-    /** While set, answers wait here and leave in reverse order once two are held. */
+    /** While set, answers are queued here until there are two, which are then sent in reverse order. */
     queuedAnswers?: (() => void)[];
 }
 
-/** Several peer networks joined in memory. Messages pass by value, through JSON. */
+/** Peer networks connected in memory. Messages are copied through JSON. */
 export interface FakePeerNetworks {
-    /** Adds a process; one with the same process id is replaced, as by a restart. */
+    /** Adds a process. Replaces one with the same process id, as in a restart. */
     join(identity: ProcessIdentity): DialingPeerNetwork;
-    /** Ends a process: requests to it fail at once with NotRun, as on a refused connection. */
+    /** Removes a process. Requests to it fail at once with NotRun, as if the connection was refused. */
     remove(processId: string): void;
-    /** Loses all messages from one process to another, silently. */
+    /** Silently drops all messages from one process to another. */
     cut(from: string, to: string): void;
     cutBoth(one: string, other: string): void;
-    /** Cuts a process off from all others that have joined, both ways. */
+    /** Drops all messages between a process and all others, in both directions. */
     isolate(processId: string): void;
-    /** Ends the cuts between two processes, both ways. */
+    /** Restores the connection between two processes in both directions. */
     heal(one: string, other: string): void;
     healAll(): void;
-    /** Messages from one process to another arrive this many milliseconds of the clock later. */
+    /** Delays messages from one process to another, by the clock. */
     delay(from: string, to: string, milliseconds: number): void;
-    /** Loses the next answers that `from` gives to `to`, after the handler has run. */
+    /** Drops the next answers from `from` to `to`, after the handler has run. */
     loseAnswers(from: string, to: string, count: number): void;
-    /** Delivers the next two answers that `from` gives to `to` in reverse order. */
+    /** Delivers the next two answers from `from` to `to` in reverse order. */
     reorderAnswers(from: string, to: string): void;
-    /** Messages handed to the wire so far, by sender, with their JSON length. */
+    /** All messages sent so far, in order, whether delivered or not. */
     readonly sent: readonly SentMessage[];
 }
 
-/** A message that was handed to the wire. */
+/** A message that was sent, whether delivered or not. */
 export interface SentMessage {
     readonly from: string;
     readonly to: string;
@@ -50,7 +50,7 @@
     readonly parameters: JsonObject;
 }
 
-/** The identity of a process as tests need it: `p1` in VM `vm-p1`, at the address `p1:1`. */
+/** Creates the identity of a process for tests, such as `p1` on VM `vm-p1` at the address `p1:1`. */
 export function createFakeIdentity(processId: string, incarnation = `${processId}-1`): ProcessIdentity {
     return {
         processId,
@@ -61,10 +61,10 @@
     };
 }
 
-/** Milliseconds between two tries to connect to an address that can't be reached. */
+/** Milliseconds between two attempts to connect to an address. */
 const reconnectInterval = 250;
 
-/** Joins networks in memory; `clock` decides when delayed messages arrive and deadlines pass. */
+/** Creates connected networks in memory. `clock` determines when delayed messages arrive and deadlines pass. */
 export function createFakePeerNetworks(clock: Clock): FakePeerNetworks {
     const members = new Map<string, FakePeerNetwork>();
     const routes = new Map<string, Route>();
@@ -77,7 +77,7 @@
         return route;
     };
 
-    /** Waits for the way to be covered; false if the message was lost on it. */
+    /** Waits until the message is delivered. Returns false if it was lost. */
     const transmit = async (from: string, to: string): Promise<boolean> => {
         const route = routeOf(from, to);
         if (route.cut) {
@@ -203,7 +203,7 @@
             this.helloListeners.push(listener);
         }
 
-        /** Says hello to whoever stands at the address, again whenever another incarnation does. */
+        /** Exchanges hellos with the process at the address, and again whenever its incarnation changes. */
         private async keepConnected(address: string): Promise<void> {
             let known: string | undefined;
             while (this.addresses.has(address) && this.isJoined()) {
--- a/packages/daisyturn/src/__fixtures__/fakePlainService.ts
+++ b/packages/daisyturn/src/__fixtures__/fakePlainService.ts
@@ -3,20 +3,19 @@
 import { PlainService, type ServiceAnswer, type ServiceCall } from "../ports/plainService.js";
 import { CallFaultKind, failureOf, untilAborted } from "./fakeEngine.js";
 
-/** Settings of a fake plain service. */
 export interface FakePlainServiceOptions {
     readonly targetId?: string;
-    /** Absent: status 200 and a text that names the execution, so that two executions give different answers. */
+    /** Default: status 200 and a text with the execution's number, so that two executions return different answers. */
     readonly answer?: (call: ServiceCall, execution: number) => ServiceAnswer;
-    /** Awaited before each call runs, so that a test can hold calls up. */
+    /** Awaited before each call runs, so that a test can delay calls. */
     readonly beforeEach?: (call: ServiceCall) => Promise<void>;
 }
 
-/** A plain service in memory, which does what a test tells it. */
+/** A plain service in memory that a test controls. */
 export interface FakePlainService extends PlainService {
-    /** Calls that ran, in order; a call that ran twice is here twice. */
+    /** Calls that ran, in order. A call that ran twice is listed twice. */
     readonly executed: ServiceCall[];
-    /** Faults of the next calls, used up one by one; undefined lets one call pass. */
+    /** Faults of the next calls, one each, in order; undefined for a call without a fault. */
     readonly faults: (CallFaultKind | undefined)[];
 }
 
--- a/packages/daisyturn/src/__fixtures__/fakeStream.ts
+++ b/packages/daisyturn/src/__fixtures__/fakeStream.ts
@@ -9,51 +9,50 @@
     type StreamTokens,
 } from "../ports/engine.js";
 
-/** What goes wrong with a stream of a fake engine. */
+/** Faults that can be injected into a stream of a fake engine. */
 export enum StreamFaultKind {
-    /** The stream is cut: a Broken follows. The engine goes on and the stream can be resumed. */
+    /** The stream breaks with a Broken. The engine continues, and the stream can be resumed. */
     Break = "break",
-    /** The stream ends without an end mark. */
+    /** The stream ends without an end event. */
     EndShort = "end_short",
-    /** The event comes twice. */
+    /** The event is sent twice. */
     Duplicate = "duplicate",
-    /** The event is left out. */
+    /** The event is omitted. */
     Skip = "skip",
-    /** The event trades places with the one after it. */
+    /** The event is swapped with the next one. */
     Swap = "swap",
     /** The event's text belongs to another request. */
     Foreign = "foreign",
-    /** Nothing more comes until the reader's signal is aborted. */
+    /** No more events are sent until the reader's signal is aborted. */
     Hang = "hang",
-    /** The event comes `delayMilliseconds` later. */
+    /** The event is delayed by `delayMilliseconds`. */
     Delay = "delay",
 }
 
-/** A fault of one reading of a stream. */
+/** A fault that occurs when a stream is read. */
 export interface StreamFault {
     readonly kind: StreamFaultKind;
-    /** Tokens after which it strikes. */
+    /** Number of events before the one that is affected. */
     readonly afterTokens: number;
     readonly delayMilliseconds?: number;
 }
 
-/** A stream that a fake engine produces by the clock, one token at a time. */
+/** A stream of a fake engine, which produces one token at a time according to the clock. */
 export interface FakeStream {
     readonly request: GenerateRequest;
-    /** Ended, cancelled or lost. */
+    /** Whether the stream has ended, was cancelled or was lost. */
     isOver(): boolean;
     producedTokens(): number;
     cancel(): void;
-    /** Loses the stream, as a crash does: readers get a Broken. */
+    /** Loses the stream as in a crash. Readers receive a Broken. */
     lose(): void;
     read(offset: number, fault: StreamFault | undefined, signal: AbortSignal): AsyncGenerator<StreamEvent>;
 }
 
-/** How fast a stream comes, in milliseconds of the clock. */
 export interface FakeStreamOptions {
     readonly clock: Clock;
     readonly request: GenerateRequest;
-    /** The whole answer, token by token. */
+    /** The tokens of the complete answer. */
     readonly tokens: readonly string[];
     readonly firstTokenMilliseconds: number;
     readonly tokenMilliseconds: number;
--- a/packages/daisyturn/src/__fixtures__/pausableClock.ts
+++ b/packages/daisyturn/src/__fixtures__/pausableClock.ts
@@ -1,6 +1,6 @@
 import { Clock } from "daisyturn-utils";
 
-/** A process's view of a clock that goes on while the process itself is paused: its sleeps end only once it resumes. */
+/** The clock of a process that a test can pause. Time advances during a pause, but sleeps end only after it. */
 export class PausableClock extends Clock {
     private resumed: Promise<void> | undefined;
     private release: () => void = () => undefined;
--- a/packages/daisyturn/src/version/__tests__/createConfigurationVersion.test.ts
+++ b/packages/daisyturn/src/version/__tests__/createConfigurationVersion.test.ts
@@ -30,7 +30,7 @@
         createModelService(partner, name, "a"),
         { ...createAccount(partner, name, []), keyHash },
         createHold(partner, name),
-        // Names of targets are unique over the partners.
+        // Names of targets are unique across partners.
         createTarget(partner, `${partner}-${name}`),
         { kind: ItemKind.Share, partner, name: "share", weight: 2 },
     ];
@@ -38,7 +38,7 @@
 });
 const changeArbitrary: fc.Arbitrary<ItemChange> = fc.oneof(itemArbitrary.map(put), itemArbitrary.map(remove));
 
-/** Changes as `validateChange` lets them through: no item twice, and no key for two accounts. */
+/** Keeps only changes that `validateChange` accepts: no item twice, and no key for two accounts. */
 function keepValid(version: IndexedVersion, changes: readonly ItemChange[]): ItemChange[] {
     const kept = new Map<string, ItemChange>();
     for (const change of changes) {
@@ -77,7 +77,7 @@
 }
 
 describe("createConfigurationVersion", () => {
-    it("derives the same version by changes as from all items anew, and leaves earlier ones alone", () => {
+    it("derives the same version by changes as from all items, and does not modify earlier versions", () => {
         fc.assert(
             fc.property(fc.array(fc.array(changeArbitrary, { maxLength: 6 }), { maxLength: 40 }), steps => {
                 let version = createConfigurationVersion(0, []);
@@ -96,7 +96,7 @@
         );
     });
 
-    it("finds and forgets single items among thousands over many changes", () => {
+    it("adds and removes single items among thousands over many changes", () => {
         const accounts = Array.from({ length: 2_000 }, (...[, index]) => createAccount("north", `a${index}`, []));
         let version = createConfigurationVersion(1, accounts);
         for (let index = 0; index < 200; index++) {
@@ -109,7 +109,7 @@
         }
     });
 
-    it("keeps items of a kind that it does not know", () => {
+    it("preserves items of an unknown kind", () => {
         const strange = { kind: "new-kind", partner: "north", name: "x" } as unknown as ConfigurationItem;
         assert.deepEqual(createConfigurationVersion(1, [strange]).items, [strange]);
     });
--- a/packages/daisyturn/src/version/__tests__/validateChange.test.ts
+++ b/packages/daisyturn/src/version/__tests__/validateChange.test.ts
@@ -31,7 +31,7 @@
 
 describe("validateChange", () => {
     const accepted: [string, string, ItemChange[]][] = [
-        ["a service moved to another profile while its old one goes", "north", [
+        ["a service moved to another profile while the old one is removed", "north", [
             remove(profile),
             put(createProfile("north", "short")),
             put(createModelService("north", "valuation", "short")),
@@ -39,7 +39,7 @@
         ["a profile and its only service removed together", "north", [remove(profile), remove(service)]],
         ["a hold on the other partner's target", "south", [put(createHold("south", "engine-1"))]],
         ["a service on the other partner's plain target", "south", [put(createPlainService("south", "q", ["desk-1"]))]],
-        ["a key that passes from one account to another", "north", [
+        ["a key that is moved from one account to another", "north", [
             remove(account),
             put({ ...account, name: "desk-2" }),
         ]],
@@ -51,10 +51,10 @@
     const refused: [string, FailureReason, string, ItemChange[]][] = [
         ["another partner's item", FailureReason.Forbidden, "south", [put(createProfile("north", "dossier"))]],
         ["the removal of another partner's item", FailureReason.Forbidden, "south", [remove(target)]],
-        ["the removal of what is not there", FailureReason.NotFound, "south", [
+        ["the removal of an item that does not exist", FailureReason.NotFound, "south", [
             remove(createHold("south", "engine-1")),
         ]],
-        ["a profile taken from under its service", FailureReason.Conflict, "north", [remove(profile)]],
+        ["the removal of a profile that a service uses", FailureReason.Conflict, "north", [remove(profile)]],
         ["a service without its profile", FailureReason.BadRequest, "south", [
             put(createModelService("south", "s", "dossier")),
         ]],
@@ -80,7 +80,7 @@
             put({ ...profile, firstTokenLimit: 5 } as typeof profile),
         ]],
         ["one item changed twice", FailureReason.BadRequest, "north", [put(profile), remove(profile)]],
-        ["a change of nothing", FailureReason.BadRequest, "north", []],
+        ["an empty change", FailureReason.BadRequest, "north", []],
     ];
     for (const [what, reason, partner, changes] of refused) {
         it(`refuses ${what}`, () => assert.equal(refusalOf(partner, ...changes), reason));
--- a/packages/daisyturn/src/version/compareChange.ts
+++ b/packages/daisyturn/src/version/compareChange.ts
@@ -4,16 +4,16 @@
 import type { ConfigurationVersion } from "./configurationVersion.js";
 import { identityOf } from "./validateChange.js";
 
-/** What a step of a change would do to its item. */
+/** Effect of one step of a change on its item. */
 export enum ItemEffect {
     Added = "added",
     Replaced = "replaced",
     Removed = "removed",
-    /** The item stands already as the step would write it. */
+    /** The item already equals what the step would write. */
     Unchanged = "unchanged",
 }
 
-/** One step's effect, with the item before and after it. */
+/** The effect of one step, with the item before and after it. */
 export interface ItemDifference {
     readonly identity: ItemIdentity;
     readonly effect: ItemEffect;
@@ -21,7 +21,7 @@
     readonly after?: ConfigurationItem;
 }
 
-/** Tells what each step of a change would do to a version. */
+/** Determines the effect of each step of a change on a version. */
 export function compareChange(version: ConfigurationVersion, changes: readonly ItemChange[]): ItemDifference[] {
     return changes.map(change => {
         const identity = identityOf(change);
--- a/packages/daisyturn/src/version/configurationChange.ts
+++ b/packages/daisyturn/src/version/configurationChange.ts
@@ -1,18 +1,17 @@
 import type { ConfigurationItem, ItemIdentity } from "./configurationItems.js";
 
-/** What is done to one item. */
+/** Actions on an item. */
 export enum ChangeAction {
     Put = "put",
     Remove = "remove",
 }
 
-/** Writes an item, whole. */
+/** Adds an item or replaces it as a whole. */
 export interface PutItem {
     readonly action: ChangeAction.Put;
     readonly item: ConfigurationItem;
 }
 
-/** Removes an item. */
 export interface RemoveItem {
     readonly action: ChangeAction.Remove;
     readonly identity: ItemIdentity;
@@ -21,18 +20,18 @@
 /** One step of a change. */
 export type ItemChange = PutItem | RemoveItem;
 
-/** What an operator asks for. All changes take effect in one generation, or none. */
+/** An operator's change request. All its changes take effect in one generation, or none does. */
 export interface ChangeRequest {
-    /** Chosen by the operator's client; asking again with the same id tells the outcome and changes nothing more. */
+    /** Chosen by the operator's client. A repeated request with the same id only returns the outcome. */
     readonly writeId: string;
     readonly partner: string;
     readonly operator: string;
     readonly changes: readonly ItemChange[];
-    /** If present, the change is refused unless the fleet stands at this generation. */
+    /** If present, the change is refused unless this is the fleet's current generation. */
     readonly expectedGeneration?: number;
 }
 
-/** A change that the fleet has accepted. Kept in the table service, pushed to every process. */
+/** A change that the fleet has accepted. It is stored in the table service and pushed to every process. */
 export interface AcceptedChange {
     readonly generation: number;
     readonly writeId: string;
@@ -43,11 +42,11 @@
     readonly acceptedAt: number;
 }
 
-/** What the operator is told. */
+/** Answer to the operator. */
 export interface ChangeAnswer {
     readonly generation: number;
-    /** Processes that have confirmed that this generation or a later one is in force. */
+    /** Processes that have confirmed that this generation or a later one is active. */
     readonly inForceAt: readonly string[];
-    /** Members that have not confirmed before the answer was given. */
+    /** Members that had not confirmed it when the answer was sent. */
     readonly notConfirmedBy: readonly string[];
 }
--- a/packages/daisyturn/src/version/configurationItems.ts
+++ b/packages/daisyturn/src/version/configurationItems.ts
@@ -1,6 +1,6 @@
 import type { EngineRole, Priority } from "../ports/engine.js";
 
-/** Kinds of item that the fleet's configuration is made of. */
+/** Kinds of items in the fleet's configuration. */
 export enum ItemKind {
     Profile = "profile",
     Service = "service",
@@ -10,7 +10,7 @@
     Share = "share",
 }
 
-/** Names one item. Every item belongs to one partner, and only that partner's operators change it. */
+/** Identifies an item. Every item belongs to one partner, and only that partner's operators may change it. */
 export interface ItemIdentity {
     readonly kind: ItemKind;
     readonly partner: string;
@@ -19,8 +19,8 @@
 }
 
 /**
- * How a class of model requests is treated. Its limits are lengths of time because an operator writes them before
- * any request exists; on arrival each becomes a deadline, and only deadlines are kept.
+ * Limits and priority of a class of model requests. Time limits are durations, because operators set them before any
+ * request exists. When a request arrives, they are converted to deadlines, and only the deadlines are stored.
  */
 export interface Profile extends ItemIdentity {
     readonly kind: ItemKind.Profile;
@@ -31,13 +31,13 @@
     readonly betweenTokensLimitMilliseconds: number;
     readonly totalLimitMilliseconds: number;
     readonly maxOutputTokens: number;
-    /** Worth of one request answered in time, in the partner's own unit. */
+    /** Value of one request that is answered in time, in a unit chosen by the partner. */
     readonly goodputWorth: number;
-    /** What one role change costs the partner, in the unit of `goodputWorth`. */
+    /** Cost of one role change to the partner, in the unit of `goodputWorth`. */
     readonly roleChangeCost: number;
 }
 
-/** What stands behind a service. */
+/** Kinds of back ends of a service. */
 export enum ServiceKind {
     Model = "model",
     Plain = "plain",
@@ -46,29 +46,29 @@
 /** Calls of a plain service that share a method and a path prefix. */
 export interface ServiceRoute {
     readonly method: string;
-    /** With a leading slash, after the service's own prefix. The longest match counts. */
+    /** Path after the service's prefix, with a leading slash. The longest matching prefix applies. */
     readonly pathPrefix: string;
     /** A call that is not idempotent runs at most once. */
     readonly idempotent: boolean;
 }
 
-/** What callers ask for by name. A call without a matching route counts as not idempotent. */
+/** A service that callers request by name. A call without a matching route is treated as not idempotent. */
 export interface Service extends ItemIdentity {
     readonly kind: ItemKind.Service;
     readonly serviceKind: ServiceKind;
-    /** With Model: name of the same partner's profile. */
+    /** For Model: name of a profile of the same partner. */
     readonly profile?: string;
-    /** With Plain: names of targets that can answer. */
+    /** For Plain: names of targets that provide the service. */
     readonly targets?: readonly string[];
     readonly routes?: readonly ServiceRoute[];
-    /** With Plain: limit of one call in milliseconds. */
+    /** For Plain: timeout of one call in milliseconds. */
     readonly callLimitMilliseconds?: number;
 }
 
 /** A caller's key and limits. */
 export interface CallerAccount extends ItemIdentity {
     readonly kind: ItemKind.CallerAccount;
-    /** SHA-256 of the key in hexadecimal digits. */
+    /** SHA-256 of the key, in hexadecimal digits. */
     readonly keyHash: string;
     /** Names of the partner's services that the account may use. */
     readonly services: readonly string[];
@@ -76,52 +76,51 @@
     readonly concurrentRequests: number;
 }
 
-/** Why a partner keeps a target from taking new work. */
+/** Reasons for which a partner holds a target. */
 export enum HoldKind {
     Drain = "drain",
     Withdraw = "withdraw",
     Replace = "replace",
 }
 
-/** A partner's hold on a target; its `name` is the target's. New work needs that no partner holds the target. */
+/** A partner's hold on a target, with the target's name. A target gets no new work while any partner holds it. */
 export interface Hold extends ItemIdentity {
     readonly kind: ItemKind.Hold;
     readonly holdKind: HoldKind;
-    /** With Replace: the target that takes its place. */
+    /** For Replace: name of the target that replaces it. */
     readonly replacement?: string;
     readonly note?: string;
 }
 
-/** Kinds of back end. */
+/** Kinds of targets. */
 export enum TargetKind {
     Engine = "engine",
     PlainService = "plain_service",
 }
 
-/** A back end known to the fleet. */
+/** A back end that is registered with the fleet. */
 export interface Target extends ItemIdentity {
     readonly kind: ItemKind.Target;
     readonly targetKind: TargetKind;
     /** `http://address:port` or `https://address:port`, as the adapter expects. */
     readonly url: string;
     readonly availabilityZone: string;
-    /** Whether an engine refuses an order with an old fencing number. Absent counts as false. */
+    /** Whether an engine refuses orders with an outdated fencing number. Default: false. */
     readonly checksFencingNumbers?: boolean;
-    /** Roles that the engine may be given; absent: all. */
+    /** Roles that may be assigned to the engine; all if absent. */
     readonly allowedRoles?: readonly EngineRole[];
     readonly models?: readonly string[];
 }
 
-/** A partner's weight in the sharing of engine time; `name` is `share`. */
+/** A partner's weight when engine time is shared among partners. `name` is `share`. */
 export interface Share extends ItemIdentity {
     readonly kind: ItemKind.Share;
     readonly weight: number;
 }
 
-/** One item of the configuration. */
 export type ConfigurationItem = Profile | Service | CallerAccount | Hold | Target | Share;
 
-/** The fields that name an item, as one text: for keys of rows and maps. */
+/** Formats an item's identity as a string, for keys of rows and maps. */
 export function formatItemIdentity(identity: ItemIdentity): string {
     return `${identity.kind}/${identity.partner}/${identity.name}`;
 }
--- a/packages/daisyturn/src/version/configurationVersion.ts
+++ b/packages/daisyturn/src/version/configurationVersion.ts
@@ -8,7 +8,7 @@
     Target,
 } from "./configurationItems.js";
 
-/** The whole configuration at one generation. It never changes; requests keep the one they were accepted under. */
+/** Immutable configuration of one generation. A request uses the version under which it was accepted until it ends. */
 export interface ConfigurationVersion {
     readonly generation: number;
     readonly items: readonly ConfigurationItem[];
@@ -16,11 +16,11 @@
     findProfile(partner: string, name: string): Profile | undefined;
     findService(partner: string, name: string): Service | undefined;
     findAccountByKeyHash(keyHash: string): CallerAccount | undefined;
-    /** Every partner's hold on the target. */
+    /** Returns all partners' holds on the target. */
     holdsOn(targetName: string): readonly Hold[];
-    /** A target's name is unique over the partners; the first partner to register it owns it. */
+    /** A target's name is unique across partners. The first partner to register it owns it. */
     findTarget(targetName: string): Target | undefined;
     readonly targets: readonly Target[];
-    /** Weight of a partner in the sharing of engine time; 1 where none is published. */
+    /** Weight of a partner when engine time is shared; 1 if the partner has no share item. */
     shareWeight(partner: string): number;
 }
--- a/packages/daisyturn/src/version/createConfigurationVersion.ts
+++ b/packages/daisyturn/src/version/createConfigurationVersion.ts
@@ -14,20 +14,20 @@
 import type { ConfigurationVersion } from "./configurationVersion.js";
 import { createLayeredMap, type LayeredMap } from "./layeredMap.js";
 
-/** Name of the one item of kind {@link ItemKind.Share} that a partner has. */
+/** Name of a partner's only item of kind {@link ItemKind.Share}. */
 export const shareItemName = "share";
 
-/** A version from which later ones are derived without a full copy. */
+/** A version from which later versions can be derived without a full copy. */
 export interface IndexedVersion extends ConfigurationVersion {
-    /** The version after the change; this one stays as it is. */
+    /** Returns the version after the change. This version does not change. */
     apply(change: Pick<AcceptedChange, "generation" | "changes">): IndexedVersion;
-    /** Items of one kind, of all partners. */
+    /** Returns the items of one kind, of all partners. */
     itemsOfKind(kind: ItemKind): IterableIterator<ConfigurationItem>;
 }
 
-/** Every way in which a version is looked up. Each map shares memory with that of the version before. */
+/** Indexes of a version. Each map shares memory with that of the previous version. */
 interface Indexes {
-    /** By kind. A kind that a newer release has brought in is kept, though nothing here looks for it. */
+    /** Items by kind, including unknown kinds from newer releases, which are preserved. */
     readonly items: ReadonlyMap<ItemKind, LayeredMap<ConfigurationItem>>;
     readonly accountsByKeyHash: LayeredMap<CallerAccount>;
     readonly targetsByName: LayeredMap<Target>;
@@ -117,7 +117,7 @@
             indexEdits.set(earlier.keyHash, undefined);
         }
     }
-    // Second pass: a key may pass from one account to another within one change.
+    // Added in a second pass, because a change may move a key from one account to another.
     for (const item of edits.values()) {
         if (item) {
             indexEdits.set((item as CallerAccount).keyHash, item as CallerAccount);
--- a/packages/daisyturn/src/version/createVersionUsage.ts
+++ b/packages/daisyturn/src/version/createVersionUsage.ts
@@ -1,29 +1,29 @@
 import { formatItemIdentity, type ItemIdentity } from "./configurationItems.js";
 import type { ConfigurationVersion } from "./configurationVersion.js";
 
-/** A request's hold on the version under which it arrived. */
+/** Keeps a request counted under the version that was active when it arrived. */
 export interface VersionPin {
     readonly version: ConfigurationVersion;
-    /** Notes an item that the request runs under. Until the first note it counts as running under any item. */
+    /** Records an item that the request uses. Until the first call, the request counts as using every item. */
     use(identity: ItemIdentity): void;
-    /** To be called once when the request has ended; later calls do nothing. */
+    /** Must be called when the request has ended. Further calls have no effect. */
     release(): void;
 }
 
-/** Requests of this process that run under one generation. */
+/** Number of running requests of this process under one generation. */
 export interface GenerationUsage {
     readonly generation: number;
     readonly requests: number;
 }
 
-/** Counts the running requests of this process by the generation and the items that they run under. */
+/** Counts the running requests of this process by generation and by the items that they use. */
 export interface VersionUsage {
     /**
-     * Pins the version in force for a request. Taking the version and counting the request is one step, so that nobody
-     * is told in between that nothing runs under an old version any more.
+     * Pins the active version for a request. The version is read and the request counted in one step. Otherwise, a
+     * count in between could report that no request runs under an old version any more.
      */
     pin(): VersionPin;
-    /** Running requests that arrived before `generation` was in force here and run under the item, or may yet. */
+    /** Counts running requests pinned before `generation` was active here that use, or may yet use, the item. */
     countBefore(generation: number, identity: ItemIdentity): number;
     /** By generation, oldest first. */
     list(): readonly GenerationUsage[];
@@ -34,7 +34,7 @@
     readonly items: Set<string>;
 }
 
-/** Creates the count of one process. */
+/** Creates the counter of one process. */
 export function createVersionUsage(current: () => ConfigurationVersion): VersionUsage {
     const pins = new Set<PinRecord>();
 
--- a/packages/daisyturn/src/version/forwarding/__tests__/createRouteTable.test.ts
+++ b/packages/daisyturn/src/version/forwarding/__tests__/createRouteTable.test.ts
@@ -20,7 +20,7 @@
 
 const limits = { maxHeaderBytes: 1, maxBodyBytes: 1, headerMilliseconds: 1, idleMilliseconds: 1 };
 
-test("the longest prefix of the host that begins the path is chosen", () => {
+test("the host's route with the longest matching path prefix is chosen", () => {
     const routes = [
         createRoute("a.example", "/x/"),
         createRoute("a.example", "/x/y/"),
@@ -34,7 +34,7 @@
     assert.equal(table.find("c.example", "/x/"), undefined);
 });
 
-test("requests are dealt out by weight, and the same one always goes to the same service", () => {
+test("requests are distributed by weight, and the same one always goes to the same service", () => {
     const route = createRoute("a", "/", [{ service: "s", weight: 90 }, { service: "t", weight: 10 }, {
         service: "u",
         weight: 0,
--- a/packages/daisyturn/src/version/forwarding/createRouteTable.ts
+++ b/packages/daisyturn/src/version/forwarding/createRouteTable.ts
@@ -1,16 +1,16 @@
 import { hashTextTo32Bits } from "daisyturn-utils";
 import type { ForwardingConfiguration, ForwardRoute, ServiceShare } from "./forwardingConfiguration.js";
 
-/** The routes of one configuration, ready to be searched. */
+/** Lookup table for the routes of one configuration. */
 export interface RouteTable {
     readonly configuration: ForwardingConfiguration;
-    /** The route of this host with the longest prefix that begins the path. */
+    /** Finds the host's route with the longest prefix of the path. */
     find(host: string, path: string): ForwardRoute | undefined;
-    /** Shortest of the pauses that the routes to a service allow between two events; Infinity where none sets one. */
+    /** Returns the minimum target pause between events over the routes to a service; Infinity if none sets one. */
     minPauseAim(service: string): number;
 }
 
-/** Groups the routes by host, the longest prefix first, so that the first match is the right one. */
+/** Groups the routes by host, sorted by descending prefix length, so that the first match is the longest. */
 export function createRouteTable(configuration: ForwardingConfiguration): RouteTable {
     const byHost = new Map<string, ForwardRoute[]>();
     for (const route of configuration.routes) {
@@ -33,7 +33,7 @@
     };
 }
 
-/** Deals a route's requests out to its services by weight; the same identifier always goes to the same service. */
+/** Distributes a route's requests to its services by weight. The same `callId` always maps to the same service. */
 export function chooseService(route: ForwardRoute, callId: string): string | undefined {
     const shares = route.shares.filter(share => share.weight > 0);
     const total = shares.reduce((sum, share) => sum + share.weight, 0);
--- a/packages/daisyturn/src/version/forwarding/forwardingConfiguration.ts
+++ b/packages/daisyturn/src/version/forwarding/forwardingConfiguration.ts
@@ -1,62 +1,62 @@
-/** What a route says about repeating its requests. */
+/** How often requests of a route may run. */
 export enum CallKind {
     /** May run more than once. */
     Idempotent = "idempotent",
     /** May run at most once for each of the caller's attempts. */
     NonIdempotent = "non_idempotent",
-    /** Answered by a series of events; repeated only by going on after the last event that arrived. */
+    /** Answered with a stream of events. A retry may only continue after the last event received. */
     Stream = "stream",
 }
 
-/** A service that takes a part of a route's requests. */
+/** A service that receives a share of a route's requests. */
 export interface ServiceShare {
     readonly service: string;
     readonly weight: number;
 }
 
-/** Where requests with a host and a path go, and how they are to be treated. */
+/** Services and limits for requests with a host and a path prefix. */
 export interface ForwardRoute {
     readonly name: string;
     readonly host: string;
     /** Begins and ends with a slash. */
     readonly pathPrefix: string;
     readonly kind: CallKind;
-    /** Longest time that a request may be kept waiting. */
+    /** Maximum time from the arrival of a request to its deadline. */
     readonly timeoutMilliseconds: number;
-    /** Time within which an answer (of a stream: its first event) is on time. */
+    /** Target latency of an answer (of a stream: of its first event). */
     readonly latencyAimMilliseconds: number;
-    /** Longest pause between two events with which a stream is on time; absent where any pause is. */
+    /** Target pause: the maximum pause between two events of a stream that is on time; unlimited if absent. */
     readonly pauseAimMilliseconds?: number;
-    /** Rank among routes; 0 comes first. */
+    /** Priority among routes. 0 is the highest. */
     readonly priority: number;
-    /** At least one. */
+    /** Contains at least one entry. */
     readonly shares: readonly ServiceShare[];
-    /** Most targets that one request may be sent to. */
+    /** Maximum number of targets to which one request may be sent. */
     readonly maxAttempts: number;
     /** Whether a broken stream may be continued at another target. */
     readonly isResumable: boolean;
 }
 
-/** What all engines of a service have in common. */
+/** Properties that all engines of a service share. */
 export interface EngineTraits {
-    /** Tokens of KV cache that one engine holds. */
+    /** KV cache capacity of one engine, in tokens. */
     readonly kvTokens: number;
-    /** Bytes of KV cache a token. */
+    /** KV cache size per token, in bytes. */
     readonly bytesPerToken: number;
-    /** Bandwidth of the link between engines, in megabits a second. */
+    /** Bandwidth of the link between engines, in megabits per second. */
     readonly linkMegabits: number;
-    /** Output tokens that one event of an answer holds. */
+    /** Output tokens per event of an answer. */
     readonly tokensPerEvent: number;
 }
 
-/** A group of targets that do the same work. */
+/** A group of interchangeable targets. */
 export interface ForwardService {
     readonly name: string;
     /** Absent for plain services. */
     readonly engine?: EngineTraits;
 }
 
-/** What a caller may cost. */
+/** Limits on callers' requests and connections. */
 export interface ForwardLimits {
     readonly maxHeaderBytes: number;
     readonly maxBodyBytes: number;
@@ -64,7 +64,7 @@
     readonly idleMilliseconds: number;
 }
 
-/** One version of the operators' configuration, whole. */
+/** One complete version of the operators' configuration. */
 export interface ForwardingConfiguration {
     readonly version: number;
     readonly routes: readonly ForwardRoute[];
--- a/packages/daisyturn/src/version/itemSchemas.ts
+++ b/packages/daisyturn/src/version/itemSchemas.ts
@@ -3,16 +3,16 @@
 import { ChangeAction, type ItemChange } from "./configurationChange.js";
 import { HoldKind, ItemKind, ServiceKind, TargetKind } from "./configurationItems.js";
 
-/** Longest name of an item or partner, so that keys of rows stay short. */
+/** Applies to names of items and partners, and keeps the keys of rows short. */
 const maxNameLength = 63;
 const maxTextLength = 500;
 const maxReferences = 1_000;
-/** A day: a longer limit is a slip of the unit. */
+/** One day. A longer limit is almost certainly given in the wrong unit. */
 const maxLimitMilliseconds = 86_400_000;
-/** Each step writes a row, and table services commonly take no more than 100 rows in one transaction. */
+/** Each step writes a row, and table services commonly accept at most 100 rows per transaction. */
 const maxChanges = 90;
 
-/** Lower-case letters, digits, `-` and `.`, as in the host names that operators know. */
+/** Lower-case letters, digits, `-` and `.`, as in host names. */
 const nameSchema = z.string().max(maxNameLength).regex(
     /^[a-z0-9]([a-z0-9.-]*[a-z0-9])?$/,
     "must consist of lower-case letters, digits, - and ., and begin and end with a letter or digit",
@@ -64,7 +64,6 @@
     concurrentRequests: z.number().int().positive(),
 });
 
-/** A partner's hold on a target. */
 export const holdSchema = z.strictObject({
     kind: z.literal(ItemKind.Hold),
     partner: nameSchema,
@@ -93,7 +92,7 @@
     weight: z.number().positive(),
 });
 
-/** One item; a field that is not known is an error, since it is most often a misspelt one. */
+/** Schema of an item. An unknown field is an error, because it is usually a misspelled one. */
 export const itemSchema = z.discriminatedUnion("kind", [
     profileSchema,
     serviceSchema,
@@ -103,29 +102,28 @@
     shareSchema,
 ]);
 
-/** Names one item. */
 export const identitySchema = z.strictObject({ kind: z.enum(ItemKind), partner: nameSchema, name: nameSchema });
 
-/** The steps of a change. */
+/** Schema of the steps of a change. */
 export const changesSchema: z.ZodType<ItemChange[]> = z.array(z.discriminatedUnion("action", [
     z.strictObject({ action: z.literal(ChangeAction.Put), item: itemSchema }),
     z.strictObject({ action: z.literal(ChangeAction.Remove), identity: identitySchema }),
 ])).min(1).max(maxChanges);
 
-/** Chosen by the operator's client; becomes part of a row's key. */
+/** Schema of the id that the operator's client chooses. The id becomes part of a row's key. */
 export const writeIdSchema = z.string().regex(
     /^[A-Za-z0-9._-]{1,100}$/,
     "must consist of 1 to 100 letters, digits, ., _ and -",
 );
 
-/** The operator's part of a change request; partner and operator come from the key. */
+/** Schema of the body of a change request. Partner and operator are derived from the operator's key. */
 export const changeBodySchema = z.strictObject({
     writeId: writeIdSchema,
     changes: changesSchema,
     expectedGeneration: z.number().int().nonnegative().optional(),
 });
 
-/** The first problem that zod found, with its path, in one sentence. */
+/** Describes the first problem that zod found, with its path. */
 export function describeProblem(error: z.ZodError): string {
     const issue = error.issues[0];
     const path = issue?.path.join(".") ?? "";
--- a/packages/daisyturn/src/version/layeredMap.ts
+++ b/packages/daisyturn/src/version/layeredMap.ts
@@ -1,20 +1,20 @@
-/** An immutable map whose successors share most of their memory with it. */
+/** An immutable map. Maps derived from it share most of its memory. */
 export interface LayeredMap<Value> {
     readonly size: number;
     get(key: string): Value | undefined;
     values(): IterableIterator<Value>;
-    /** A map with the edits made; an edit of `undefined` removes the key. */
+    /** Returns a map with the edits applied. An edit to `undefined` removes the key. */
     withEdits(edits: ReadonlyMap<string, Value | undefined>): LayeredMap<Value>;
 }
 
-/** Below this many edits a successor never copies the base, however small that is. */
+/** Lower bound of the number of edits above which the base is copied, for small bases. */
 const minFoldThreshold = 32;
 
 /**
- * Creates a map of two layers: a large base that successors share, and the edits since, copied on each change.
- * The edits are folded into a new base once they outnumber the square root of its size. So a change of one key
- * costs about the square root of the size, both for the copy of the edits and for the fold shared out over them;
- * a hash trie would cost less per change and more per lookup, and every request looks up.
+ * Creates a map of two layers: a large base that derived maps share, and the edits since, which each change copies.
+ * The edits are folded into a new base when their number exceeds the square root of its size. A change of one key thus
+ * costs about the square root of the size, for copying the edits and for the amortized cost of folding. A hash trie
+ * would make changes cheaper but lookups more expensive, and every request does lookups.
  */
 export function createLayeredMap<Value>(base: ReadonlyMap<string, Value>): LayeredMap<Value> {
     return createLayers(base, new Map(), base.size);
--- a/packages/daisyturn/src/version/validateChange.ts
+++ b/packages/daisyturn/src/version/validateChange.ts
@@ -17,9 +17,9 @@
 import { changeBodySchema, describeProblem } from "./itemSchemas.js";
 
 /**
- * Checks a change against the version that it would follow, and gives the version that it would make.
- * Only what the change itself puts or removes is checked: an item that another partner left dangling must not
- * keep this partner from changing its own.
+ * Validates a change against the version to which it applies, and returns the resulting version.
+ * Only the items that the change itself puts or removes are checked: a dangling reference of another partner must not
+ * prevent this partner from changing its own items.
  */
 export function validateChange(before: IndexedVersion, request: ChangeRequest): Result<IndexedVersion, Failure> {
     const problem = findFormProblem(request) ?? findOwnerProblem(before, request);
@@ -146,7 +146,7 @@
         : notRun(FailureReason.Conflict, `${describe(target)}: the name is taken by a target of ${owner}`);
 }
 
-/** What the same partner still uses can't go; another partner's use does not bind the owner. */
+/** An item that the same partner still uses cannot be removed. Use by other partners does not prevent removal. */
 function findRemovalProblem(after: IndexedVersion, identity: ItemIdentity): Failure | undefined {
     if (identity.kind !== ItemKind.Profile && identity.kind !== ItemKind.Target) {
         return undefined;
@@ -162,7 +162,7 @@
     return undefined;
 }
 
-/** The item that a step of a change concerns. */
+/** Returns the identity of the item that a step of a change affects. */
 export function identityOf(change: ItemChange): ItemIdentity {
     const { kind, partner, name } = change.action === ChangeAction.Put ? change.item : change.identity;
     return { kind, partner, name };
