--- a/packages/daisyturn/src/__fixtures__/__tests__/fakeEngine.test.ts
+++ b/packages/daisyturn/src/__fixtures__/__tests__/fakeEngine.test.ts
@@ -69,10 +69,10 @@
         engine.generateFaults.push(CallFaultKind.Refuse, CallFaultKind.LoseAnswer);
         const refused = await engine.generate(request, test.signal);
         assert.equal(refused.isErr && refused.error.verdict, ExecutionVerdict.NotRun);
-        assert.equal(engine.accepted.length, 0);
+        assert.equal(engine.taken.length, 0);
         const lost = await engine.generate(request, test.signal);
         assert.equal(lost.isErr && lost.error.verdict, ExecutionVerdict.MayHaveRun);
-        assert.equal(engine.accepted.length, 1);
+        assert.equal(engine.taken.length, 1);
     });
 
     it("accepts one change at a time and is stuck after a crash during a change", async () => {
--- a/packages/daisyturn/src/__fixtures__/__tests__/fakePeerNetwork.test.ts
+++ b/packages/daisyturn/src/__fixtures__/__tests__/fakePeerNetwork.test.ts
@@ -9,57 +9,56 @@
     const networks = createFakePeerNetworks(clock);
     const one = networks.join(createFakeIdentity("p1"));
     const other = networks.join(createFakeIdentity("p2"));
-    const received: number[] = [];
+    const taken: number[] = [];
     other.handle(PeerMethod.AskClaim, (from, parameters) => {
-        received.push(Number(parameters["number"]));
+        taken.push(Number(parameters["number"]));
         return { from: from.processId, number: parameters["number"] };
     });
-    const sendRequest = (number: number) =>
-        one.request("p2", PeerMethod.AskClaim, { number }, clock.monotonicNow() + 100);
-    return { clock, networks, one, other, received, sendRequest };
+    const ask = (number: number) => one.request("p2", PeerMethod.AskClaim, { number }, clock.monotonicNow() + 100);
+    return { clock, networks, one, other, taken, ask };
 }
 
 describe("createFakePeerNetworks", () => {
     it("carries a request and its answer", async () => {
-        const { sendRequest } = createPair();
-        assert.deepEqual((await sendRequest(1)).unwrapOr({}), { from: "p1", number: 1 });
+        const { ask } = createPair();
+        assert.deepEqual((await ask(1)).unwrapOr({}), { from: "p1", number: 1 });
     });
 
     it("loses requests and answers in a direction that is cut", async () => {
-        const { clock, networks, received, sendRequest } = createPair();
+        const { clock, networks, taken, ask } = createPair();
         for (const [from, to] of [["p1", "p2"], ["p2", "p1"]] as const) {
             networks.cut(from, to);
-            const answer = sendRequest(1);
+            const answer = ask(1);
             await clock.advance(100);
             const result = await answer;
             assert.ok(result.isErr && result.error.verdict === ExecutionVerdict.MayHaveRun);
             networks.healAll();
         }
-        assert.equal(received.length, 1);
+        assert.equal(taken.length, 1);
     });
 
     it("fails with NotRun if the process was removed", async () => {
-        const { networks, sendRequest } = createPair();
+        const { networks, ask } = createPair();
         networks.remove("p2");
-        const result = await sendRequest(1);
+        const result = await ask(1);
         assert.ok(result.isErr && result.error.verdict === ExecutionVerdict.NotRun);
     });
 
     it("delays, loses and reorders answers", async () => {
-        const { clock, networks, received, sendRequest } = createPair();
+        const { clock, networks, taken, ask } = createPair();
         const order: number[] = [];
         networks.delay("p1", "p2", 30);
         networks.reorderAnswers("p2", "p1");
-        const both = [1, 2].map(number => sendRequest(number).then(() => order.push(number)));
+        const both = [1, 2].map(number => ask(number).then(() => order.push(number)));
         await clock.advance(29);
-        assert.deepEqual(received, []);
+        assert.deepEqual(taken, []);
         await clock.advance(1);
         await Promise.all(both);
         assert.deepEqual(order, [2, 1]);
         networks.loseAnswers("p2", "p1", 1);
-        const lost = sendRequest(3);
+        const lost = ask(3);
         await clock.advance(100);
         assert.ok((await lost).isErr);
-        assert.deepEqual(received, [1, 2, 3]);
+        assert.deepEqual(taken, [1, 2, 3]);
     });
 });
--- a/packages/daisyturn/src/__fixtures__/fakeEngine.ts
+++ b/packages/daisyturn/src/__fixtures__/fakeEngine.ts
@@ -39,7 +39,7 @@
 /** An engine in memory that a test controls. */
 export interface FakeEngine extends Engine {
     /** Accepted requests, in order. */
-    readonly accepted: GenerateRequest[];
+    readonly taken: GenerateRequest[];
     /** Ids of cancelled streams. */
     readonly cancelled: string[];
     readonly orderHandler: FakeOrderHandler;
@@ -97,16 +97,18 @@
             tokenMilliseconds: options.tokenMilliseconds ?? 0,
         });
         streams.set(request.streamId, stream);
-        engine.accepted.push(request);
+        engine.taken.push(request);
         return stream;
     };
 
     const findRefusal = (request: GenerateRequest): string | undefined => {
         const acceptsWork = engine.orderHandler.phase === EnginePhase.Serving && !engine.orderHandler.draining;
         if (!acceptsWork) {
-            return "The fake engine takes no work.";
+            return "The fake engine accepts no work.";
         }
-        return engine.orderHandler.models.includes(request.model) ? undefined : "The fake engine lacks the model.";
+        return engine.orderHandler.models.includes(request.model)
+            ? undefined
+            : "The fake engine does not have the model.";
     };
 
     const readAnswer = async <T>(deadline: number, build: () => T): Promise<Result<T, Failure>> => {
@@ -116,7 +118,7 @@
 
     class MemoryEngine extends Engine implements FakeEngine {
         override readonly engineId = engineId;
-        readonly accepted: GenerateRequest[] = [];
+        readonly taken: GenerateRequest[] = [];
         readonly cancelled: string[] = [];
         readonly orderHandler = createFakeOrderHandler(options);
         readonly streams = streams;
--- a/packages/daisyturn/src/connection/operator/__tests__/createOperatorServer.test.ts
+++ b/packages/daisyturn/src/connection/operator/__tests__/createOperatorServer.test.ts
@@ -183,7 +183,7 @@
     });
 
     it("says not run of a change without a write id during an outage, and may have run of one with", async () => {
-        cell.store.setStandingFault(TableFaultKind.ConnectionRefused);
+        cell.store.setDefaultFault(TableFaultKind.ConnectionRefused);
         const fresh = await call("north", "PUT", "/v1/items/profile/p", { ...createProfile("north", "p") });
         assert.deepEqual([fresh.status, fresh.body.error?.verdict], [503, "not_run"]);
         const named = await publish("north", "w-1", put(createProfile("north", "p")));
--- a/packages/daisyturn/src/ports/faultyTableService.ts
+++ b/packages/daisyturn/src/ports/faultyTableService.ts
@@ -41,10 +41,10 @@
 /** A table service whose calls fail as configured by a test. */
 export interface FaultyTableService {
     readonly tableService: TableService;
-    /** Faults of the next calls, one each, in order. They take precedence over the standing fault. */
+    /** Faults of the next calls, one each, in order. They take precedence over the default fault. */
     script(...faults: readonly (TableFault | TableFaultKind)[]): void;
     /** Fault of all calls for which no fault is scripted. */
-    setStandingFault(fault: TableFault | TableFaultKind): void;
+    setDefaultFault(fault: TableFault | TableFaultKind): void;
     /** Rejects calls over this number per whole second of the clock; undefined removes the limit. */
     setCallsPerSecond(limit: number | undefined): void;
     /** Runs the transactions delayed by CommitLate, in the order in which they were sent. */
@@ -63,7 +63,7 @@
     const { clock } = options;
     const scripted: TableFault[] = [];
     const transactions: Transaction[] = [];
-    let standing: TableFault = { kind: TableFaultKind.None };
+    let defaultFault: TableFault = { kind: TableFaultKind.None };
     let lateCommits: Transaction[] = [];
     let callsPerSecond: number | undefined;
     let countedSecond = 0;
@@ -82,7 +82,7 @@
         if (isOverRate()) {
             return { kind: TableFaultKind.Throttle };
         }
-        return scripted.shift() ?? standing;
+        return scripted.shift() ?? defaultFault;
     };
 
     /** Runs the call after the delay. Returns `late` if the deadline passes first. */
@@ -170,8 +170,8 @@
         script: (...faults) => {
             scripted.push(...faults.map(toFault));
         },
-        setStandingFault: fault => {
-            standing = toFault(fault);
+        setDefaultFault: fault => {
+            defaultFault = toFault(fault);
         },
         setCallsPerSecond: limit => {
             callsPerSecond = limit;
--- a/packages/daisyturn/src/ports/http/__fixtures__/startRawTarget.ts
+++ b/packages/daisyturn/src/ports/http/__fixtures__/startRawTarget.ts
@@ -31,12 +31,12 @@
 export async function startRawTarget(test: TestContext, options: RawTargetOptions): Promise<RawTarget> {
     const requests: RawRequest[] = [];
     const sockets = new Set<Socket>();
-    let wakeWaiters: (() => void)[] = [];
+    let waiters: (() => void)[] = [];
 
-    const take = (request: RawRequest) => {
+    const addRequest = (request: RawRequest) => {
         requests.push(request);
-        const woken = wakeWaiters;
-        wakeWaiters = [];
+        const woken = waiters;
+        waiters = [];
         woken.forEach(wake => wake());
         options.onRequest?.(request);
     };
@@ -46,7 +46,7 @@
         socket.on("error", () => undefined);
         socket.on("close", () => sockets.delete(socket));
         options.onConnection?.(socket);
-        readRequests(socket, take);
+        readRequests(socket, addRequest);
     });
     server.listen(0, "127.0.0.1");
     await once(server, "listening");
@@ -61,13 +61,13 @@
             if (request) {
                 return request;
             }
-            await new Promise<void>(resolve => wakeWaiters.push(resolve));
+            await new Promise<void>(resolve => waiters.push(resolve));
         }
     };
     return { url: `http://127.0.0.1:${(server.address() as AddressInfo).port}`, requests, received };
 }
 
-function readRequests(socket: Socket, take: (request: RawRequest) => void): void {
+function readRequests(socket: Socket, onRequest: (request: RawRequest) => void): void {
     let text = "";
     socket.setEncoding("latin1");
     socket.on("data", (chunk: string) => {
@@ -81,7 +81,7 @@
             const line = text.slice(0, text.indexOf(" HTTP/1.1"));
             const body = Buffer.from(text.slice(headEnd + 4, end), "latin1").toString("utf8");
             text = text.slice(end);
-            take({ line, body, socket });
+            onRequest({ line, body, socket });
         }
     });
 }
--- a/packages/daisyturn/src/process/configuration/__tests__/adoptVersion.test.ts
+++ b/packages/daisyturn/src/process/configuration/__tests__/adoptVersion.test.ts
@@ -72,7 +72,7 @@
             const conditions = Array.from({ length: 4 }, () => choose(4) as PeerCondition);
             const isStoreUp = choose(2) === 1;
             const cell = await createOutage(conditions);
-            cell.store.setStandingFault(isStoreUp ? TableFaultKind.None : TableFaultKind.ConnectionRefused);
+            cell.store.setDefaultFault(isStoreUp ? TableFaultKind.None : TableFaultKind.ConnectionRefused);
             const late = cell.start("late");
             const abort = new AbortController();
             let isReady = false;
@@ -92,20 +92,20 @@
 
     it("waits while neither store nor peers answer, and goes on once the store is back", async () => {
         const cell = await createOutage([]);
-        cell.store.setStandingFault(TableFaultKind.ConnectionRefused);
+        cell.store.setDefaultFault(TableFaultKind.ConnectionRefused);
         const late = cell.start("late");
         let isReady = false;
         const adopting = late.configurationManager.adopt(never).then(() => isReady = true);
         await cell.clock.advance(60_000);
         assert.equal(isReady, false);
-        cell.store.setStandingFault(TableFaultKind.None);
+        cell.store.setDefaultFault(TableFaultKind.None);
         await cell.complete(adopting);
         assert.equal(late.configurationManager.current().generation, 2);
     });
 
     it("does not believe a stale peer alone, whatever itself knows of the cell", async () => {
         const cell = await createOutage([PeerCondition.Stale, PeerCondition.Silent, PeerCondition.Silent]);
-        cell.store.setStandingFault(TableFaultKind.ConnectionRefused);
+        cell.store.setDefaultFault(TableFaultKind.ConnectionRefused);
         const late = cell.start("late");
         // A process that has just started knows only whom it has met.
         late.membership.others = () => [{ identity: cell.start("unused").self, state: MemberState.Left }];
--- a/packages/daisyturn/src/process/configuration/__tests__/configurationFailures.test.ts
+++ b/packages/daisyturn/src/process/configuration/__tests__/configurationFailures.test.ts
@@ -43,7 +43,7 @@
         const cell = createConfigurationCell();
         const processes = ["a", "b", "c"].map(cell.start);
         cell.store.script(TableFaultKind.None, TableFaultKind.None);
-        cell.store.setStandingFault(TableFaultKind.ConnectionRefused);
+        cell.store.setDefaultFault(TableFaultKind.ConnectionRefused);
         const answer = await publish(cell, processes[0]!, "one");
         assert.deepEqual(answer.unwrapOr(undefined)?.inForceAt, ["a", "b", "c"]);
         assert.deepEqual(generationsOf(...processes), [1, 1, 1]);
@@ -56,10 +56,10 @@
         const cell = createConfigurationCell();
         const [first, second] = [cell.start("a"), cell.start("b")];
         cell.store.script(TableFaultKind.None, TableFaultKind.BreakAfterCommit);
-        cell.store.setStandingFault(TableFaultKind.ConnectionRefused);
+        cell.store.setDefaultFault(TableFaultKind.ConnectionRefused);
         const lost = await publish(cell, first, "one");
         assert.equal(lost.isErr && lost.error.verdict, ExecutionVerdict.MayHaveRun);
-        cell.store.setStandingFault(TableFaultKind.None);
+        cell.store.setDefaultFault(TableFaultKind.None);
         const told = await publish(cell, second, "one");
         assert.equal(told.unwrapOr(undefined)?.generation, 1);
         assert.deepEqual(generationsOf(first, second), [1, 1]);
@@ -79,10 +79,10 @@
             ]
         ) {
             cell.store.script(TableFaultKind.None, TableFaultKind.CommitLate);
-            cell.store.setStandingFault(TableFaultKind.ConnectionRefused);
+            cell.store.setDefaultFault(TableFaultKind.ConnectionRefused);
             const unknown = await publish(cell, first, "one");
             assert.equal(unknown.isErr && unknown.error.reason, FailureReason.OutcomeUnknown);
-            cell.store.setStandingFault(TableFaultKind.None);
+            cell.store.setDefaultFault(TableFaultKind.None);
             await cell.clock.advance(probeMilliseconds);
             await cell.complete<unknown>(goAhead());
             const late = await cell.store.releaseLateCommits();
@@ -95,9 +95,9 @@
         const cell = createConfigurationCell();
         const [first, second] = [cell.start("a"), cell.start("b")];
         cell.store.script(TableFaultKind.None, TableFaultKind.CommitLate);
-        cell.store.setStandingFault(TableFaultKind.ConnectionRefused);
+        cell.store.setDefaultFault(TableFaultKind.ConnectionRefused);
         await publish(cell, first, "one");
-        cell.store.setStandingFault(TableFaultKind.None);
+        cell.store.setDefaultFault(TableFaultKind.None);
         await cell.store.releaseLateCommits();
         await runFor(cell, 5_000, first, second);
         assert.deepEqual(generationsOf(first, second), [1, 1]);
@@ -111,7 +111,7 @@
         assert.deepEqual(answer.unwrapOr(undefined)?.notConfirmedBy, ["c"]);
         assert.deepEqual(generationsOf(...processes), [1, 1, 0]);
         cell.networks.healAll();
-        cell.store.setStandingFault(TableFaultKind.ConnectionRefused);
+        cell.store.setDefaultFault(TableFaultKind.ConnectionRefused);
         await runFor(cell, 3_000, ...processes);
         assert.deepEqual(generationsOf(...processes), [1, 1, 1]);
         assertNeverBack(...processes);
@@ -235,7 +235,7 @@
             PeerMethod.PullConfiguration,
             () => ({ generation: 2, cellSize: 2, changes: changes.map(toJson) }),
         );
-        cell.store.setStandingFault(TableFaultKind.ConnectionRefused);
+        cell.store.setDefaultFault(TableFaultKind.ConnectionRefused);
         await runFor(cell, 3_000, second);
         assert.deepEqual(generationsOf(second), [0]);
     });
--- a/packages/daisyturn/src/process/lease/__tests__/createLeaseManager.test.ts
+++ b/packages/daisyturn/src/process/lease/__tests__/createLeaseManager.test.ts
@@ -205,7 +205,7 @@
         const lease = one.leaseManager.current()!;
         const first = lease.deadline();
         const sentBefore = faulty.transactions.length;
-        faulty.setStandingFault({ kind: TableFaultKind.Delayed, delayMilliseconds: 700 });
+        faulty.setDefaultFault({ kind: TableFaultKind.Delayed, delayMilliseconds: 700 });
         while (faulty.transactions.length === sentBefore) {
             await clock.advance(10);
         }
@@ -221,11 +221,11 @@
         const faulty = createFaultyTableService(createMemoryTableService(), { clock });
         const one = startManager(clock, faulty.tableService, "p1");
         faulty.script(TableFaultKind.None, TableFaultKind.CommitLate);
-        faulty.setStandingFault(TableFaultKind.ConnectionRefused);
+        faulty.setDefaultFault(TableFaultKind.ConnectionRefused);
         await clock.advance(3_000);
         assert.equal(one.leases.length, 0);
         await faulty.releaseLateCommits();
-        faulty.setStandingFault(TableFaultKind.None);
+        faulty.setDefaultFault(TableFaultKind.None);
         await awaitHolder(clock, [one]);
         assert.equal(one.leaseManager.current()?.fencingNumber, 2);
         one.host.kill();
--- a/packages/daisyturn/src/process/store/__fixtures__/interleavings.ts
+++ b/packages/daisyturn/src/process/store/__fixtures__/interleavings.ts
@@ -131,7 +131,7 @@
     const setup = createStoreSetupWith(new EagerClock(), {}, counter.counted);
     const { faulty } = setup;
     faulty.script(...order.faults);
-    faulty.setStandingFault(order.recovers ? TableFaultKind.None : TableFaultKind.BreakBeforeCommit);
+    faulty.setDefaultFault(order.recovers ? TableFaultKind.None : TableFaultKind.BreakBeforeCommit);
     let calls = 0;
     const beforeCall = async () => {
         calls += 1;
--- a/packages/daisyturn/src/process/store/__tests__/createStoreClient.test.ts
+++ b/packages/daisyturn/src/process/store/__tests__/createStoreClient.test.ts
@@ -38,7 +38,7 @@
 
     it("leaves a transaction unknown when the service stays silent", async () => {
         const { clock, faulty, client } = createSetup();
-        faulty.setStandingFault(TableFaultKind.BreakBeforeCommit);
+        faulty.setDefaultFault(TableFaultKind.BreakBeforeCommit);
         const answer = client.commit(createRow, StorePriority.Other, 10_000);
         await clock.advance(10_000);
         assert.equal((await answer).outcome, TransactionOutcome.Unknown);
--- a/packages/daisyturn/src/process/store/__tests__/grouping.test.ts
+++ b/packages/daisyturn/src/process/store/__tests__/grouping.test.ts
@@ -118,12 +118,12 @@
 
     it("goes on with a member whose deadline is later than its group's", async () => {
         const setup = createStoreSetup();
-        setup.faulty.setStandingFault(TableFaultKind.BreakBeforeCommit);
+        setup.faulty.setDefaultFault(TableFaultKind.BreakBeforeCommit);
         const early = setup.client.commit(createRows("early", ["early"]), StorePriority.Other, 300);
         const late = setup.client.commit(createRows("late", ["late"]), StorePriority.Other, deadline);
         await setup.clock.advance(1_000);
         assert.equal((await early).outcome, TransactionOutcome.Unknown);
-        setup.faulty.setStandingFault(TableFaultKind.None);
+        setup.faulty.setDefaultFault(TableFaultKind.None);
         await setup.clock.advance(5_000);
         assert.equal((await late).outcome, TransactionOutcome.Committed);
     });
--- a/packages/daisyturn/src/process/store/__tests__/outages.test.ts
+++ b/packages/daisyturn/src/process/store/__tests__/outages.test.ts
@@ -10,7 +10,7 @@
 /** A setup whose store has been silent until the breaker opened; one transaction is stuck in it. */
 async function createOutage(fault: TableFaultKind) {
     const setup = createStoreSetup();
-    setup.faulty.setStandingFault(fault);
+    setup.faulty.setDefaultFault(fault);
     const stuck = setup.client.commit(createRows("stuck", ["stuck"]), StorePriority.Claim, 1_000_000);
     await setup.clock.advance(20_000);
     assert.equal(setup.client.isAvailable(), false);
@@ -20,10 +20,10 @@
 describe("a store client during outages", () => {
     it("rides out a short silence without opening its breaker", async () => {
         const { clock, faulty, client, eventLog } = createStoreSetup();
-        faulty.setStandingFault(TableFaultKind.BreakBeforeCommit);
+        faulty.setDefaultFault(TableFaultKind.BreakBeforeCommit);
         const answer = client.commit(createRows("w1", ["a"]), StorePriority.Claim, 60_000);
         await clock.advance(2_500);
-        faulty.setStandingFault(TableFaultKind.None);
+        faulty.setDefaultFault(TableFaultKind.None);
         await clock.advance(2_000);
         assert.equal((await answer).outcome, TransactionOutcome.Committed);
         assert.equal(eventLog.of(EventKind.StoreUnavailable).length, 0);
@@ -38,7 +38,7 @@
             const refused = await client.commit(createRows("w2", ["b"]), StorePriority.Lease, 1_000_000);
             assert.deepEqual(refused, { outcome: TransactionOutcome.Rejected, cause: RejectionCause.NotSent });
             assert.equal(faulty.callCount(), callsBefore);
-            faulty.setStandingFault(TableFaultKind.None);
+            faulty.setDefaultFault(TableFaultKind.None);
             await clock.advance(9_000);
             assert.equal(client.isAvailable(), true);
             assert.equal(eventLog.of(EventKind.StoreUnavailable).length, 1);
@@ -51,7 +51,7 @@
 
     it("refuses new reads at once, naming the time of the next probe, and lets one under way wait", async () => {
         const { clock, faulty, client } = createStoreSetup();
-        faulty.setStandingFault(TableFaultKind.LoseAnswer);
+        faulty.setDefaultFault(TableFaultKind.LoseAnswer);
         const underWay = client.read(["a"], StorePriority.Other, 1_000_000);
         await clock.advance(20_000);
         const refused = await client.read(["a"], StorePriority.Other, 1_000_000);
@@ -59,7 +59,7 @@
         assert.equal(refused.error.reason, FailureReason.StoreUnavailable);
         assert.ok((refused.error.retryAt ?? 0) > clock.wallNow());
         assert.ok((refused.error.retryAt ?? 0) <= clock.wallNow() + 5_000);
-        faulty.setStandingFault(TableFaultKind.None);
+        faulty.setDefaultFault(TableFaultKind.None);
         await clock.advance(13_000);
         assert.ok((await underWay).isOk);
     });
@@ -67,14 +67,14 @@
     it("settles a marked transaction for good, also if the store goes down before its abandonment", async () => {
         const { clock, inner, faulty, client } = createStoreSetup();
         faulty.script(TableFaultKind.BreakBeforeCommit, TableFaultKind.None);
-        faulty.setStandingFault(TableFaultKind.ConnectionRefused);
+        faulty.setDefaultFault(TableFaultKind.ConnectionRefused);
         const transaction = addWriteMarker(createRows("w1", ["a"]), 0);
         const answer = client.commit(transaction, StorePriority.Claim, 1_000_000);
         await clock.advance(5);
         await inner.transact(createRows("other", ["a"]), 0);
         await clock.advance(20_000);
         assert.equal(client.isAvailable(), false);
-        faulty.setStandingFault(TableFaultKind.None);
+        faulty.setDefaultFault(TableFaultKind.None);
         await clock.advance(6_000);
         const { outcome, cause } = await answer;
         assert.deepEqual({ outcome, cause }, {
@@ -93,7 +93,7 @@
 
     it("lets what has gathered go on at its steady rate, leases first", async () => {
         const { clock, faulty, client } = createStoreSetup();
-        faulty.setStandingFault(TableFaultKind.LoseAnswer);
+        faulty.setDefaultFault(TableFaultKind.LoseAnswer);
         const outcomes: string[] = [];
         for (let count = 0; count < 200; count++) {
             // All write one row, so that none can be grouped.
@@ -106,7 +106,7 @@
         const countSent = () => faulty.transactions.filter(({ writes }) => writes.length > 0).length;
         const sentBefore = countSent();
         outcomes.length = 0;
-        faulty.setStandingFault(TableFaultKind.None);
+        faulty.setDefaultFault(TableFaultKind.None);
         for (let step = 0; step < 10_000 && !client.isAvailable(); step++) {
             await clock.advance(1);
         }
@@ -120,7 +120,7 @@
 
     it("waits for a slow store instead of asking it again and again", async () => {
         const { clock, faulty, client, eventLog } = createStoreSetup();
-        faulty.setStandingFault({ kind: TableFaultKind.Delayed, delayMilliseconds: 3_000 });
+        faulty.setDefaultFault({ kind: TableFaultKind.Delayed, delayMilliseconds: 3_000 });
         const first = client.commit(createRows("w0", ["r0"]), StorePriority.Claim, 60_000);
         await clock.advance(30_000);
         assert.equal((await first).outcome, TransactionOutcome.Committed);
@@ -136,11 +136,11 @@
 
     it("keeps reads going while only writes are silent", async () => {
         const { clock, faulty, client } = createStoreSetup();
-        faulty.setStandingFault(TableFaultKind.BreakBeforeCommit);
+        faulty.setDefaultFault(TableFaultKind.BreakBeforeCommit);
         void client.commit(createRows("w1", ["a"]), StorePriority.Claim, 1_000_000);
         await clock.advance(20_000);
         assert.equal(client.isAvailable(), false);
-        faulty.setStandingFault(TableFaultKind.None);
+        faulty.setDefaultFault(TableFaultKind.None);
         assert.ok((await client.read(["a"], StorePriority.Other, 1_000_000)).isOk);
     });
 });
--- a/packages/daisyturn/src/request/claims/__tests__/createClaimManager.test.ts
+++ b/packages/daisyturn/src/request/claims/__tests__/createClaimManager.test.ts
@@ -127,7 +127,7 @@
 
     it("refuses calls as not run while the store is down", async () => {
         const { clock, table, startManager, send, ran } = createClaimBench();
-        table.setStandingFault(TableFaultKind.ConnectionRefused);
+        table.setDefaultFault(TableFaultKind.ConnectionRefused);
         const running = startManager("p").runOnce(createClaimRequest(clock), send);
         await clock.advance(10_000);
         const failure = failureOf(await running);
@@ -149,13 +149,13 @@
     it("does not send under a claim that commits too late, and frees the key", async () => {
         const { clock, table, startManager, send, ran, readRow } = createClaimBench();
         const p = startManager("p");
-        table.setStandingFault(TableFaultKind.CommitLate);
+        table.setDefaultFault(TableFaultKind.CommitLate);
         const running = p.runOnce(createClaimRequest(clock), send);
         await clock.advance(10_000);
         const failure = failureOf(await running);
         assert.equal(failure.verdict, ExecutionVerdict.NotRun);
         assert.equal(failure.reason, FailureReason.OutcomeUnknown);
-        table.setStandingFault(TableFaultKind.None);
+        table.setDefaultFault(TableFaultKind.None);
         await table.releaseLateCommits();
         assert.equal(await p.drain(clock.monotonicNow()), false);
         await clock.advance(20_000);
@@ -169,14 +169,14 @@
         const { clock, table, startManager, createFailingSend, readRow } = createClaimBench();
         const p = startManager("p");
         table.script(TableFaultKind.None);
-        table.setStandingFault(TableFaultKind.ConnectionRefused);
+        table.setDefaultFault(TableFaultKind.ConnectionRefused);
         const running = p.runOnce(createClaimRequest(clock), createFailingSend(refusal, false));
         await clock.advance(10_000);
         const failure = failureOf(await running);
         assert.equal(failure.verdict, ExecutionVerdict.NotRun);
         assert.equal(failure.reason, FailureReason.OutcomeUnknown);
         assert.equal(p.countUnsettled(), 1);
-        table.setStandingFault(TableFaultKind.None);
+        table.setDefaultFault(TableFaultKind.None);
         await clock.advance(10_000);
         assert.equal((await readRow())?.state, ClaimRowState.Free);
         assert.equal(p.countUnsettled(), 0);
@@ -185,12 +185,12 @@
     it("answers at once and records after an outage of the store", async () => {
         const { clock, table, startManager, send, readRow } = createClaimBench();
         table.script(TableFaultKind.None);
-        table.setStandingFault(TableFaultKind.ConnectionRefused);
+        table.setDefaultFault(TableFaultKind.ConnectionRefused);
         const first = await startManager("p").runOnce(createClaimRequest(clock), send);
         assert.deepEqual(first, Result.ok(firstAnswer));
         await clock.advance(60_000);
         assert.equal((await readRow())?.state, ClaimRowState.Claimed);
-        table.setStandingFault(TableFaultKind.None);
+        table.setDefaultFault(TableFaultKind.None);
         await clock.advance(10_000);
         assert.equal((await readRow())?.state, ClaimRowState.Answered);
     });
