--- a/packages/daisyturn/src/connection/__fixtures__/peerNetworks.ts
+++ b/packages/daisyturn/src/connection/__fixtures__/peerNetworks.ts
@@ -3,10 +3,10 @@
 import type { ProcessIdentity } from "../../process/peers/index.js";
 import { createPeerNetwork, type PeerNetworkOptions, type TcpPeerNetwork } from "../createPeerNetwork.js";
 
-const pollInterval = 5;
-const patience = 10_000;
+const pollIntervalMilliseconds = 5;
+const maxWaitMilliseconds = 10_000;
 
-/** Makes an identity whose address gets its port when the network starts. */
+/** Creates an identity whose address gets its port when the network starts. */
 export function createLocalIdentity(processId: string, incarnation = `${processId}-1`): ProcessIdentity {
     return {
         processId,
@@ -39,18 +39,18 @@
     return network;
 }
 
-/** Waits until a condition holds; fails the test after a long while. */
+/** Waits until a condition holds. Throws after {@link maxWaitMilliseconds}. */
 export async function waitUntil(condition: () => boolean, clock: Clock = new SystemClock()): Promise<void> {
-    const deadline = clock.monotonicNow() + patience;
+    const deadline = clock.monotonicNow() + maxWaitMilliseconds;
     while (!condition()) {
         if (clock.monotonicNow() > deadline) {
             throw new Error(`not reached in time: ${condition.toString()}`);
         }
-        await clock.sleepUntil(clock.monotonicNow() + pollInterval);
+        await clock.sleepUntil(clock.monotonicNow() + pollIntervalMilliseconds);
     }
 }
 
-/** Connects two networks and waits until both have heard the other's hello. */
+/** Connects two networks and waits until each has received the other's hello. */
 export async function connectNetworks(one: TcpPeerNetwork, other: TcpPeerNetwork): Promise<void> {
     const hellos = Promise.all([nextHello(one), nextHello(other)]);
     one.connect(other.self.peerAddress);
--- a/packages/daisyturn/src/connection/caller/__tests__/resumedAnswers.test.ts
+++ b/packages/daisyturn/src/connection/caller/__tests__/resumedAnswers.test.ts
@@ -20,13 +20,13 @@
 
 const original = { stream: true, temperature: 0 };
 
-describe("answers resumed at another entry process", () => {
+describe("answers resumed on another entry process", () => {
     let engines: readonly [ScriptedEngine, ScriptedEngine];
     let first: Bench;
     let second: Bench;
 
-    /** Begins an answer at the first process and kills that after three tokens. */
-    const beginAndKill = async (resumeKeys = [benchResumeKey]) => {
+    /** Starts an answer on the first process and stops that process after three tokens. */
+    const startAndStopFirst = async (resumeKeys = [benchResumeKey]) => {
         engines = createEnginePair();
         first = await createCallerBench({ engines });
         second = await createCallerBench({ engines, resumeKeys });
@@ -62,7 +62,7 @@
 
     const readCode = (text: string) => (JSON.parse(text) as { error: { code: string; }; }).error.code;
 
-    const keepStream = () => {
+    const scriptResume = () => {
         engines[0].resumeScript = (streamId, offset) => {
             assert.equal(streamId, engines[0].received[0]?.streamId);
             return ok(yieldAnswer(offset, 8));
@@ -71,9 +71,9 @@
 
     afterEach(() => second.server.stop());
 
-    test("the engine's stream goes on at the caller's offset", async () => {
-        const token = await beginAndKill();
-        keepStream();
+    test("the engine's stream continues at the caller's offset", async () => {
+        const token = await startAndStopFirst();
+        scriptResume();
         const resumed = readStream((await resume(token)).text);
         assert.equal(answerText(3) + resumed.text, answerText(8));
         assert.ok(resumed.isDone);
@@ -81,23 +81,23 @@
         assert.equal(second.running.get("engine-1"), 0);
     });
 
-    test("the same request with the token in its header goes on too", async () => {
-        const token = await beginAndKill();
-        keepStream();
+    test("repeating the request with the resume token in its header continues the stream as well", async () => {
+        const token = await startAndStopFirst();
+        scriptResume();
         const headers = { "X-Resume-Token": token, "Last-Event-ID": "3" };
         const resumed = await streamCompletion(second.url, original, headers);
         assert.equal(answerText(3) + resumed.text, answerText(8));
         assert.equal(engines[0].received.length, 1);
     });
 
-    test("a second key is accepted while keys are changed", async () => {
-        const token = await beginAndKill(["key-of-tomorrow", benchResumeKey]);
-        keepStream();
+    test("tokens signed with the second key are accepted during a key rotation", async () => {
+        const token = await startAndStopFirst(["key-of-tomorrow", benchResumeKey]);
+        scriptResume();
         assert.equal((await resume(token)).status, 200);
     });
 
-    test("a lost stream is made again from the offset if the request is repeated and deterministic", async () => {
-        const token = await beginAndKill();
+    test("a lost stream is regenerated from the offset if the request is repeated and deterministic", async () => {
+        const token = await startAndStopFirst();
         const request = { ...original, model: "valuation", messages: [{ role: "user", content: "What is it worth?" }] };
         const resumed = readStream((await resume(token, { request })).text);
         assert.equal(answerText(3) + resumed.text, answerText(8));
@@ -105,7 +105,7 @@
         assert.match(Buffer.from(resumed.resumeToken ?? "", "base64url").toString(), /"engine":"engine-2"/);
     });
 
-    test("a lost stream that was sampled needs the text that the caller has", async () => {
+    test("a lost stream with sampling is regenerated only with the text that the caller has received", async () => {
         engines = createEnginePair();
         const sampled = { ...original, temperature: 1 };
         first = await createCallerBench({ engines });
@@ -121,8 +121,8 @@
         assert.equal(engines[1].received[0]?.precedingText, answerText(3));
     });
 
-    test("an offset before the beginning of the token's stream is refused", async () => {
-        const token = await beginAndKill();
+    test("an offset before the start of the stream named by the token is refused", async () => {
+        const token = await startAndStopFirst();
         const request = { ...original, model: "valuation", messages: [{ role: "user", content: "What is it worth?" }] };
         const moved = readStream((await resume(token, { request })).text).resumeToken ?? "";
         assert.notEqual(moved, "");
@@ -130,15 +130,15 @@
         assert.equal(answer.status, 400);
     });
 
-    test("a lost stream without the request is refused with what to do", async () => {
-        const refused = await resume(await beginAndKill());
+    test("resuming a lost stream without the request is refused with instructions", async () => {
+        const refused = await resume(await startAndStopFirst());
         assert.equal(refused.status, 502);
         assert.match(refused.text, /send the original request/);
     });
 
-    test("tokens that are forged, foreign, expired or of another request are refused", async () => {
-        const token = await beginAndKill();
-        keepStream();
+    test("tokens that are forged, malformed, of another partner or of another request are refused", async () => {
+        const token = await startAndStopFirst();
+        scriptResume();
         const [payload, signature] = token.split(".") as [string, string];
         const ticket = JSON.parse(Buffer.from(payload, "base64url").toString()) as object;
         const altered = Buffer.from(JSON.stringify({ ...ticket, streamId: "str-other-1" })).toString("base64url");
--- a/packages/daisyturn/src/connection/caller/checkHeader.ts
+++ b/packages/daisyturn/src/connection/caller/validateHeaderFields.ts
@@ -1,8 +1,8 @@
 import { type Failure, FailureReason, notRun } from "daisyturn-utils";
 import type { IncomingMessage } from "node:http";
 
-/** Fields that decide what a request means: of two, nobody could say which one counts. */
-const singleFields: ReadonlySet<string> = new Set([
+/** Fields that determine the meaning of a request. If one is repeated, it is ambiguous which value applies. */
+const singletonFields: ReadonlySet<string> = new Set([
     "authorization",
     "content-type",
     "idempotency-key",
@@ -11,8 +11,8 @@
     "x-resume-token",
 ]);
 
-/** What is wrong with a header as a whole; undefined if nothing is. */
-export function checkHeader(incoming: IncomingMessage, maxHeaderCount: number): Failure | undefined {
+/** Checks the number of header fields and rejects repeated singleton fields. Returns undefined for a valid header. */
+export function validateHeaderFields(incoming: IncomingMessage, maxHeaderCount: number): Failure | undefined {
     const { rawHeaders } = incoming;
     if (rawHeaders.length / 2 > maxHeaderCount) {
         return notRun(FailureReason.BadRequest, `The request has more than ${maxHeaderCount} header fields.`);
@@ -20,7 +20,7 @@
     const seen = new Set<string>();
     for (let index = 0; index < rawHeaders.length; index += 2) {
         const name = rawHeaders[index]?.toLowerCase() ?? "";
-        if (singleFields.has(name) && seen.has(name)) {
+        if (singletonFields.has(name) && seen.has(name)) {
             return notRun(FailureReason.BadRequest, `The header field ${name} may stand only once.`);
         }
         seen.add(name);
--- a/packages/daisyturn/src/connection/operator/createRetirementRoutes.ts
+++ b/packages/daisyturn/src/connection/operator/createRetirementRoutes.ts
@@ -4,41 +4,41 @@
 import { ChangeAction, type RemoveItem } from "../../version/configurationChange.js";
 import { type ItemIdentity, ItemKind, type Service } from "../../version/configurationItems.js";
 import { identitySchema } from "../../version/itemSchemas.js";
-import { answerWith, refuseProblem } from "./operatorAnswers.js";
+import { buildAnswer, buildInvalidInput } from "./operatorAnswers.js";
 import { type OperatorIdentity, OperatorMethod, type OperatorRequest, type OperatorRoutes } from "./operatorRoutes.js";
 import { publishForOperator, publishGuardsSchema } from "./publishForOperator.js";
 
-/** Kinds under which requests run, and which are therefore retired rather than just removed. */
+/** Kinds of items under which requests run. They are therefore retired rather than just removed. */
 const retirableKinds = [ItemKind.Profile, ItemKind.Service, ItemKind.CallerAccount] as const;
-const longestWaitMilliseconds = 30_000;
-/** Between two questions to all processes while an operator waits. */
-const askIntervalMilliseconds = 250;
+const maxWaitMilliseconds = 30_000;
+/** Interval between two queries to all processes while an operator waits. */
+const pollIntervalMilliseconds = 250;
 
 const retireBodySchema = publishGuardsSchema.extend({
     kind: z.enum(retirableKinds),
     name: z.string(),
-    /** With a profile: removes the services that run under it as well. */
+    /** For a profile: also removes the services that use it. */
     withServices: z.boolean().default(false),
 }).strict();
 
 const reportQuerySchema = z.object({
     generation: z.coerce.number().int().positive().optional(),
-    waitMilliseconds: z.coerce.number().int().min(0).max(longestWaitMilliseconds).default(0),
+    waitMilliseconds: z.coerce.number().int().min(0).max(maxWaitMilliseconds).default(0),
 });
 
-/** What the routes work on. */
+/** Options of {@link createRetirementRoutes}. */
 export interface RetirementRoutesOptions {
     readonly configurationManager: FleetConfigurationManager;
     readonly ids: IdSource;
     readonly clock: Clock;
 }
 
-/** Routes that retire items and tell when nothing runs under them any more. */
+/** Creates the routes that retire items and report when no request runs under them any more. */
 export function createRetirementRoutes({ configurationManager, ids, clock }: RetirementRoutesOptions): OperatorRoutes {
     const retire = async ({ operator, body }: OperatorRequest) => {
         const parsed = retireBodySchema.safeParse(body);
         if (!parsed.success) {
-            return refuseProblem(parsed.error);
+            return buildInvalidInput(parsed.error);
         }
         const { kind, name, withServices, ...guards } = parsed.data;
         const repeated = await findRepeated(operator, guards.writeId);
@@ -51,13 +51,16 @@
         return await publishForOperator(configurationManager, ids, operator, changes, guards);
     };
 
-    /** The services that go along are found anew at each call, so a repeat can't be told by its changes. */
+    /**
+     * Detects a repeated request by its write id. Its changes can't identify it, because the services to be removed
+     * with a profile are looked up again for each request.
+     */
     const findRepeated = async (operator: OperatorIdentity, writeId: string | undefined) => {
         const outcome = writeId === undefined
             ? undefined
             : await configurationManager.outcomeOf(operator.partner, writeId);
         const known = outcome?.unwrapOr(undefined);
-        return known?.state === ChangeState.Accepted ? answerWith({ writeId, ...known }) : undefined;
+        return known?.state === ChangeState.Accepted ? buildAnswer({ writeId, ...known }) : undefined;
     };
 
     const findServicesUnder = ({ partner, name }: ItemIdentity) =>
@@ -72,7 +75,7 @@
             waitMilliseconds: query.get("wait-milliseconds") ?? undefined,
         });
         if (!identity.success || !parsed.success) {
-            return refuseProblem((identity.error ?? parsed.error) as z.ZodError);
+            return buildInvalidInput((identity.error ?? parsed.error) as z.ZodError);
         }
         const { generation, waitMilliseconds } = parsed.data;
         const report = await waitForReport(identity.data, generation, clock.monotonicNow() + waitMilliseconds);
@@ -82,11 +85,11 @@
     const waitForReport = async (identity: ItemIdentity, generation: number | undefined, deadline: number) => {
         for (;;) {
             const report = await configurationManager.retirementOf(identity, generation);
-            const isOver = report.isErr || report.value.isComplete || clock.monotonicNow() >= deadline;
-            if (isOver) {
+            const isFinished = report.isErr || report.value.isComplete || clock.monotonicNow() >= deadline;
+            if (isFinished) {
                 return report;
             }
-            await clock.sleepUntil(Math.min(deadline, clock.monotonicNow() + askIntervalMilliseconds));
+            await clock.sleepUntil(Math.min(deadline, clock.monotonicNow() + pollIntervalMilliseconds));
         }
     };
 
--- a/packages/daisyturn/src/ports/http/__tests__/requestProgress.test.ts
+++ b/packages/daisyturn/src/ports/http/__tests__/requestProgress.test.ts
@@ -36,7 +36,7 @@
     trackRequestProgress(dispatcher).dispatch(options, { onRequestStart: () => undefined });
 }
 
-describe("trackProgress", () => {
+describe("trackRequestProgress", () => {
     it("records that a request is started, and allows one start only", () => {
         const progress = { started: false, abandoned: false };
         const dispatcher = new BeginningDispatcher(2);
--- a/packages/daisyturn/src/process/configuration/__fixtures__/configurationCell.ts
+++ b/packages/daisyturn/src/process/configuration/__fixtures__/configurationCell.ts
@@ -31,7 +31,7 @@
 import { createConfigurationManager } from "../createConfigurationManager.js";
 import type { FleetConfigurationManager } from "../fleetConfigurationManager.js";
 
-/** Called before the store carries out a call of a process, and before its answer reaches the process. */
+/** Called before the store executes a call of a process, and again before the answer is returned to the process. */
 export type StoreStep = (processId: string, step: string) => Promise<void>;
 
 /** One process of the cell. */
@@ -41,24 +41,24 @@
     readonly membership: Membership;
     readonly self: ProcessIdentity;
     readonly eventLog: MemoryEventLog;
-    /** Generations that came into force, in order. */
+    /** Generations that became active, in order. */
     readonly generations: number[];
 }
 
-/** Keepers joined by a network and a store in memory, under one clock. */
+/** Configuration managers that share an in-memory network, an in-memory store and one clock. */
 export interface ConfigurationCell {
     readonly clock: FakeClock;
     readonly store: FaultyTableService;
     readonly networks: FakePeerNetworks;
-    /** Starts a process, or starts it anew; it has not adopted anything. */
+    /** Starts or restarts a process. It has not adopted a version yet. */
     start(processId: string): CellProcess;
-    /** The process falls silent: none of its calls has an effect or an answer from now on. */
+    /** Stops a process: from now on its calls have no effect and get no answer. */
     kill(processId: string): void;
-    /** The store can't be reached from the process any more. */
-    cutFromStore(processId: string): void;
-    /** What all others think of the process. */
+    /** Makes the store unreachable from the process. */
+    disconnectFromStore(processId: string): void;
+    /** Sets the state of the process in the membership of all others. */
     setState(processId: string, state: MemberState): void;
-    /** Moves the clock on until the promise is settled. */
+    /** Advances the clock until the promise is settled. */
     complete<T>(promise: Promise<T>): Promise<T>;
 }
 
@@ -69,7 +69,7 @@
 }
 
 const stepMilliseconds = 20;
-const mostSteps = 10_000;
+const maxSteps = 10_000;
 
 export function createConfigurationCell(options: ConfigurationCellOptions = {}): ConfigurationCell {
     const clock = new FakeClock();
@@ -78,7 +78,7 @@
     const states = new Map<string, MemberState>();
     const identities = new Map<string, ProcessIdentity>();
     const killed = new Set<string>();
-    const cutOff = new Set<string>();
+    const disconnected = new Set<string>();
     let starts = 0;
 
     const start = (processId: string): CellProcess => {
@@ -94,7 +94,7 @@
         const tableService = createSteppedTableService(
             store.tableService,
             step => onStep(processId, step),
-            () => cutOff.has(processId),
+            () => disconnected.has(processId),
         );
         const configurationManager = createConfigurationManager({
             self,
@@ -128,11 +128,11 @@
 
     const complete = async <T>(promise: Promise<T>): Promise<T> => {
         let isSettled = false;
-        const note = () => {
+        const markSettled = () => {
             isSettled = true;
         };
-        promise.then(note, note);
-        for (let step = 0; step < mostSteps && !isSettled; step++) {
+        promise.then(markSettled, markSettled);
+        for (let step = 0; step < maxSteps && !isSettled; step++) {
             await clock.advance(stepMilliseconds);
         }
         assert.ok(isSettled, "the promise is still pending");
@@ -148,13 +148,13 @@
             killed.add(processId);
             networks.remove(processId);
         },
-        cutFromStore: processId => void cutOff.add(processId),
+        disconnectFromStore: processId => void disconnected.add(processId),
         setState: (processId, state) => void states.set(processId, state),
         complete,
     };
 }
 
-/** Everybody knows everybody; the test says in which state. */
+/** A membership in which every process knows all others, in the states that the test has set. */
 function createCellMembership(
     processId: string,
     identities: ReadonlyMap<string, ProcessIdentity>,
@@ -178,11 +178,11 @@
 function createSteppedTableService(
     inner: TableService,
     onStep: (step: string) => Promise<void>,
-    isCutOff: () => boolean,
+    isDisconnected: () => boolean,
 ): TableService {
     const unreachable = notRun(FailureReason.StoreUnavailable, "cut off from the store");
     const read = <Value>(name: string, call: () => Promise<Result<Value, Failure>>) =>
-        isCutOff() ? Promise.resolve(err<Value, Failure>(unreachable)) : run(name, call);
+        isDisconnected() ? Promise.resolve(err<Value, Failure>(unreachable)) : run(name, call);
 
     const run = async <T>(name: string, call: () => Promise<T>): Promise<T> => {
         await onStep(name);
@@ -193,7 +193,7 @@
 
     class SteppedTableService extends TableService {
         override transact(transaction: Transaction, deadline: number): Promise<TransactionAnswer> {
-            return isCutOff()
+            return isDisconnected()
                 ? Promise.resolve({ outcome: TransactionOutcome.Rejected, cause: RejectionCause.NotSent })
                 : run("transact", () => inner.transact(transaction, deadline));
         }
@@ -214,15 +214,15 @@
     return new SteppedTableService();
 }
 
-/** Throws if a process ever went back, or put one generation in force twice. */
-export function assertNeverBack(...processes: readonly CellProcess[]): void {
+/** Throws if the active generation of a process ever decreased, or if a generation became active twice. */
+export function assertGenerationsIncrease(...processes: readonly CellProcess[]): void {
     for (const { generations, self } of processes) {
         const sorted = [...new Set(generations)].sort((left, right) => left - right);
-        assert.deepEqual(generations, sorted, `generations in force at ${self.processId}`);
+        assert.deepEqual(generations, sorted, `active generations of ${self.processId}`);
     }
 }
 
-/** Generations that were accepted, over all processes. */
+/** Lists the generations accepted by the given processes, in ascending order. */
 export function listAccepted(...processes: readonly CellProcess[]): number[] {
     return processes.flatMap(one => one.eventLog.of(EventKind.ConfigurationAccepted))
         .map(event => event.fields.generation ?? 0)
--- a/packages/daisyturn/src/process/configuration/createChangeAcceptor.ts
+++ b/packages/daisyturn/src/process/configuration/createChangeAcceptor.ts
@@ -15,47 +15,46 @@
 import { validateChange } from "../../version/validateChange.js";
 import { isSameChange, type WriteValue } from "./configurationRows.js";
 import type { ConfigurationTiming } from "./configurationTiming.js";
+import type { ActiveVersion } from "./createActiveVersion.js";
 import type { ConfigurationStore, StoreState } from "./createConfigurationStore.js";
-import type { InForce } from "./createInForce.js";
 import { type ChangeOutcome, ChangeState } from "./fleetConfigurationManager.js";
 
-/** Brings changes into the store, and tells what became of them. */
+/** Commits changes to the store, and reports their outcomes. */
 export interface ChangeAcceptor {
-    /** The accepted change, also where the write id was accepted before. */
+    /** Returns the accepted change, also if it was accepted earlier under the same write id. */
     accept(request: ChangeRequest, deadline: number): Promise<Result<AcceptedChange, Failure>>;
     outcomeOf(partner: string, writeId: string, deadline: number): Promise<Result<ChangeOutcome, Failure>>;
     cancel(partner: string, writeId: string, deadline: number): Promise<Result<ChangeOutcome, Failure>>;
 }
 
-/** What the acceptor needs. */
 export interface ChangeAcceptorOptions {
     readonly store: ConfigurationStore;
-    readonly inForce: InForce;
+    readonly activeVersion: ActiveVersion;
     readonly clock: Clock;
     readonly random: Random;
     readonly eventLog: EventLog;
     readonly ids: IdSource;
     readonly timing: ConfigurationTiming;
-    /** Takes over what the store has beyond the version in force. */
+    /** Advances the active version to the generation of the store. */
     readonly catchUpFromStore: (deadline: number) => Promise<Result<void, Failure>>;
 }
 
 type Acceptance = Result<AcceptedChange, Failure>;
 
-/** Creates the part of the keeper that validates changes and commits them. */
+/** Creates the part of the configuration manager that validates and commits changes. */
 export function createChangeAcceptor(options: ChangeAcceptorOptions): ChangeAcceptor {
-    const { store, inForce, clock, random, eventLog, ids, timing } = options;
+    const { store, activeVersion, clock, random, eventLog, ids, timing } = options;
 
     const accept = async (request: ChangeRequest, deadline: number): Promise<Acceptance> => {
         while (clock.monotonicNow() < deadline) {
-            const inForceBefore = inForce.current().generation;
-            const state = await store.readState(request.partner, request.writeId, inForceBefore, deadline);
+            const activeGeneration = activeVersion.current().generation;
+            const state = await store.readState(request.partner, request.writeId, activeGeneration, deadline);
             if (state.isErr) {
-                return err(unreadable(state.error));
+                return err(createReadFailure(state.error));
             }
             const acceptance = state.value.write
                 ? await answerRepeated(request, state.value.write, deadline)
-                : await tryOnce(request, state.value, inForceBefore, deadline);
+                : await tryOnce(request, state.value, activeGeneration, deadline);
             if (acceptance) {
                 return acceptance;
             }
@@ -63,25 +62,25 @@
         return err(notRun(FailureReason.Conflict, "other changes came first each time", clock.wallNow()));
     };
 
-    /** Undefined: the store and what is in force here were not at the same generation; try again. */
+    /** Returns undefined if the change must be tried again: the active version was behind, or a commit lost a race. */
     const tryOnce = async (
         request: ChangeRequest,
         state: StoreState,
-        inForceBefore: number,
+        activeGeneration: number,
         deadline: number,
     ): Promise<Acceptance | undefined> => {
         const { expectedGeneration } = request;
-        if (state.generation < inForceBefore) {
-            return err(refuseOldStore(state.generation, inForceBefore));
+        if (state.generation < activeGeneration) {
+            return err(rejectOutdatedStore(state.generation, activeGeneration));
         }
         if (expectedGeneration !== undefined && expectedGeneration !== state.generation) {
             return err(notRun(FailureReason.Conflict, `the fleet stands at generation ${state.generation}`));
         }
-        if (state.generation > inForceBefore) {
+        if (state.generation > activeGeneration) {
             const caughtUp = await options.catchUpFromStore(deadline);
-            return caughtUp.isErr ? err(unreadable(caughtUp.error)) : undefined;
+            return caughtUp.isErr ? err(createReadFailure(caughtUp.error)) : undefined;
         }
-        // If a push came in during the read, the head's version is old and the transaction will be rejected.
+        // If a push arrived during the read, the head version that was read is outdated: the transaction is rejected.
         return await commit(request, state, deadline);
     };
 
@@ -90,7 +89,7 @@
         state: StoreState,
         deadline: number,
     ): Promise<Acceptance | undefined> => {
-        const valid = validateChange(inForce.current(), request);
+        const valid = validateChange(activeVersion.current(), request);
         if (valid.isErr) {
             return err(valid.error);
         }
@@ -101,11 +100,11 @@
             eventLog.record(EventKind.ConfigurationAccepted, { generation, partner, write: writeId });
             return ok(change);
         }
-        if (isRaced(answer)) {
+        if (hasConflict(answer)) {
             await clock.sleepUntil(clock.monotonicNow() + random.fraction() * timing.raceBackoffMilliseconds);
             return undefined;
         }
-        return err(explainFailedCommit(answer, clock.wallNow()));
+        return err(describeFailedCommit(answer, clock.wallNow()));
     };
 
     const answerRepeated = async (request: ChangeRequest, write: WriteValue, deadline: number): Promise<Acceptance> => {
@@ -122,9 +121,9 @@
             : err(mayHaveRun(FailureReason.StoreUnavailable, `accepted as generation ${write.generation}`));
     };
 
-    const refuseOldStore = (storeGeneration: number, inForceBefore: number): Failure => {
-        const message = `the store stands at generation ${storeGeneration}, behind ${inForceBefore} in force`;
-        eventLog.record(EventKind.Fault, { generation: inForceBefore, reason: message });
+    const rejectOutdatedStore = (storeGeneration: number, activeGeneration: number): Failure => {
+        const message = `the store stands at generation ${storeGeneration}, behind ${activeGeneration} in force`;
+        eventLog.record(EventKind.Fault, { generation: activeGeneration, reason: message });
         return notRun(FailureReason.Internal, message);
     };
 
@@ -142,26 +141,26 @@
         if (answer.outcome === TransactionOutcome.Committed) {
             return ok({ state: ChangeState.Cancelled });
         }
-        // The row that stands in the way tells the outcome, be it of the change or of an earlier cancellation.
-        return isRaced(answer)
+        // The row that caused the conflict holds the outcome, of the change or of an earlier cancellation.
+        return hasConflict(answer)
             ? await outcomeOf(partner, writeId, deadline)
-            : err(explainFailedCommit(answer, clock.wallNow()));
+            : err(describeFailedCommit(answer, clock.wallNow()));
     };
 
     return { accept, outcomeOf, cancel };
 }
 
 /**
- * Whether the transaction is known never to take effect, or its effect can be read. After an unknown outcome, a row
- * found changed tells as much: a version never comes back, so what is still under way will fail on it too.
+ * Whether the transaction is known never to take effect, or its effect can be read. After an unknown outcome, a changed
+ * row proves the same: versions are never reused, so a send that is still in flight will fail on that row too.
  */
-function isRaced(answer: TransactionAnswer): boolean {
+function hasConflict(answer: TransactionAnswer): boolean {
     const isRejected = answer.outcome === TransactionOutcome.Rejected
         && answer.cause === RejectionCause.ConditionFailed;
     return isRejected || (answer.conflicts ?? []).length > 0;
 }
 
-function explainFailedCommit(answer: TransactionAnswer, wallNow: number): Failure {
+function describeFailedCommit(answer: TransactionAnswer, wallNow: number): Failure {
     return answer.outcome === TransactionOutcome.Unknown
         ? mayHaveRun(FailureReason.OutcomeUnknown, "ask again with the same write id")
         : notRun(FailureReason.StoreUnavailable, "the store took nothing", wallNow);
@@ -182,8 +181,8 @@
     return { generation, writeId, partner, operator, changes, acceptedAt };
 }
 
-/** This call sent nothing, but an earlier one under the same write id may still take effect. */
-function unreadable(failure: Failure): Failure {
+/** This call sent no transaction, but one sent earlier under the same write id may still take effect. */
+function createReadFailure(failure: Failure): Failure {
     return mayHaveRun(
         failure.reason,
         `this call changed nothing; ask again with the same write id: ${failure.message}`,
--- a/packages/daisyturn/src/process/peers/index.ts
+++ b/packages/daisyturn/src/process/peers/index.ts
@@ -1,12 +1,12 @@
 /**
- * Messages between processes: who a peer is, and the two exchanges that other parts put their news into.
+ * Messages between processes: identities of peers, and the exchanges of digests and of load reports.
  *
  * @module
  */
 
-export * from "./alone.js";
 export * from "./createDigestExchange.js";
 export * from "./dialingPeerNetwork.js";
 export * from "./loadExchange.js";
 export * from "./peerNetwork.js";
 export * from "./processIdentitySchema.js";
+export * from "./singleProcess.js";
--- a/packages/daisyturn/src/process/store/__tests__/differential.test.ts
+++ b/packages/daisyturn/src/process/store/__tests__/differential.test.ts
@@ -5,13 +5,13 @@
 import { TableFaultKind } from "../../../ports/faultyTableService.js";
 import { createMemoryTableService } from "../../../ports/memoryTableService.js";
 import { absentVersion, type Row, type TableService, type Transaction } from "../../../ports/tableService.js";
-import { assertTrueAnswer } from "../__fixtures__/interleavings.js";
+import { assertCorrectAnswer } from "../__fixtures__/interleavings.js";
 import { replayInOrder } from "../__fixtures__/naiveTable.js";
 import { createCommitCounter, createStoreSetupWith } from "../__fixtures__/storeSetup.js";
 import { StorePriority } from "../storeClient.js";
 import { addWriteMarker, writeMarkerPrefix } from "../writeMarker.js";
 
-/** Which version of a row a condition demands. */
+/** Which version of a row a condition expects. */
 enum Demand {
     Current = "current",
     Stale = "stale",
@@ -62,7 +62,7 @@
     releasesLateCommits: fc.boolean(),
 });
 
-/** Only some rows are ever deleted, and who creates one of them on condition that it is absent carries a marker. */
+/** Whether a transaction creates a deletable row on condition that it is absent. Such a transaction needs a marker. */
 function needsMarker({ conditions, writes }: Transaction): boolean {
     const created = writes.filter(write => write.value !== undefined).map(write => write.key);
     return conditions.some(({ key, expectedVersion }) =>
@@ -70,9 +70,9 @@
     );
 }
 
-function createTransaction(step: Step, writeId: string, standing: ReadonlyMap<string, Row>): Transaction {
-    const demandedVersion = (key: string, demand: Demand) => {
-        const current = standing.get(key)?.version ?? absentVersion;
+function createTransaction(step: Step, writeId: string, currentRows: ReadonlyMap<string, Row>): Transaction {
+    const expectedVersionOf = (key: string, demand: Demand) => {
+        const current = currentRows.get(key)?.version ?? absentVersion;
         return demand === Demand.Absent
             ? absentVersion
             : demand === Demand.Current
@@ -81,19 +81,22 @@
     };
     return {
         writeId,
-        conditions: step.conditions.map(({ key, demand }) => ({ key, expectedVersion: demandedVersion(key, demand) })),
+        conditions: step.conditions.map(({ key, demand }) => ({
+            key,
+            expectedVersion: expectedVersionOf(key, demand),
+        })),
         writes: step.writes.map(({ key, isDelete }) => (
             { key, value: isDelete && deletableKeys.includes(key) ? undefined : writeId }
         )),
     };
 }
 
-async function readStanding(memory: TableService): Promise<Map<string, Row>> {
+async function readCurrentRows(memory: TableService): Promise<Map<string, Row>> {
     const rows = await memory.read(keys, 0);
     return new Map(rows.unwrapOr([]).map(row => [row.key, row]));
 }
 
-async function playBatches(batches: readonly Batch[]): Promise<void> {
+async function runBatches(batches: readonly Batch[]): Promise<void> {
     const memory = createMemoryTableService();
     const counter = createCommitCounter(memory);
     const clock = new EagerClock();
@@ -104,10 +107,10 @@
     const issued: Transaction[] = [];
     const settled = [];
     for (const { steps, faults, releasesLateCommits } of batches) {
-        const standing = await readStanding(memory);
+        const currentRows = await readCurrentRows(memory);
         setups.forEach(setup => setup.faulty.script(...faults));
         const answers = steps.map(async step => {
-            const transaction = createTransaction(step, `w${issued.length}`, standing);
+            const transaction = createTransaction(step, `w${issued.length}`, currentRows);
             issued.push(transaction);
             const sent = step.isMarked || needsMarker(transaction) ? addWriteMarker(transaction, 0) : transaction;
             const client = setups[step.client]?.client;
@@ -123,7 +126,7 @@
     await Promise.all(setups.map(setup => setup.faulty.releaseLateCommits()));
     stop.abort();
     for (const { transaction, answer } of settled) {
-        assertTrueAnswer({ answer, commits: counter.of(transaction.writeId) }, transaction.writeId);
+        assertCorrectAnswer({ answer, commits: counter.of(transaction.writeId) }, transaction.writeId);
     }
     const commits = issued.flatMap(transaction =>
         counter.of(transaction.writeId).map(({ version }) => ({ transaction, version }))
@@ -133,10 +136,10 @@
     assert.deepEqual(storedRows, replayInOrder(commits));
 }
 
-describe("store clients against transactions carried out one after another", () => {
-    it("leave the same rows and answer the truth, whatever goes wrong", async () => {
+describe("store clients compared with sequential execution of transactions", () => {
+    it("leave the same rows and report correct outcomes under all faults", async () => {
         await fc.assert(
-            fc.asyncProperty(fc.array(batchArbitrary, { minLength: 1, maxLength: 12 }), playBatches),
+            fc.asyncProperty(fc.array(batchArbitrary, { minLength: 1, maxLength: 12 }), runBatches),
             { seed: 20_261, numRuns: 600 },
         );
     });
