--- a/packages/daisyturn/src/ports/http/requestProgress.ts
+++ b/packages/daisyturn/src/ports/http/requestProgress.ts
@@ -28,7 +28,7 @@
         onRequestStart: (controller, context) => {
             if (progress.started || progress.abandoned) {
                 // undici may requeue a request when a connection ends, but a request must be sent at most once.
-                controller.abort(new Error("The request was already sent once, or given up."));
+                controller.abort(new Error("The request was already sent or was abandoned."));
                 return;
             }
             progress.started = true;
