--- a/packages/daisyturn/src/process/orders/__fixtures__/describeFaults.ts
+++ b/packages/daisyturn/src/process/orders/__fixtures__/describeFaults.ts
@@ -28,7 +28,7 @@
             world.engine.crash();
             // Work that gets in between the second look and the order is cut; the design note says so.
             if (kind !== CallKind.EngineOrder) {
-                world.engine.takeWork(workMilliseconds);
+                world.engine.startWork(workMilliseconds);
             }
         }),
     "the engine stops partway": (world, { host }, index) => host.atCall(index, () => world.engine.crash(true)),
--- a/packages/daisyturn/src/process/orders/__fixtures__/orderWorld.ts
+++ b/packages/daisyturn/src/process/orders/__fixtures__/orderWorld.ts
@@ -19,12 +19,7 @@
 import { createOrderedEngine } from "./orderedEngine.js";
 import { flightMilliseconds } from "./processHost.js";
 import { testCell } from "./worldConstants.js";
-import {
-    createWorldProcess,
-    type OrderWorldOptions,
-    type WorldProcess,
-    type WorldSurroundings,
-} from "./worldProcess.js";
+import { createWorldProcess, type OrderWorldOptions, type SharedWorld, type WorldProcess } from "./worldProcess.js";
 
 /** After a process has died, how long until its end is proved: while its last call is still on the way. */
 const proofMilliseconds = flightMilliseconds - 1_000;
@@ -37,7 +32,7 @@
 };
 
 /** A cell with one engine: processes around one table service, one configuration and one clock. */
-export interface OrderWorld extends WorldSurroundings {
+export interface OrderWorld extends SharedWorld {
     /** Has the platform's list prove the end of the processes that have been dead for long enough. */
     proveDeaths(): void;
     /** Adds a process and starts it. */
--- a/packages/daisyturn/src/process/orders/__fixtures__/orderedEngine.ts
+++ b/packages/daisyturn/src/process/orders/__fixtures__/orderedEngine.ts
@@ -9,7 +9,7 @@
 } from "../../../ports/engine.js";
 
 /** What an engine of the tests remembers of an order that it took. */
-export interface TakenOrder {
+export interface AcceptedOrder {
     readonly order: EngineOrder;
     readonly at: number;
 }
@@ -19,13 +19,13 @@
     readonly engineId: string;
     /** What went against the promises; must stay empty. */
     readonly violations: readonly string[];
-    readonly taken: readonly TakenOrder[];
+    readonly acceptedOrders: readonly AcceptedOrder[];
     order(order: EngineOrder): OrderAnswer;
     /** Notes something else that went against the promises. */
-    noteViolation(violation: string): void;
+    recordViolation(violation: string): void;
     state(): EngineState;
     /** Takes a request that runs for so long; false: refused as not run. */
-    takeWork(milliseconds: number): boolean;
+    startWork(milliseconds: number): boolean;
     /** Restarts the engine; in the midst of a change it comes back stuck if `isStuck`. */
     crash(isStuck?: boolean): void;
 }
@@ -44,7 +44,7 @@
 export function createOrderedEngine(options: OrderedEngineOptions): OrderedEngine {
     const { engineId, clock, checksFencingNumbers } = options;
     const violations: string[] = [];
-    const taken: TakenOrder[] = [];
+    const acceptedOrders: AcceptedOrder[] = [];
     let incarnation = 1;
     let role = EngineRole.Mixed;
     let models: readonly string[] = ["large"];
@@ -90,7 +90,7 @@
             return OrderAnswer.Busy;
         }
         lastOrderId = given.orderId;
-        taken.push({ order: given, at: now() });
+        acceptedOrders.push({ order: given, at: now() });
         begin(given);
         return OrderAnswer.Accepted;
     };
@@ -122,7 +122,7 @@
         streamEnds = [];
     };
 
-    const takeWork = (milliseconds: number) => {
+    const startWork = (milliseconds: number) => {
         if (draining || phase() !== EnginePhase.Serving) {
             return false;
         }
@@ -154,9 +154,9 @@
         highestFencingNumber: checksFencingNumbers ? highestSeen : undefined,
     });
 
-    const noteViolation = (violation: string) => void violations.push(violation);
+    const recordViolation = (violation: string) => void violations.push(violation);
 
-    return { engineId, violations, taken, order, noteViolation, state, takeWork, crash };
+    return { engineId, violations, acceptedOrders, order, recordViolation, state, startWork, crash };
 }
 
 function changesEngine(order: EngineOrder): boolean {
--- a/packages/daisyturn/src/process/orders/__fixtures__/processHost.ts
+++ b/packages/daisyturn/src/process/orders/__fixtures__/processHost.ts
@@ -80,7 +80,7 @@
     let isDead = false;
     let pausedUntil = -Infinity;
     /** How far the clocks of the process are behind after past suspensions. */
-    let standstill = 0;
+    let pastSuspensionMilliseconds = 0;
     /** When the suspension began that goes on or has just ended. */
     let suspendedAt: number | undefined;
 
@@ -105,15 +105,15 @@
     };
 
     /** How far the clocks of the process are behind now. */
-    const readStandstill = () => {
+    const computeClockLag = () => {
         if (suspendedAt !== undefined && isPaused()) {
-            return standstill + clock.monotonicNow() - suspendedAt;
+            return pastSuspensionMilliseconds + clock.monotonicNow() - suspendedAt;
         }
         if (suspendedAt !== undefined) {
-            standstill += pausedUntil - suspendedAt;
+            pastSuspensionMilliseconds += pausedUntil - suspendedAt;
             suspendedAt = undefined;
         }
-        return standstill;
+        return pastSuspensionMilliseconds;
     };
 
     const kill = () => {
@@ -126,14 +126,14 @@
         actions.get(calls)?.(kind);
         const fault = faults.get(calls) ?? nextFaults.get(kind);
         nextFaults.delete(kind);
-        await travel();
+        await applyDelay();
         const answer = await callWith(fault ?? (cut.has(kind) ? CallFault.NotSent : undefined), run, failures);
-        await travel();
+        await applyDelay();
         await whenActive();
         return answer;
     };
 
-    const travel = async () => {
+    const applyDelay = async () => {
         const delay = drawDelay();
         if (delay > 0) {
             await clock.sleepUntil(clock.monotonicNow() + delay);
@@ -180,16 +180,16 @@
 
     class HostClock extends Clock {
         override monotonicNow(): number {
-            return clock.monotonicNow() - readStandstill();
+            return clock.monotonicNow() - computeClockLag();
         }
 
         override wallNow(): number {
-            return clock.wallNow() - readStandstill();
+            return clock.wallNow() - computeClockLag();
         }
 
         override async sleepUntil(deadline: number, signal?: AbortSignal): Promise<void> {
             while (this.monotonicNow() < deadline && !signal?.aborted) {
-                const behind = readStandstill();
+                const behind = computeClockLag();
                 // Rounded up, so that a sleeper never wakes a little too early and spins.
                 await clock.sleepUntil(behind > 0 ? Math.floor(deadline + behind) + 1 : deadline, signal);
                 await whenActive();
--- a/packages/daisyturn/src/process/orders/__fixtures__/raceOverSeeds.ts
+++ b/packages/daisyturn/src/process/orders/__fixtures__/raceOverSeeds.ts
@@ -9,18 +9,20 @@
 export async function raceOverSeeds(seeds: number, create: (seed: number) => RaceOptions): Promise<void> {
     const problems: string[] = [];
     let done = 0;
-    let asked = 0;
+    let requested = 0;
     for (let seed = 1; seed <= seeds; seed++) {
         const result = await raceOnce(create(seed));
         problems.push(...result.problems);
         done += result.done;
-        asked += result.asked;
+        requested += result.requested;
     }
     assert.deepEqual(problems, []);
-    assert.ok(2 * done > asked, `only ${done} of ${asked} requests were carried out`);
+    assert.ok(2 * done > requested, `only ${done} of ${requested} requests were carried out`);
 }
 
-async function raceOnce(options: RaceOptions): Promise<{ problems: readonly string[]; done: number; asked: number; }> {
+async function raceOnce(
+    options: RaceOptions,
+): Promise<{ problems: readonly string[]; done: number; requested: number; }> {
     const run = await runRacingOperators(options);
     const problems = [...run.violations];
     if (!run.hasSettled || run.requests.some(isRequestOpen)) {
@@ -31,5 +33,9 @@
         problems.push(`engine ${JSON.stringify(run.engine)}, naive version ${JSON.stringify(expected)}`);
     }
     const done = run.requests.filter(request => request.state === OrderRequestState.Done).length;
-    return { problems: problems.map(problem => `seed ${options.seed}: ${problem}`), done, asked: run.requests.length };
+    return {
+        problems: problems.map(problem => `seed ${options.seed}: ${problem}`),
+        done,
+        requested: run.requests.length,
+    };
 }
--- a/packages/daisyturn/src/process/orders/__fixtures__/runRacingOperators.ts
+++ b/packages/daisyturn/src/process/orders/__fixtures__/runRacingOperators.ts
@@ -3,7 +3,7 @@
 import { EnginePhase, EngineRole, OrderKind } from "../../../ports/engine.js";
 import { createHold } from "../../../version/__fixtures__/items.js";
 import { HoldKind } from "../../../version/configurationItems.js";
-import type { OrderWish } from "../createOrderCommands.js";
+import type { NewOrderRequest } from "../createOrderCommands.js";
 import {
     type ChangeGoal,
     type EngineOrders,
@@ -43,22 +43,22 @@
 
 const partners = ["nyamata", "jizdenka"];
 const actionCount = 14;
-const longestGapMilliseconds = 2_500;
-const longestLagMilliseconds = 3_000;
-const longestDelayMilliseconds = 120;
-const latestFaultyCall = 160;
+const maxGapMilliseconds = 2_500;
+const maxLagMilliseconds = 3_000;
+const maxDelayMilliseconds = 120;
+const maxFaultyCall = 160;
 const settleMilliseconds = 150_000;
 const workMilliseconds = 600;
 
 /** Lets operators of both partners act at random on one engine, and processes fail at random. */
 export async function runRacingOperators(options: RaceOptions): Promise<RaceRun> {
     const random = createSeededRandom(options.seed);
-    const lags = new Map(["p1", "p2", "p3"].map(name => [name, random.integerBelow(longestLagMilliseconds)]));
+    const lags = new Map(["p1", "p2", "p3"].map(name => [name, random.integerBelow(maxLagMilliseconds)]));
     const world = createOrderWorld({
         checksFencingNumbers: options.checksFencingNumbers,
         processCount: 3,
         seed: options.seed,
-        drawDelay: () => random.integerBelow(longestDelayMilliseconds),
+        drawDelay: () => random.integerBelow(maxDelayMilliseconds),
         configurationLag: name => lags.get(name) ?? 0,
     });
     const overridden: string[] = [];
@@ -77,15 +77,15 @@
     });
     for (let count = 0; count < options.faultCount; count++) {
         const { host } = world.processes[random.integerBelow(3)]!;
-        host.failCall(1 + random.integerBelow(latestFaultyCall), pick(random, Object.values(CallFault)));
+        host.failCall(1 + random.integerBelow(maxFaultyCall), pick(random, Object.values(CallFault)));
     }
     await world.clock.advance(1_500);
     for (let count = 0; count < actionCount; count++) {
-        void act(world, random, options.hasHolds, count);
-        await advanceUnderWork(world, random.integerBelow(longestGapMilliseconds));
+        void performRandomAction(world, random, options.hasHolds, count);
+        await advanceUnderWork(world, random.integerBelow(maxGapMilliseconds));
     }
-    await liftAll(world);
-    const hasSettled = await world.advanceUntil(() => keepGoing(world), settleMilliseconds);
+    await removeAllHolds(world);
+    const hasSettled = await world.advanceUntil(() => continueRun(world), settleMilliseconds);
     const { role, models, version } = world.engine.state();
     await world.stop();
     return {
@@ -126,7 +126,7 @@
     return foreign.map(hold => `${last.order.kind} for ${change.partner} against the hold of ${hold.partner}`);
 }
 
-async function act(world: OrderWorld, random: Random, hasHolds: boolean, count: number): Promise<void> {
+async function performRandomAction(world: OrderWorld, random: Random, hasHolds: boolean, count: number): Promise<void> {
     const partner = pick(random, partners);
     const process = pick(random, world.processes);
     if (hasHolds && random.fraction() < 0.5) {
@@ -134,8 +134,13 @@
         await world.setHold(createHold(partner, "engine-1", holdKind), random.fraction() < 0.4);
         return;
     }
-    const wish: OrderWish = { requestId: `req-${count}`, engineId: "engine-1", partner, ...pickGoal(random) };
-    await process.commands.requestOrder(wish);
+    const newRequest: NewOrderRequest = {
+        requestId: `req-${count}`,
+        engineId: "engine-1",
+        partner,
+        ...pickGoal(random),
+    };
+    await process.commands.requestOrder(newRequest);
 }
 
 function pickGoal(random: Random): ChangeGoal {
@@ -148,19 +153,19 @@
 }
 
 async function advanceUnderWork(world: OrderWorld, milliseconds: number): Promise<void> {
-    world.engine.takeWork(workMilliseconds);
+    world.engine.startWork(workMilliseconds);
     await world.clock.advance(milliseconds);
 }
 
-async function liftAll(world: OrderWorld): Promise<void> {
+async function removeAllHolds(world: OrderWorld): Promise<void> {
     for (const partner of partners) {
         await world.setHold(createHold(partner, "engine-1"), false);
     }
 }
 
 /** Goes on with the work, proves deaths, keeps a process alive, and tells whether all is over. */
-function keepGoing(world: OrderWorld): boolean {
-    world.engine.takeWork(workMilliseconds);
+function continueRun(world: OrderWorld): boolean {
+    world.engine.startWork(workMilliseconds);
     world.proveDeaths();
     if (world.processes.every(one => one.host.isDead())) {
         world.addProcess("p4");
--- a/packages/daisyturn/src/process/orders/__fixtures__/runRoleChange.ts
+++ b/packages/daisyturn/src/process/orders/__fixtures__/runRoleChange.ts
@@ -67,10 +67,10 @@
 
 /** Work from every entry VM that may send it, and from one that knows of no closing. */
 function dispatchWork(world: OrderWorld): void {
-    world.engine.takeWork(workMilliseconds);
+    world.engine.startWork(workMilliseconds);
     for (const { host, gate } of world.processes) {
         if (!host.isDead() && !host.isPaused() && gate.isOpen(world.engine.engineId)) {
-            world.engine.takeWork(workMilliseconds);
+            world.engine.startWork(workMilliseconds);
         }
     }
 }
--- a/packages/daisyturn/src/process/orders/__fixtures__/worldProcess.ts
+++ b/packages/daisyturn/src/process/orders/__fixtures__/worldProcess.ts
@@ -42,7 +42,7 @@
 }
 
 /** What the processes of a cell share. */
-export interface WorldSurroundings {
+export interface SharedWorld {
     readonly clock: FakeClock;
     readonly engine: OrderedEngine;
     readonly processes: readonly WorldProcess[];
@@ -72,7 +72,7 @@
 
 /** Creates a process in a cell and starts it. */
 export function createWorldProcess(
-    world: WorldSurroundings,
+    world: SharedWorld,
     identity: ProcessIdentity,
     random: Random,
     eventLog: MemoryEventLog,
@@ -132,7 +132,7 @@
             engines: () => [engine],
         },
         targetGate: gate,
-        weightStore: createGenerousWeightStore(),
+        weightStore: createGrantingWeightStore(),
         clock,
         ids,
         eventLog,
@@ -147,7 +147,7 @@
     return { identity, host, eventLog, leaseManager, controller, commands, gate, stop };
 }
 
-function createWorldMembership(world: WorldSurroundings, self: ProcessIdentity): Membership {
+function createWorldMembership(world: SharedWorld, self: ProcessIdentity): Membership {
     const others = () => world.processes.filter(one => one.identity.incarnation !== self.incarnation);
     return {
         others: () => others().map(one => ({ identity: one.identity, state: MemberState.Alive })),
@@ -158,7 +158,7 @@
     };
 }
 
-function createWorldConfiguration(world: WorldSurroundings, processName: string): ConfigurationManager {
+function createWorldConfiguration(world: SharedWorld, processName: string): ConfigurationManager {
     return {
         current: () => world.configurationAt(processName),
         adopt: () => Promise.resolve(),
@@ -179,7 +179,7 @@
 
         override order(order: EngineOrder): Promise<Result<OrderAnswer, Failure>> {
             if (!holdsLease()) {
-                ordered.noteViolation(`${order.orderId} is sent by a process that knows its lease to be over`);
+                ordered.recordViolation(`${order.orderId} is sent by a process that knows its lease to be over`);
             }
             const run = () => Promise.resolve(Result.ok<OrderAnswer, Failure>(ordered.order(order)));
             return host.call(CallKind.EngineOrder, run, { unknown: unknown(), notSent: notSent() });
@@ -199,8 +199,8 @@
     return new HostedEngine();
 }
 
-function createGenerousWeightStore(): WeightStore {
-    class GenerousWeightStore extends WeightStore {
+function createGrantingWeightStore(): WeightStore {
+    class GrantingWeightStore extends WeightStore {
         override requestLoad() {
             return Promise.resolve(Result.ok<{ grantId: string; validUntil: number; }, Failure>({
                 grantId: "grant",
@@ -208,5 +208,5 @@
             }));
         }
     }
-    return new GenerousWeightStore();
+    return new GrantingWeightStore();
 }
--- a/packages/daisyturn/src/process/orders/__tests__/controller.test.ts
+++ b/packages/daisyturn/src/process/orders/__tests__/controller.test.ts
@@ -9,11 +9,11 @@
     it("drains, changes the role and returns the engine to service", async () => {
         const world = createOrderWorld({ checksFencingNumbers: true });
         await world.clock.advance(2_000);
-        world.engine.takeWork(4_000);
+        world.engine.startWork(4_000);
         const answer = await world.processes[1]!.controller.requestRoleChange("engine-1", EngineRole.Decode);
         assert.ok(answer.isOk);
         assert.ok(await world.advanceUntil(() => world.request()?.state === OrderRequestState.Done, 20_000));
-        assert.deepEqual(world.engine.taken.map(one => one.order.kind), [
+        assert.deepEqual(world.engine.acceptedOrders.map(one => one.order.kind), [
             OrderKind.Drain,
             OrderKind.ChangeRole,
             OrderKind.Resume,
@@ -30,7 +30,7 @@
         const leave = other!.gate.enter("engine-1");
         await one!.controller.requestRoleChange("engine-1", EngineRole.Decode);
         await world.clock.advance(15_000);
-        assert.deepEqual(world.engine.taken.map(taken => taken.order.kind), [OrderKind.Drain]);
+        assert.deepEqual(world.engine.acceptedOrders.map(accepted => accepted.order.kind), [OrderKind.Drain]);
         leave();
         assert.ok(await world.advanceUntil(() => world.request()?.state === OrderRequestState.Done, 20_000));
         assert.equal(other!.gate.isOpen("engine-1"), true);
@@ -49,7 +49,7 @@
     it("gives a change up rather than cut a stream that does not end", async () => {
         const world = createOrderWorld({ checksFencingNumbers: true });
         await world.clock.advance(2_000);
-        world.engine.takeWork(60_000);
+        world.engine.startWork(60_000);
         await world.processes[0]!.controller.requestRoleChange("engine-1", EngineRole.Decode);
         assert.ok(await world.advanceUntil(() => world.request()?.state === OrderRequestState.Failed, 40_000));
         const state = world.engine.state();
@@ -79,7 +79,7 @@
         ];
         const choose = (freeChanges: number, freeLoads: number) =>
             chooseRequests(requests, { busyEngines: new Set(["a2"]), freeChanges, freeLoads }, {
-                begun: () => 0,
+                started: () => 0,
                 weight: partner => partner === "nyamata" ? 1 : 3,
             }).map(one => one.requestId);
         assert.deepEqual(choose(9, 9), ["a1", "b1", "a3", "b2"]);
--- a/packages/daisyturn/src/process/orders/__tests__/createOrderCommands.test.ts
+++ b/packages/daisyturn/src/process/orders/__tests__/createOrderCommands.test.ts
@@ -6,10 +6,10 @@
 import { HoldKind } from "../../../version/configurationItems.js";
 import { createOrderWorld } from "../__fixtures__/orderWorld.js";
 import { CallFault, CallKind } from "../__fixtures__/processHost.js";
-import type { OrderWish } from "../createOrderCommands.js";
+import type { NewOrderRequest } from "../createOrderCommands.js";
 import { OrderRequestState, OrderState, WithheldReason } from "../rows/orderRows.js";
 
-const wish: OrderWish = {
+const newRequest: NewOrderRequest = {
     requestId: "req-1",
     engineId: "engine-1",
     kind: OrderKind.ChangeRole,
@@ -23,15 +23,15 @@
         const world = createOrderWorld({ checksFencingNumbers: true });
         const [one, other] = world.processes.map(process => process.commands);
         const [first, second] = await Promise.all([
-            one!.requestOrder(wish),
-            other!.requestOrder({ ...wish, requestId: "req-2", partner: "jizdenka", role: EngineRole.Prefill }),
+            one!.requestOrder(newRequest),
+            other!.requestOrder({ ...newRequest, requestId: "req-2", partner: "jizdenka", role: EngineRole.Prefill }),
         ]);
         assert.deepEqual([first, second].map(answer => answer.isOk), [true, false]);
-        assert.ok((await other!.requestOrder(wish)).isOk);
+        assert.ok((await other!.requestOrder(newRequest)).isOk);
         await world.advanceUntil(() => world.request()?.state === OrderRequestState.Done, 20_000);
-        const repeated = await other!.requestOrder(wish);
+        const repeated = await other!.requestOrder(newRequest);
         assert.equal(repeated.isOk && repeated.value.state, OrderRequestState.Done);
-        const stolen = await other!.requestOrder({ ...wish, partner: "jizdenka" });
+        const stolen = await other!.requestOrder({ ...newRequest, partner: "jizdenka" });
         assert.equal(stolen.isErr && stolen.error.reason, FailureReason.Conflict);
         await world.stop();
     });
@@ -47,7 +47,7 @@
         it(`${isAllowed ? "takes" : "refuses"} an order while ${own ? "its own" : "the other"} partner has a ${holdKind}`, async () => {
             const world = createOrderWorld({ checksFencingNumbers: true });
             await world.setHold(createHold(own ? "nyamata" : "jizdenka", "engine-1", holdKind), true);
-            const answer = await world.processes[0]!.commands.requestOrder(wish);
+            const answer = await world.processes[0]!.commands.requestOrder(newRequest);
             assert.equal(answer.isOk, isAllowed);
             await world.stop();
         });
@@ -60,13 +60,13 @@
         const other = world.processes.find(one => one !== holder)!;
         const early = await other.commands.vouch(vouchFor(holder.identity.incarnation));
         assert.equal(early.isErr && early.error.reason, FailureReason.NotFound);
-        await other.commands.requestOrder(wish);
+        await other.commands.requestOrder(newRequest);
         holder.host.failNext(CallKind.EngineOrder, CallFault.KillBefore);
         await world.clock.advance(60_000);
         const shown = (await other.commands.listEngineOrders()).unwrapOr([]);
-        assert.equal(shown[0]?.withheld?.reason, WithheldReason.SenderMayLive);
+        assert.equal(shown[0]?.withheld?.reason, WithheldReason.SenderMayBeAlive);
         assert.equal(other.gate.isOpen("engine-1"), true, "the engine serves on while a drain is in doubt");
-        assert.equal(world.engine.taken.length, 0);
+        assert.equal(world.engine.acceptedOrders.length, 0);
         assert.ok((await other.commands.vouch(vouchFor(holder.identity.incarnation))).isOk);
         assert.ok(await world.advanceUntil(() => !world.orders().change, 60_000));
         assert.deepEqual(world.engine.violations, []);
@@ -80,7 +80,7 @@
         await world.clock.advance(2_000);
         const holder = world.processes.find(one => one.leaseManager.current())!;
         const other = world.processes.find(one => one !== holder)!;
-        await other.commands.requestOrder(wish);
+        await other.commands.requestOrder(newRequest);
         holder.host.failNext(CallKind.EngineOrder, CallFault.LoseCall);
         await world.advanceUntil(() => world.orders().last?.state === OrderState.Sent, 5_000);
         const answer = await other.commands.vouch(vouchFor(holder.identity.incarnation));
--- a/packages/daisyturn/src/process/orders/createController.ts
+++ b/packages/daisyturn/src/process/orders/createController.ts
@@ -11,7 +11,7 @@
 import { type ControllerSettings, defaultControllerSettings, type OrderContext } from "./orderContext.js";
 import type { OrderOverview, OrderRecords } from "./rows/createOrderRecords.js";
 import { type EngineOrders, isOrderOpen } from "./rows/orderRows.js";
-import { stateFates } from "./rows/stateFates.js";
+import { publishCallStatuses } from "./rows/publishCallStatuses.js";
 import { createOrderSender } from "./sending/createOrderSender.js";
 import { serveEngine } from "./serveEngine.js";
 import { chooseRequests, isLoad } from "./steps/chooseRequests.js";
@@ -44,7 +44,7 @@
     const { leaseManager, records, clock, eventLog } = options;
     const settings = { ...defaultControllerSettings, ...options.settings };
     const vouched = new Set<string>();
-    const loadsBegun = new Map<string | undefined, number>();
+    const startedLoads = new Map<string | undefined, number>();
     let underWay: readonly ChangeUnderWay[] = [];
     let tenureEnd: AbortController | undefined;
     let work: Promise<void> = Promise.resolve();
@@ -59,47 +59,47 @@
     const driver = createChangeDriver(context);
 
     const run = async (signal: AbortSignal) => {
-        const tellingEnd = new AbortController();
+        const publishingEnd = new AbortController();
         signal.addEventListener("abort", () => {
             tenureEnd?.abort();
-            void endTelling(tellingEnd);
+            void endPublishing(publishingEnd);
         }, { once: true });
         while (!signal.aborted) {
             const lease = leaseManager.current();
             if (lease) {
                 tenureEnd = new AbortController();
-                work = workUnder(createControllerTenure(lease, tenureEnd.signal), tellingEnd.signal);
+                work = workDuring(createControllerTenure(lease, tenureEnd.signal), publishingEnd.signal);
                 await work;
             }
             await clock.sleepUntil(clock.monotonicNow() + idleIntervalMilliseconds, signal);
         }
-        tellingEnd.abort();
+        publishingEnd.abort();
     };
 
     /** Works until the tenure is over, then tells what became of its orders. */
-    const workUnder = async (tenure: ControllerTenure, tellingSignal: AbortSignal) => {
+    const workDuring = async (tenure: ControllerTenure, publishingSignal: AbortSignal) => {
         const tasks = new Map<string, Promise<void>>();
         while (!tenure.isOver()) {
             const overview = await records.readAll(clock.monotonicNow() + settings.callLimitMilliseconds);
             if (overview.isOk && !tenure.isOver()) {
-                takeIn(overview.value);
+                applyOverview(overview.value);
                 startTasks(tenure, tasks, overview.value);
             }
             await clock.sleepUntil(clock.monotonicNow() + settings.overviewIntervalMilliseconds, tenure.signal);
         }
         underWay = [];
-        context.quiescer.forgetAll();
+        context.quiescer.clear();
         await Promise.all(tasks.values());
-        await stateFates(context, tellingSignal);
+        await publishCallStatuses(context, publishingSignal);
     };
 
     /** Telling is worth a short wait when the process stops, and any wait while it runs on without the lease. */
-    const endTelling = async (tellingEnd: AbortController) => {
-        await clock.sleepUntil(clock.monotonicNow() + settings.callLimitMilliseconds, tellingEnd.signal);
-        tellingEnd.abort();
+    const endPublishing = async (publishingEnd: AbortController) => {
+        await clock.sleepUntil(clock.monotonicNow() + settings.callLimitMilliseconds, publishingEnd.signal);
+        publishingEnd.abort();
     };
 
-    const takeIn = (overview: OrderOverview) => {
+    const applyOverview = (overview: OrderOverview) => {
         overview.vouches.forEach(vouch => vouched.add(vouch.incarnation));
         underWay = overview.orders.flatMap(describeUnderWay);
     };
@@ -109,10 +109,10 @@
         const unfinished = overview.orders.filter(isUnfinished).map(orders => orders.engineId);
         const chosen = chooseRequests(overview.requests, {
             busyEngines: new Set([...tasks.keys(), ...unfinished]),
-            freeChanges: settings.maximumConcurrentChanges - unfinished.length,
-            freeLoads: settings.maximumConcurrentLoads - underWay.filter(isLoadUnderWay).length,
-        }, ledger);
-        chosen.filter(isLoad).forEach(({ partner }) => loadsBegun.set(partner, ledger.begun(partner) + 1));
+            freeChanges: settings.maxConcurrentChanges - unfinished.length,
+            freeLoads: settings.maxConcurrentLoads - underWay.filter(isLoadUnderWay).length,
+        }, loadShares);
+        chosen.filter(isLoad).forEach(({ partner }) => startedLoads.set(partner, loadShares.started(partner) + 1));
         for (const engineId of [...unfinished, ...chosen.map(request => request.engineId)]) {
             if (!tasks.has(engineId)) {
                 tasks.set(engineId, runTask(tenure, engineId).finally(() => tasks.delete(engineId)));
@@ -130,8 +130,8 @@
         }
     };
 
-    const ledger = {
-        begun: (partner: string | undefined) => loadsBegun.get(partner) ?? 0,
+    const loadShares = {
+        started: (partner: string | undefined) => startedLoads.get(partner) ?? 0,
         weight: (partner: string | undefined) =>
             partner === undefined ? 1 : options.configurationManager.current().shareWeight(partner),
     };
--- a/packages/daisyturn/src/process/orders/createOrderCommands.ts
+++ b/packages/daisyturn/src/process/orders/createOrderCommands.ts
@@ -15,10 +15,10 @@
     OrderRequestState,
     type Vouch,
 } from "./rows/orderRows.js";
-import { judgeChangeGoal } from "./steps/judgeChangeGoal.js";
+import { evaluateChangeGoal } from "./steps/evaluateChangeGoal.js";
 
 /** What is asked of an engine, and by whom. */
-export interface OrderWish extends ChangeGoal {
+export interface NewOrderRequest extends ChangeGoal {
     /** Chosen by the one who asks; asking again with the same id tells what became of it and changes nothing. */
     readonly requestId: string;
     readonly engineId: string;
@@ -33,7 +33,7 @@
 }
 
 /** An operator's word that a process run has ended. */
-export interface VouchWish {
+export interface NewVouch {
     readonly incarnation: string;
     readonly partner: string;
     readonly operator: string;
@@ -50,9 +50,9 @@
     /** Engines of which the store has any order or request. */
     listEngineOrders(): Promise<Result<readonly EngineOrdersView[], Failure>>;
     /** Records a request for the controller. Conflict: a hold stands against it, or another request is open. */
-    requestOrder(wish: OrderWish): Promise<Result<OrderRequest, Failure>>;
+    requestOrder(newRequest: NewOrderRequest): Promise<Result<OrderRequest, Failure>>;
     /** Records that an operator answers for the end of a process run; only one that holds up an engine can be named. */
-    vouch(wish: VouchWish): Promise<Result<Vouch, Failure>>;
+    vouch(newVouch: NewVouch): Promise<Result<Vouch, Failure>>;
     listVouches(): Promise<Result<readonly Vouch[], Failure>>;
     /** NotFound before the first holder. */
     showLease(): Promise<Result<LeaseView, Failure>>;
@@ -94,50 +94,50 @@
         });
     };
 
-    const requestOrder = async (wish: OrderWish): Promise<Result<OrderRequest, Failure>> => {
+    const requestOrder = async (newRequest: NewOrderRequest): Promise<Result<OrderRequest, Failure>> => {
         const deadline = limit();
-        const rows = await records.readEngine(wish.engineId, deadline);
+        const rows = await records.readEngine(newRequest.engineId, deadline);
         if (rows.isErr) {
             return Result.err(rows.error);
         }
         const { request: present } = rows.value;
-        if (present?.requestId === wish.requestId) {
-            return present.partner === wish.partner
+        if (present?.requestId === newRequest.requestId) {
+            return present.partner === newRequest.partner
                 ? Result.ok(present)
                 : Result.err(conflict("the request id is another partner's"));
         }
         if (isRequestOpen(present)) {
-            return Result.err(conflict(`${describeOwner(present)} has an order for ${wish.engineId} under way`));
+            return Result.err(conflict(`${describeOwner(present)} has an order for ${newRequest.engineId} under way`));
         }
-        const objection = judgeChangeGoal(wish, configurationManager.current());
-        if (objection !== undefined) {
-            return Result.err(conflict(objection));
+        const refusalReason = evaluateChangeGoal(newRequest, configurationManager.current());
+        if (refusalReason !== undefined) {
+            return Result.err(conflict(refusalReason));
         }
-        const request = createRequest(wish);
+        const request = createRequest(newRequest);
         const answer = await records.writeRequest(request, rows.value, deadline);
-        return toResult(answer, request, `another request for ${wish.engineId} came first`);
+        return toResult(answer, request, `another request for ${newRequest.engineId} came first`);
     };
 
-    const createRequest = (wish: OrderWish): OrderRequest => {
+    const createRequest = (newRequest: NewOrderRequest): OrderRequest => {
         const now = clock.wallNow();
-        return { ...wish, state: OrderRequestState.Requested, requestedAt: now, deadline: now + beginLimit };
+        return { ...newRequest, state: OrderRequestState.Requested, requestedAt: now, deadline: now + beginLimit };
     };
 
-    const vouch = async (wish: VouchWish): Promise<Result<Vouch, Failure>> => {
+    const vouch = async (newVouch: NewVouch): Promise<Result<Vouch, Failure>> => {
         const deadline = limit();
         const overview = await records.readAll(deadline);
         if (overview.isErr) {
             return Result.err(overview.error);
         }
-        const isHoldingUp = overview.value.orders.some(orders => holdsUp(orders, wish.incarnation));
+        const isHoldingUp = overview.value.orders.some(orders => holdsUp(orders, newVouch.incarnation));
         if (!isHoldingUp) {
-            const message = `no open order was sent by the run ${wish.incarnation}`;
+            const message = `no open order was sent by the run ${newVouch.incarnation}`;
             return Result.err(notRun(FailureReason.NotFound, message));
         }
-        if (membership.livePeers().some(peer => peer.incarnation === wish.incarnation)) {
-            return Result.err(conflict(`the run ${wish.incarnation} is alive: it was heard from just now`));
+        if (membership.livePeers().some(peer => peer.incarnation === newVouch.incarnation)) {
+            return Result.err(conflict(`the run ${newVouch.incarnation} is alive: it was heard from just now`));
         }
-        const recorded: Vouch = { ...wish, vouchedAt: clock.wallNow() };
+        const recorded: Vouch = { ...newVouch, vouchedAt: clock.wallNow() };
         return toResult(await records.writeVouch(recorded, deadline), recorded, "the vouch was rejected");
     };
 
--- a/packages/daisyturn/src/process/orders/index.ts
+++ b/packages/daisyturn/src/process/orders/index.ts
@@ -10,4 +10,4 @@
 export * from "./orderContext.js";
 export * from "./rows/createOrderRecords.js";
 export * from "./rows/orderRows.js";
-export * from "./steps/judgeChangeGoal.js";
+export * from "./steps/evaluateChangeGoal.js";
--- a/packages/daisyturn/src/process/orders/orderContext.ts
+++ b/packages/daisyturn/src/process/orders/orderContext.ts
@@ -25,9 +25,9 @@
      */
     readonly bytesInFlightMilliseconds: number;
     /** Engines that are changed at once. */
-    readonly maximumConcurrentChanges: number;
+    readonly maxConcurrentChanges: number;
     /** Engines that load weights at once. */
-    readonly maximumConcurrentLoads: number;
+    readonly maxConcurrentLoads: number;
 }
 
 /** Settings that hold where nothing else is said. */
@@ -38,8 +38,8 @@
     drainLimitMilliseconds: 120_000,
     changingLimitMilliseconds: 300_000,
     bytesInFlightMilliseconds: 120_000,
-    maximumConcurrentChanges: 2,
-    maximumConcurrentLoads: 1,
+    maxConcurrentChanges: 2,
+    maxConcurrentLoads: 1,
 };
 
 /** What the parts of the controller share. */
--- a/packages/daisyturn/src/process/orders/rows/__tests__/createOrderRecords.test.ts
+++ b/packages/daisyturn/src/process/orders/rows/__tests__/createOrderRecords.test.ts
@@ -39,7 +39,10 @@
         table.transact({ writeId: "other", conditions: [], writes: [{ key, value: {} }] }, 1_000);
     const write = async (isBoundToConfiguration: boolean) => {
         const orders = { engineId: "engine-1" };
-        const written = records.writeEngine(tenure, rows, { orders, isBoundToConfiguration });
+        const written = records.writeEngine(tenure, rows, {
+            orders,
+            requiresCurrentConfiguration: isBoundToConfiguration,
+        });
         await clock.advance(1_000);
         return await written;
     };
--- a/packages/daisyturn/src/process/orders/rows/createOrderRecords.ts
+++ b/packages/daisyturn/src/process/orders/rows/createOrderRecords.ts
@@ -50,7 +50,7 @@
     /** Left out: the request row stays as it is. */
     readonly request?: OrderRequest;
     /** Whether the write must fail if a configuration was accepted that is not in force here. */
-    readonly isBoundToConfiguration?: boolean;
+    readonly requiresCurrentConfiguration?: boolean;
 }
 
 /** Reads and writes the rows about orders. */
@@ -78,7 +78,7 @@
 }
 
 /** Longest time for one try of a write under the lease. */
-const writeLimitMilliseconds = 2_000;
+const maxWriteMilliseconds = 2_000;
 const retryMilliseconds = 200;
 
 /** Creates the access to a cell's rows about orders. */
@@ -109,19 +109,19 @@
     const readAll = async (deadline: number): Promise<Result<OrderOverview, Failure>> => {
         const answer = await storeClient.list(orderPrefix(cell), StorePriority.Other, deadline);
         return answer.map(rows => ({
-            orders: select(rows, engineOrdersKey(cell, ""), parseEngineOrders),
-            requests: select(byVersion(rows), orderRequestKey(cell, ""), parseOrderRequest),
-            vouches: select(rows, vouchKey(cell, ""), parseVouch),
+            orders: parseRowsWithPrefix(rows, engineOrdersKey(cell, ""), parseEngineOrders),
+            requests: parseRowsWithPrefix(sortByVersion(rows), orderRequestKey(cell, ""), parseOrderRequest),
+            vouches: parseRowsWithPrefix(rows, vouchKey(cell, ""), parseVouch),
         }));
     };
 
     const writeEngine = async (tenure: ControllerTenure, rows: EngineRows, write: EngineWrite) => {
-        const transaction = engineTransaction(tenure, rows, write);
+        const transaction = createEngineTransaction(tenure, rows, write);
         while (!tenure.isOver()) {
-            const limit = clock.monotonicNow() + writeLimitMilliseconds;
+            const limit = clock.monotonicNow() + maxWriteMilliseconds;
             const answer = await storeClient.commit(transaction, StorePriority.Other, limit);
             if (answer.outcome === TransactionOutcome.Committed) {
-                return advanceRows(rows, write, answer.version ?? absentVersion);
+                return updateRows(rows, write, answer.version ?? absentVersion);
             }
             if (answer.cause === RejectionCause.ConditionFailed) {
                 return undefined;
@@ -131,7 +131,7 @@
         return undefined;
     };
 
-    const engineTransaction = (tenure: ControllerTenure, rows: EngineRows, write: EngineWrite): Transaction => {
+    const createEngineTransaction = (tenure: ControllerTenure, rows: EngineRows, write: EngineWrite): Transaction => {
         const ordersKey = engineOrdersKey(cell, rows.engineId);
         const requestKey = orderRequestKey(cell, rows.engineId);
         const conditions: RowCondition[] = [
@@ -143,7 +143,7 @@
             conditions.push({ key: requestKey, expectedVersion: rows.requestVersion });
             writes.push({ key: requestKey, value: toJson(write.request) });
         }
-        if (write.isBoundToConfiguration) {
+        if (write.requiresCurrentConfiguration) {
             conditions.push({ key: headKey, expectedVersion: rows.headVersion });
         }
         return { writeId: ids.next("wr"), conditions, writes };
@@ -172,7 +172,7 @@
     };
 }
 
-function advanceRows(rows: EngineRows, write: EngineWrite, version: number): EngineRows {
+function updateRows(rows: EngineRows, write: EngineWrite, version: number): EngineRows {
     return {
         ...rows,
         orders: write.orders,
@@ -182,10 +182,10 @@
     };
 }
 
-function select<T>(rows: readonly Row[], prefix: string, parse: (value: JsonValue) => T): readonly T[] {
+function parseRowsWithPrefix<T>(rows: readonly Row[], prefix: string, parse: (value: JsonValue) => T): readonly T[] {
     return rows.filter(row => row.key.startsWith(prefix)).map(row => parse(row.value));
 }
 
-function byVersion(rows: readonly Row[]): readonly Row[] {
+function sortByVersion(rows: readonly Row[]): readonly Row[] {
     return [...rows].sort((left, right) => left.version - right.version);
 }
--- a/packages/daisyturn/src/process/orders/rows/orderEffect.ts
+++ b/packages/daisyturn/src/process/orders/rows/orderEffect.ts
@@ -10,16 +10,16 @@
 }
 
 /** Whether the engine is what the order wants it to be. */
-export function isInPlace(order: Pick<EngineOrder, "kind" | "role" | "artifact">, state: EngineState): boolean {
-    switch (order.kind) {
+export function isGoalReached(goal: Pick<EngineOrder, "kind" | "role" | "artifact">, state: EngineState): boolean {
+    switch (goal.kind) {
         case OrderKind.ChangeRole:
-            return state.role === order.role;
+            return state.role === goal.role;
         case OrderKind.LoadModel:
-            return state.models.includes(order.artifact ?? "");
+            return state.models.includes(goal.artifact ?? "");
         case OrderKind.LoadAdapter:
-            return state.adapters.includes(order.artifact ?? "");
+            return state.adapters.includes(goal.artifact ?? "");
         case OrderKind.LoadVersion:
-            return state.version === order.artifact;
+            return state.version === goal.artifact;
         case OrderKind.Drain:
             return state.draining;
         case OrderKind.Resume:
@@ -28,11 +28,11 @@
 }
 
 /** Judges an order that the engine has accepted, by the engine's own view. */
-export function judgeProgress(record: OrderRecord, state: EngineState): OrderProgress {
+export function determineProgress(record: OrderRecord, state: EngineState): OrderProgress {
     if (state.phase === EnginePhase.Changing) {
         return OrderProgress.Pending;
     }
-    if (state.phase === EnginePhase.Serving && isInPlace(record.order, state)) {
+    if (state.phase === EnginePhase.Serving && isGoalReached(record.order, state)) {
         return OrderProgress.Done;
     }
     const isForgotten = state.lastOrderId !== record.order.orderId;
--- a/packages/daisyturn/src/process/orders/rows/orderRows.ts
+++ b/packages/daisyturn/src/process/orders/rows/orderRows.ts
@@ -14,7 +14,7 @@
 }
 
 /** What the process that recorded an order knows of the call that carries it. */
-export enum OrderFate {
+export enum OrderCallStatus {
     /** The call was not made and never will be. */
     NotSent = "not_sent",
     /** The call is being made. */
@@ -23,7 +23,7 @@
     /** The engine answered that it did not take the order. */
     Refused = "refused",
     /** The call has ended without an answer; its bytes may still reach the engine. */
-    MayBeOnTheWay = "may_be_on_the_way",
+    MayBeInFlight = "may_be_on_the_way",
 }
 
 /** The last order to an engine, as recorded before it was sent. */
@@ -32,7 +32,7 @@
     readonly state: OrderState;
     readonly sender: ProcessIdentity;
     /** The sender's own word, given after it had lost its authority. */
-    readonly statement?: OrderFate;
+    readonly statement?: OrderCallStatus;
     /** Incarnation of the engine's process for which the order was meant. */
     readonly engineIncarnation: string;
     /** Wall-clock time in milliseconds. */
@@ -57,7 +57,7 @@
 export enum ChangeStage {
     Running = "running",
     /** It has failed; the engine is being returned to service. */
-    GivingUp = "giving_up",
+    Abandoning = "giving_up",
 }
 
 /** A change under way: drain, then the order itself, then back to service. */
@@ -79,7 +79,7 @@
 /** Why no order is given to an engine at the moment. */
 export enum WithheldReason {
     /** The sender of the open order may still be alive and send it late. */
-    SenderMayLive = "sender_may_live",
+    SenderMayBeAlive = "sender_may_live",
     EngineUnreachable = "engine_unreachable",
     /** The engine is not in the configuration any more. */
     NotRegistered = "not_registered",
@@ -154,7 +154,7 @@
 }
 
 /** The row's value without the note that the engine waits. */
-export function withoutWithheld(orders: EngineOrders): EngineOrders {
+export function clearWithheld(orders: EngineOrders): EngineOrders {
     return { ...orders, withheld: undefined };
 }
 
--- a/packages/daisyturn/src/process/orders/sending/createOrderDispatcher.ts
+++ b/packages/daisyturn/src/process/orders/sending/createOrderDispatcher.ts
@@ -3,7 +3,7 @@
 import type { ControllerTenure } from "../controllerTenure.js";
 import { type OrderContext, StepResult } from "../orderContext.js";
 import type { EngineRows } from "../rows/createOrderRecords.js";
-import { type EngineChange, type OrderRecord, OrderState, withoutWithheld } from "../rows/orderRows.js";
+import { clearWithheld, type EngineChange, type OrderRecord, OrderState } from "../rows/orderRows.js";
 import { isDrained } from "../steps/planNextStep.js";
 import { readEngineState } from "../steps/readEngineState.js";
 
@@ -29,14 +29,14 @@
     const { clock, records, sender, eventLog } = context;
 
     const dispatch = async (tenure: ControllerTenure, { rows, change, engine, state, order }: Dispatch) => {
-        const orders = { ...withoutWithheld(rows.orders), change };
+        const orders = { ...clearWithheld(rows.orders), change };
         const record = createRecord(order, state);
         // Going back to service overrides nobody's choice, so that it need not wait for the newest configuration.
         const isBoundToConfiguration = order.kind === OrderKind.Drain || order.kind === change?.kind;
-        sender.prepare(rows.engineId, order.orderId);
+        sender.track(rows.engineId, order.orderId);
         const planned = await records.writeEngine(tenure, rows, {
             orders: { ...orders, last: record },
-            isBoundToConfiguration,
+            requiresCurrentConfiguration: isBoundToConfiguration,
         });
         if (!planned) {
             return StepResult.Wait;
@@ -44,7 +44,7 @@
         logOrder(EventKind.OrderPlanned, rows.engineId, order);
         const sent = await records.writeEngine(tenure, planned, {
             orders: { ...orders, last: { ...record, state: OrderState.Sent } },
-            isBoundToConfiguration,
+            requiresCurrentConfiguration: isBoundToConfiguration,
         });
         if (!sent) {
             // Whatever of it reached the store, the settler finds that it was not sent.
--- a/packages/daisyturn/src/process/orders/sending/createOrderSender.ts
+++ b/packages/daisyturn/src/process/orders/sending/createOrderSender.ts
@@ -2,70 +2,72 @@
 import { ExecutionVerdict } from "daisyturn-utils";
 import { type Engine, type EngineOrder, OrderAnswer } from "../../../ports/engine.js";
 import type { Lease } from "../../lease/index.js";
-import { OrderFate } from "../rows/orderRows.js";
+import { OrderCallStatus } from "../rows/orderRows.js";
 
 /** An order of this process whose row is not settled yet. */
-export interface UnsettledOrder {
+export interface TrackedOrder {
     readonly engineId: string;
     readonly orderId: string;
-    readonly fate: OrderFate;
+    readonly callStatus: OrderCallStatus;
 }
 
 /** Makes the calls that carry orders, and knows for each order of this process what became of its call. */
 export interface OrderSender {
     /** Begins to keep account of an order; to be called before its row is written. */
-    prepare(engineId: string, orderId: string): void;
+    track(engineId: string, orderId: string): void;
     /** Calls the engine once, unless the lease has run out by now. An order is never called a second time. */
     send(lease: Lease, engine: Engine, order: EngineOrder): Promise<void>;
     /** An order that this process does not know of was not sent by it. */
-    fateOf(orderId: string): OrderFate;
+    getCallStatus(orderId: string): OrderCallStatus;
     /** Ends the account of an order whose row is settled. */
-    forget(orderId: string): void;
-    unsettled(): readonly UnsettledOrder[];
+    untrack(orderId: string): void;
+    listTracked(): readonly TrackedOrder[];
 }
 
 /** Creates the sender of one process. */
 export function createOrderSender(clock: Clock, callLimitMilliseconds: number): OrderSender {
-    const orders = new Map<string, UnsettledOrder>();
+    const orders = new Map<string, TrackedOrder>();
 
-    const fateOf = (orderId: string) => orders.get(orderId)?.fate ?? OrderFate.NotSent;
+    const getCallStatus = (orderId: string) => orders.get(orderId)?.callStatus ?? OrderCallStatus.NotSent;
 
-    const setFate = (engineId: string, orderId: string, fate: OrderFate) => {
-        orders.set(orderId, { engineId, orderId, fate });
+    const setCallStatus = (engineId: string, orderId: string, callStatus: OrderCallStatus) => {
+        orders.set(orderId, { engineId, orderId, callStatus });
     };
 
     const send = async (lease: Lease, engine: Engine, order: EngineOrder) => {
         // Nothing is awaited between this check and the call. A pause that falls between them, or inside the call, is
         // what fencing numbers and the wait for proof are for.
-        if (!lease.isHeld() || fateOf(order.orderId) !== OrderFate.NotSent) {
+        if (!lease.isHeld() || getCallStatus(order.orderId) !== OrderCallStatus.NotSent) {
             return;
         }
-        setFate(engine.engineId, order.orderId, OrderFate.UnderWay);
+        setCallStatus(engine.engineId, order.orderId, OrderCallStatus.UnderWay);
         const deadline = Math.min(clock.monotonicNow() + callLimitMilliseconds, lease.deadline());
-        const fate = await call(engine, order, deadline);
-        setFate(engine.engineId, order.orderId, fate);
+        const callStatus = await call(engine, order, deadline);
+        setCallStatus(engine.engineId, order.orderId, callStatus);
     };
 
     return {
-        prepare: (engineId, orderId) => setFate(engineId, orderId, OrderFate.NotSent),
+        track: (engineId, orderId) => setCallStatus(engineId, orderId, OrderCallStatus.NotSent),
         send,
-        fateOf,
-        forget: orderId => orders.delete(orderId),
-        unsettled: () => [...orders.values()],
+        getCallStatus,
+        untrack: orderId => orders.delete(orderId),
+        listTracked: () => [...orders.values()],
     };
 }
 
-async function call(engine: Engine, order: EngineOrder, deadline: number): Promise<OrderFate> {
+async function call(engine: Engine, order: EngineOrder, deadline: number): Promise<OrderCallStatus> {
     const answer = await engine.order(order, deadline);
     if (answer.isErr) {
-        return answer.error.verdict === ExecutionVerdict.NotRun ? OrderFate.NotSent : OrderFate.MayBeOnTheWay;
+        return answer.error.verdict === ExecutionVerdict.NotRun
+            ? OrderCallStatus.NotSent
+            : OrderCallStatus.MayBeInFlight;
     }
     switch (answer.value) {
         case OrderAnswer.Accepted:
         case OrderAnswer.Repeated:
-            return OrderFate.Accepted;
+            return OrderCallStatus.Accepted;
         case OrderAnswer.Busy:
         case OrderAnswer.StaleFencingNumber:
-            return OrderFate.Refused;
+            return OrderCallStatus.Refused;
     }
 }
--- a/packages/daisyturn/src/process/orders/sending/createOrderSettler.ts
+++ b/packages/daisyturn/src/process/orders/sending/createOrderSettler.ts
@@ -4,14 +4,14 @@
 import { type OrderContext, StepResult } from "../orderContext.js";
 import { reportWithheld } from "../reportWithheld.js";
 import type { EngineRows } from "../rows/createOrderRecords.js";
-import { isInPlace, judgeProgress, OrderProgress } from "../rows/orderEffect.js";
+import { determineProgress, isGoalReached, OrderProgress } from "../rows/orderEffect.js";
 import {
+    clearWithheld,
     type EngineOrders,
-    OrderFate,
+    OrderCallStatus,
     type OrderRecord,
     OrderState,
     WithheldReason,
-    withoutWithheld,
 } from "../rows/orderRows.js";
 
 /** Brings open orders to an end: this process's own, and those that an earlier holder of the lease left behind. */
@@ -28,42 +28,42 @@
 export function createOrderSettler(context: OrderContext): OrderSettler {
     const { clock, records, sender, settings, eventLog } = context;
     /** Monotonic times at which it was first known that an order's sender will not send it any more, by order id. */
-    const provenAt = new Map<string, number>();
+    const callEndedAt = new Map<string, number>();
     /** Monotonic times at which an order was first seen pending at the engine, by order id. */
     const pendingSince = new Map<string, number>();
 
     const settle = async (tenure: ControllerTenure, rows: EngineRows, record: OrderRecord) => {
-        const fate = record.state === OrderState.Planned ? OrderFate.NotSent : findFate(record);
-        switch (fate) {
-            case OrderFate.NotSent:
+        const callStatus = record.state === OrderState.Planned ? OrderCallStatus.NotSent : findCallStatus(record);
+        switch (callStatus) {
+            case OrderCallStatus.NotSent:
                 return close(tenure, rows, record, OrderState.Abandoned, "not sent");
-            case OrderFate.Refused:
+            case OrderCallStatus.Refused:
                 return close(tenure, rows, record, OrderState.Abandoned, "refused by the engine");
-            case OrderFate.UnderWay:
+            case OrderCallStatus.UnderWay:
                 return StepResult.Wait;
             default:
-                return follow(tenure, rows, record, fate);
+                return settleSent(tenure, rows, record, callStatus);
         }
     };
 
     /** What is known of the call from the one who made it; undefined if he said nothing. */
-    const findFate = (record: OrderRecord): OrderFate | undefined => {
+    const findCallStatus = (record: OrderRecord): OrderCallStatus | undefined => {
         const isOwn = record.sender.incarnation === context.self.incarnation;
-        return record.statement ?? (isOwn ? sender.fateOf(record.order.orderId) : undefined);
+        return record.statement ?? (isOwn ? sender.getCallStatus(record.order.orderId) : undefined);
     };
 
-    const follow = async (
+    const settleSent = async (
         tenure: ControllerTenure,
         rows: EngineRows,
         record: OrderRecord,
-        fate: OrderFate | undefined,
+        callStatus: OrderCallStatus | undefined,
     ) => {
         const engine = context.targetDirectory.engine(rows.engineId);
         if (!engine) {
             return reportWithheld(context, tenure, rows, WithheldReason.NotRegistered);
         }
-        const askedAt = clock.monotonicNow();
-        const answer = await engine.readState(askedAt + settings.callLimitMilliseconds);
+        const requestedAt = clock.monotonicNow();
+        const answer = await engine.readState(requestedAt + settings.callLimitMilliseconds);
         if (tenure.isOver()) {
             return StepResult.Wait;
         }
@@ -71,14 +71,14 @@
             return reportWithheld(context, tenure, rows, WithheldReason.EngineUnreachable);
         }
         const state = answer.value;
-        if (fate === OrderFate.Accepted || state.lastOrderId === record.order.orderId) {
-            return followArrived(tenure, rows, record, state);
+        if (callStatus === OrderCallStatus.Accepted || state.lastOrderId === record.order.orderId) {
+            return settleReceived(tenure, rows, record, state);
         }
-        return resolveDoubt(tenure, rows, record, state, askedAt);
+        return settleUncertain(tenure, rows, record, state, requestedAt);
     };
 
-    const followArrived = (tenure: ControllerTenure, rows: EngineRows, record: OrderRecord, state: EngineState) => {
-        switch (judgeProgress(record, state)) {
+    const settleReceived = (tenure: ControllerTenure, rows: EngineRows, record: OrderRecord, state: EngineState) => {
+        switch (determineProgress(record, state)) {
             case OrderProgress.Done:
                 return close(tenure, rows, record, OrderState.Confirmed);
             case OrderProgress.Lost:
@@ -94,7 +94,7 @@
         record: OrderRecord,
         state: EngineState,
     ) => {
-        const since = remember(pendingSince, record, clock.monotonicNow());
+        const since = getOrRecordTime(pendingSince, record, clock.monotonicNow());
         if (clock.monotonicNow() - since < settings.changingLimitMilliseconds) {
             return StepResult.Wait;
         }
@@ -105,31 +105,31 @@
     };
 
     /** The engine shows no trace of the order, and nobody can say that it was not sent. */
-    const resolveDoubt = async (
+    const settleUncertain = async (
         tenure: ControllerTenure,
         rows: EngineRows,
         record: OrderRecord,
         state: EngineState,
-        askedAt: number,
+        requestedAt: number,
     ) => {
         if (checksFencingNumbers(rows.engineId) && record.order.fencingNumber < tenure.lease.fencingNumber) {
-            return setAside(tenure, rows, record);
+            return setAsDoubtful(tenure, rows, record);
         }
-        if (!isProven(record)) {
-            leaveInService(rows, record, state);
-            return reportWithheld(context, tenure, rows, WithheldReason.SenderMayLive);
+        if (!isCallEnded(record)) {
+            keepInService(rows, record, state);
+            return reportWithheld(context, tenure, rows, WithheldReason.SenderMayBeAlive);
         }
-        if (!isPastWait(record, askedAt)) {
+        if (!isInFlightTimeOver(record, requestedAt)) {
             return StepResult.Wait;
         }
-        const isDone = isInPlace(record.order, state) && state.phase === EnginePhase.Serving;
+        const isDone = isGoalReached(record.order, state) && state.phase === EnginePhase.Serving;
         return isDone
             ? close(tenure, rows, record, OrderState.Confirmed)
             : close(tenure, rows, record, OrderState.Abandoned, "never reached the engine");
     };
 
     /** A drain that arrives late cuts nothing, so the engine may serve until the doubt is over. */
-    const leaveInService = (rows: EngineRows, record: OrderRecord, state: EngineState) => {
+    const keepInService = (rows: EngineRows, record: OrderRecord, state: EngineState) => {
         const { change } = rows.orders;
         if (change && record.order.kind === OrderKind.Drain && !state.draining) {
             context.quiescer.release(rows.engineId, change.requestId);
@@ -137,7 +137,7 @@
     };
 
     // Of two orders in doubt the one with the greater number is kept: what overtakes it overtakes the other.
-    const setAside = (tenure: ControllerTenure, rows: EngineRows, record: OrderRecord) => {
+    const setAsDoubtful = (tenure: ControllerTenure, rows: EngineRows, record: OrderRecord) => {
         const earlier = rows.orders.doubtful;
         const isNewer = !earlier || earlier.order.fencingNumber < record.order.fencingNumber;
         const orders = { ...rows.orders, doubtful: isNewer ? record : earlier };
@@ -147,24 +147,24 @@
     const isHarmless = (engineId: string, record: OrderRecord, state: EngineState) =>
         checksFencingNumbers(engineId)
             ? (state.highestFencingNumber ?? 0) > record.order.fencingNumber
-            : isProven(record) && isPastWait(record, clock.monotonicNow());
+            : isCallEnded(record) && isInFlightTimeOver(record, clock.monotonicNow());
 
     const checksFencingNumbers = (engineId: string) =>
         context.configurationManager.current().findTarget(engineId)?.checksFencingNumbers === true;
 
-    const isProven = (record: OrderRecord) => {
-        const hasEnded = findFate(record) === OrderFate.MayBeOnTheWay
+    const isCallEnded = (record: OrderRecord) => {
+        const hasEnded = findCallStatus(record) === OrderCallStatus.MayBeInFlight
             || context.membership.hasEnded(record.sender)
             || context.isVouched(record.sender.incarnation);
         if (hasEnded) {
-            remember(provenAt, record, clock.monotonicNow());
+            getOrRecordTime(callEndedAt, record, clock.monotonicNow());
         }
         return hasEnded;
     };
 
     /** Whether at `moment` all bytes of the order's call had arrived or were lost. */
-    const isPastWait = (record: OrderRecord, moment: number) => {
-        const since = provenAt.get(record.order.orderId) ?? moment;
+    const isInFlightTimeOver = (record: OrderRecord, moment: number) => {
+        const since = callEndedAt.get(record.order.orderId) ?? moment;
         return moment - since >= settings.bytesInFlightMilliseconds;
     };
 
@@ -175,7 +175,7 @@
         state: OrderState.Confirmed | OrderState.Abandoned,
         reason?: string,
     ) => {
-        const orders: EngineOrders = { ...withoutWithheld(rows.orders), last: { ...record, state, reason } };
+        const orders: EngineOrders = { ...clearWithheld(rows.orders), last: { ...record, state, reason } };
         const { orderId, kind, fencingNumber } = record.order;
         if (!await records.writeEngine(tenure, rows, { orders })) {
             return StepResult.Wait;
@@ -189,8 +189,8 @@
             reason,
             withheldFor: rows.orders.withheld?.reason,
         });
-        sender.forget(orderId);
-        provenAt.delete(orderId);
+        sender.untrack(orderId);
+        callEndedAt.delete(orderId);
         pendingSince.delete(orderId);
         return state === OrderState.Confirmed ? StepResult.Progress : StepResult.BackOff;
     };
@@ -198,7 +198,7 @@
     return { settle, isHarmless, checksFencingNumbers };
 }
 
-function remember(times: Map<string, number>, record: OrderRecord, now: number): number {
+function getOrRecordTime(times: Map<string, number>, record: OrderRecord, now: number): number {
     const first = times.get(record.order.orderId) ?? now;
     times.set(record.order.orderId, first);
     return first;
--- a/packages/daisyturn/src/process/orders/serveEngine.ts
+++ b/packages/daisyturn/src/process/orders/serveEngine.ts
@@ -2,8 +2,8 @@
 import { type OrderContext, StepResult } from "./orderContext.js";
 import type { ChangeDriver } from "./steps/createChangeDriver.js";
 
-const shortestBackOffMilliseconds = 500;
-const longestBackOffMilliseconds = 2_000;
+const minBackOffMilliseconds = 500;
+const maxBackOffMilliseconds = 2_000;
 
 /** Works on one engine, step by step, until nothing is left to do for it or the tenure is over. */
 export async function serveEngine(
@@ -13,25 +13,25 @@
     engineId: string,
 ): Promise<void> {
     const { clock, records, settings } = context;
-    let backOff = shortestBackOffMilliseconds;
+    let backOff = minBackOffMilliseconds;
     while (!tenure.isOver()) {
         const rows = await records.readEngine(engineId, clock.monotonicNow() + settings.callLimitMilliseconds);
         if (tenure.isOver()) {
             return;
         }
-        const result = rows.isOk ? await driver.takeStep(tenure, rows.value) : StepResult.BackOff;
+        const result = rows.isOk ? await driver.runNextStep(tenure, rows.value) : StepResult.BackOff;
         switch (result) {
             case StepResult.Idle:
                 return;
             case StepResult.Progress:
-                backOff = shortestBackOffMilliseconds;
+                backOff = minBackOffMilliseconds;
                 break;
             case StepResult.Wait:
                 await clock.sleepUntil(clock.monotonicNow() + settings.pollIntervalMilliseconds, tenure.signal);
                 break;
             case StepResult.BackOff:
                 await clock.sleepUntil(clock.monotonicNow() + backOff, tenure.signal);
-                backOff = Math.min(2 * backOff, longestBackOffMilliseconds);
+                backOff = Math.min(2 * backOff, maxBackOffMilliseconds);
                 break;
         }
     }
--- a/packages/daisyturn/src/process/orders/steps/chooseRequests.ts
+++ b/packages/daisyturn/src/process/orders/steps/chooseRequests.ts
@@ -2,7 +2,7 @@
 import { type OrderRequest, OrderRequestState } from "../rows/orderRows.js";
 
 /** What the controller is already at. */
-export interface ControllerLoad {
+export interface ControllerCapacity {
     /** Engines that have a task. */
     readonly busyEngines: ReadonlySet<string>;
     /** Requests that may begin now. */
@@ -12,9 +12,9 @@
 }
 
 /** How much a partner has had of the loads, and its weight in sharing. */
-export interface LoadLedger {
+export interface LoadShares {
     /** Loads begun for the partner (undefined: for the role planner). */
-    begun(partner: string | undefined): number;
+    started(partner: string | undefined): number;
     weight(partner: string | undefined): number;
 }
 
@@ -25,15 +25,15 @@
  */
 export function chooseRequests(
     requests: readonly OrderRequest[],
-    load: ControllerLoad,
-    ledger: LoadLedger,
+    capacity: ControllerCapacity,
+    shares: LoadShares,
 ): readonly OrderRequest[] {
     const chosen: OrderRequest[] = [];
     let waiting = requests.filter(one =>
-        one.state === OrderRequestState.Requested && !load.busyEngines.has(one.engineId)
+        one.state === OrderRequestState.Requested && !capacity.busyEngines.has(one.engineId)
     );
-    while (chosen.length < load.freeChanges) {
-        const next = chooseNext(waiting, load.freeLoads - chosen.filter(isLoad).length, chosen, ledger);
+    while (chosen.length < capacity.freeChanges) {
+        const next = chooseNext(waiting, capacity.freeLoads - chosen.filter(isLoad).length, chosen, shares);
         if (!next) {
             break;
         }
@@ -52,15 +52,15 @@
     waiting: readonly OrderRequest[],
     freeLoads: number,
     chosen: readonly OrderRequest[],
-    ledger: LoadLedger,
+    shares: LoadShares,
 ): OrderRequest | undefined {
-    const had = (partner: string | undefined) => {
+    const computeShare = (partner: string | undefined) => {
         const now = chosen.filter(one => isLoad(one) && one.partner === partner).length;
-        return (ledger.begun(partner) + now) / ledger.weight(partner);
+        return (shares.started(partner) + now) / shares.weight(partner);
     };
     const loads = freeLoads > 0 ? waiting.filter(isLoad) : [];
     const fairest = loads.reduce<OrderRequest | undefined>(
-        (best, one) => best && had(best.partner) <= had(one.partner) ? best : one,
+        (best, one) => best && computeShare(best.partner) <= computeShare(one.partner) ? best : one,
         undefined,
     );
     return waiting.find(one => one === fairest || !isLoad(one));
--- a/packages/daisyturn/src/process/orders/steps/createChangeDriver.ts
+++ b/packages/daisyturn/src/process/orders/steps/createChangeDriver.ts
@@ -5,26 +5,26 @@
 import type { EngineRows, EngineWrite } from "../rows/createOrderRecords.js";
 import {
     ChangeStage,
+    clearWithheld,
     type EngineChange,
     type EngineOrders,
     isOrderOpen,
     OrderRequestState,
     WithheldReason,
-    withoutWithheld,
 } from "../rows/orderRows.js";
 import { createOrderDispatcher } from "../sending/createOrderDispatcher.js";
 import { createOrderSettler } from "../sending/createOrderSettler.js";
-import { createDoubtOvertaker } from "./createDoubtOvertaker.js";
+import { createDoubtfulOrderResolver } from "./createDoubtfulOrderResolver.js";
 import { createRequestStarter } from "./createRequestStarter.js";
+import { evaluateChangeGoal } from "./evaluateChangeGoal.js";
 import { isConfigurationCurrent } from "./isConfigurationCurrent.js";
-import { judgeChangeGoal } from "./judgeChangeGoal.js";
 import { type FinishStep, type NextStep, planNextStep, StepKind } from "./planNextStep.js";
 import { readEngineState } from "./readEngineState.js";
 
 /** Carries out what is asked of an engine, one step at a time. */
 export interface ChangeDriver {
     /** Takes the next step for the engine, as its rows stand. */
-    takeStep(tenure: ControllerTenure, rows: EngineRows): Promise<StepResult>;
+    runNextStep(tenure: ControllerTenure, rows: EngineRows): Promise<StepResult>;
 }
 
 /** Creates the driver of one process. */
@@ -33,9 +33,9 @@
     const settler = createOrderSettler(context);
     const dispatcher = createOrderDispatcher(context);
     const starter = createRequestStarter(context);
-    const overtaker = createDoubtOvertaker(context, settler, dispatcher);
+    const doubtfulOrderResolver = createDoubtfulOrderResolver(context, settler, dispatcher);
 
-    const takeStep = async (tenure: ControllerTenure, rows: EngineRows): Promise<StepResult> => {
+    const runNextStep = async (tenure: ControllerTenure, rows: EngineRows): Promise<StepResult> => {
         const { change, last, doubtful } = rows.orders;
         if (change && !isLeftInService(rows.orders)) {
             quiescer.keepClosed(rows.engineId, change.requestId);
@@ -44,36 +44,39 @@
             return settler.settle(tenure, rows, last);
         }
         if (doubtful) {
-            return overtaker.overtake(tenure, rows, doubtful);
+            return doubtfulOrderResolver.resolve(tenure, rows, doubtful);
         }
         if (change) {
-            return advance(tenure, rows, change);
+            return advanceChange(tenure, rows, change);
         }
         if (rows.request?.state === OrderRequestState.Requested) {
-            return starter.begin(tenure, rows, rows.request);
+            return starter.start(tenure, rows, rows.request);
         }
         return StepResult.Idle;
     };
 
-    const advance = async (tenure: ControllerTenure, rows: EngineRows, change: EngineChange) => {
+    const advanceChange = async (tenure: ControllerTenure, rows: EngineRows, change: EngineChange) => {
         const engine = context.targetDirectory.engine(rows.engineId);
         const state = engine && await readEngineState(context, engine);
         if (!engine || !state) {
-            return meetAbsentEngine(tenure, rows, change, engine !== undefined);
+            return handleUnavailableEngine(tenure, rows, change, engine !== undefined);
         }
         if (tenure.isOver()) {
             return StepResult.Wait;
         }
         const step = planNextStep(change, state, {
-            objection: judgeChangeGoal({ ...change, engineId: rows.engineId }, context.configurationManager.current()),
-            areEntryVmsQuiet: quiescer.isQuiet(rows.engineId, change.requestId),
-            isDrainOver: clock.wallNow() >= change.drainDeadline,
+            refusalReason: evaluateChangeGoal(
+                { ...change, engineId: rows.engineId },
+                context.configurationManager.current(),
+            ),
+            areEntryVmsIdle: quiescer.isIdle(rows.engineId, change.requestId),
+            isDrainTimeOver: clock.wallNow() >= change.drainDeadline,
             isConfigurationCurrent: isConfigurationCurrent(context, rows),
         });
-        return carryOut(tenure, rows, change, engine, state, step);
+        return performStep(tenure, rows, change, engine, state, step);
     };
 
-    const carryOut = (
+    const performStep = (
         tenure: ControllerTenure,
         rows: EngineRows,
         change: EngineChange,
@@ -85,16 +88,16 @@
             case StepKind.Wait:
                 return Promise.resolve(StepResult.Wait);
             case StepKind.Order:
-                return giveOrder(tenure, rows, change, engine, state, step.order);
-            case StepKind.GiveUp:
-                return giveUp(tenure, rows, change, step.reason);
+                return dispatchOrder(tenure, rows, change, engine, state, step.order);
+            case StepKind.Abandon:
+                return abandon(tenure, rows, change, step.reason);
             case StepKind.Finish:
                 return finish(tenure, rows, change, step);
         }
     };
 
     /** Without any order planned the engine is as it was, and the change can end without its being asked. */
-    const meetAbsentEngine = (
+    const handleUnavailableEngine = (
         tenure: ControllerTenure,
         rows: EngineRows,
         change: EngineChange,
@@ -107,16 +110,16 @@
         return reportWithheld(context, tenure, rows, reason);
     };
 
-    const giveUp = (tenure: ControllerTenure, rows: EngineRows, change: EngineChange, reason: string) =>
+    const abandon = (tenure: ControllerTenure, rows: EngineRows, change: EngineChange, reason: string) =>
         write(tenure, rows, {
-            orders: { ...withoutWithheld(rows.orders), change: { ...change, stage: ChangeStage.GivingUp, reason } },
+            orders: { ...clearWithheld(rows.orders), change: { ...change, stage: ChangeStage.Abandoning, reason } },
         });
 
     const finish = async (tenure: ControllerTenure, rows: EngineRows, change: EngineChange, step: FinishStep) => {
         const { request } = rows;
         const isOwnRequest = request?.requestId === change.requestId;
         const result = await write(tenure, rows, {
-            orders: { ...withoutWithheld(rows.orders), change: undefined },
+            orders: { ...clearWithheld(rows.orders), change: undefined },
             request: isOwnRequest
                 ? { ...request, state: step.outcome, reason: step.reason, endedAt: clock.wallNow() }
                 : undefined,
@@ -128,7 +131,7 @@
     };
 
     /** Plans, records as about to be sent, and sends. What becomes of it is for the settler to find out. */
-    const giveOrder = async (
+    const dispatchOrder = async (
         tenure: ControllerTenure,
         rows: EngineRows,
         change: EngineChange,
@@ -147,13 +150,13 @@
             ...(isOwnKind && { role: change.role, artifact: change.artifact, weightGrantId: grant.grantId }),
             fencingNumber: tenure.lease.fencingNumber,
         };
-        const counted: EngineChange = {
+        const updatedChange: EngineChange = {
             ...change,
             ordersPlanned: change.ordersPlanned + 1,
             tries: change.tries + (isOwnKind ? 1 : 0),
             drainDeadline: isOwnKind ? clock.wallNow() + settings.drainLimitMilliseconds : change.drainDeadline,
         };
-        return dispatcher.dispatch(tenure, { rows, change: counted, engine, state, order });
+        return dispatcher.dispatch(tenure, { rows, change: updatedChange, engine, state, order });
     };
 
     const findGrant = async (change: EngineChange) => {
@@ -168,12 +171,12 @@
     const write = async (tenure: ControllerTenure, rows: EngineRows, change: EngineWrite) =>
         await records.writeEngine(tenure, rows, change) ? StepResult.Progress : StepResult.Wait;
 
-    return { takeStep };
+    return { runNextStep };
 }
 
 const noGrant: { readonly grantId?: string; } = {};
 
 /** While it is in doubt whether a drain will still arrive, the engine goes on serving. */
 function isLeftInService({ last, withheld }: EngineOrders): boolean {
-    return withheld?.reason === WithheldReason.SenderMayLive && last?.order.kind === OrderKind.Drain;
+    return withheld?.reason === WithheldReason.SenderMayBeAlive && last?.order.kind === OrderKind.Drain;
 }
--- a/packages/daisyturn/src/process/orders/steps/createDoubtOvertaker.ts
+++ b/packages/daisyturn/src/process/orders/steps/createDoubtfulOrderResolver.ts
@@ -3,26 +3,26 @@
 import { type OrderContext, StepResult } from "../orderContext.js";
 import { reportWithheld } from "../reportWithheld.js";
 import type { EngineRows } from "../rows/createOrderRecords.js";
-import { type OrderRecord, WithheldReason, withoutWithheld } from "../rows/orderRows.js";
+import { clearWithheld, type OrderRecord, WithheldReason } from "../rows/orderRows.js";
 import type { OrderDispatcher } from "../sending/createOrderDispatcher.js";
 import type { OrderSettler } from "../sending/createOrderSettler.js";
 import { readEngineState } from "./readEngineState.js";
 
 /** Ends the doubt about an earlier holder's order at an engine that checks fencing numbers. */
-export interface DoubtOvertaker {
+export interface DoubtfulOrderResolver {
     /** Makes the engine see this tenure's number by an order that leaves it as it is; afterwards it refuses the other. */
-    overtake(tenure: ControllerTenure, rows: EngineRows, doubtful: OrderRecord): Promise<StepResult>;
+    resolve(tenure: ControllerTenure, rows: EngineRows, doubtful: OrderRecord): Promise<StepResult>;
 }
 
-/** Creates the overtaker of one process. */
-export function createDoubtOvertaker(
+/** Creates the doubtfulOrderResolver of one process. */
+export function createDoubtfulOrderResolver(
     context: OrderContext,
     settler: OrderSettler,
     dispatcher: OrderDispatcher,
-): DoubtOvertaker {
+): DoubtfulOrderResolver {
     const { ids, records } = context;
 
-    const overtake = async (tenure: ControllerTenure, rows: EngineRows, doubtful: OrderRecord) => {
+    const resolve = async (tenure: ControllerTenure, rows: EngineRows, doubtful: OrderRecord) => {
         const engine = context.targetDirectory.engine(rows.engineId);
         const state = engine && await readEngineState(context, engine);
         if (tenure.isOver()) {
@@ -32,11 +32,11 @@
             return reportWithheld(context, tenure, rows, WithheldReason.EngineUnreachable);
         }
         if (settler.isHarmless(rows.engineId, doubtful, state)) {
-            const orders = { ...withoutWithheld(rows.orders), doubtful: undefined };
+            const orders = { ...clearWithheld(rows.orders), doubtful: undefined };
             return await records.writeEngine(tenure, rows, { orders }) ? StepResult.Progress : StepResult.Wait;
         }
         if (!settler.checksFencingNumbers(rows.engineId)) {
-            return reportWithheld(context, tenure, rows, WithheldReason.SenderMayLive);
+            return reportWithheld(context, tenure, rows, WithheldReason.SenderMayBeAlive);
         }
         if (state.phase === EnginePhase.Changing) {
             return StepResult.Wait;
@@ -49,5 +49,5 @@
         return dispatcher.dispatch(tenure, { rows, change: rows.orders.change, engine, state, order });
     };
 
-    return { overtake };
+    return { resolve };
 }
--- a/packages/daisyturn/src/process/orders/steps/createEngineQuiescer.ts
+++ b/packages/daisyturn/src/process/orders/steps/createEngineQuiescer.ts
@@ -7,11 +7,11 @@
     /** Closes the engine here and at all live peers, or renews the closing; does not wait for answers. */
     keepClosed(engineId: string, changeId: string): void;
     /** Whether every live peer has said that it has nothing under way there; one that stays silent counts for a while. */
-    isQuiet(engineId: string, changeId: string): boolean;
+    isIdle(engineId: string, changeId: string): boolean;
     /** Opens the engine again here and at all peers. */
     release(engineId: string, changeId: string): void;
     /** Forgets all closings without opening anything: they lapse, or the next controller renews them. */
-    forgetAll(): void;
+    clear(): void;
 }
 
 /** What a quiescer needs. */
@@ -60,10 +60,10 @@
         closing.renewedAt = now;
         targetGate.close(engineId, changeId, now + closingMilliseconds);
         const demand = { engineId, orderId: changeId, forMilliseconds: closingMilliseconds };
-        membership.livePeers().forEach(peer => void ask(peer, demand, closing));
+        membership.livePeers().forEach(peer => void requestQuiesce(peer, demand, closing));
     };
 
-    const ask = async (peer: ProcessIdentity, demand: QuiesceDemand, closing: Closing) => {
+    const requestQuiesce = async (peer: ProcessIdentity, demand: QuiesceDemand, closing: Closing) => {
         const limit = clock.monotonicNow() + renewalMilliseconds;
         const answer = await peerNetwork.request(peer.processId, PeerMethod.QuiesceEngine, { ...demand }, limit);
         const parsed = answer.isOk ? parseQuiesceAnswer(answer.value) : undefined;
@@ -72,14 +72,14 @@
         }
     };
 
-    const isQuiet = (engineId: string, changeId: string) => {
+    const isIdle = (engineId: string, changeId: string) => {
         const closing = closings.get(changeId);
         if (!closing || targetGate.inFlight(engineId) > 0) {
             return false;
         }
         const counts = membership.livePeers().map(peer => closing.counts.get(peer.incarnation));
-        const isPatienceOver = clock.monotonicNow() - closing.since >= silenceLimitMilliseconds;
-        return counts.every(count => count === 0 || count === undefined && isPatienceOver);
+        const isSilenceLimitOver = clock.monotonicNow() - closing.since >= silenceLimitMilliseconds;
+        return counts.every(count => count === 0 || count === undefined && isSilenceLimitOver);
     };
 
     const release = (engineId: string, changeId: string) => {
@@ -89,5 +89,5 @@
         membership.livePeers().forEach(peer => peerNetwork.notify(peer.processId, PeerMethod.ReleaseEngine, notice));
     };
 
-    return { keepClosed, isQuiet, release, forgetAll: () => closings.clear() };
+    return { keepClosed, isIdle, release, clear: () => closings.clear() };
 }
--- a/packages/daisyturn/src/process/orders/steps/createRequestStarter.ts
+++ b/packages/daisyturn/src/process/orders/steps/createRequestStarter.ts
@@ -3,33 +3,33 @@
 import type { EngineRows, EngineWrite } from "../rows/createOrderRecords.js";
 import {
     ChangeStage,
+    clearWithheld,
     type EngineChange,
     type OrderRequest,
     OrderRequestState,
-    withoutWithheld,
 } from "../rows/orderRows.js";
+import { evaluateChangeGoal } from "./evaluateChangeGoal.js";
 import { isConfigurationCurrent } from "./isConfigurationCurrent.js";
-import { judgeChangeGoal } from "./judgeChangeGoal.js";
 
 /** Makes a change of a request, or tells why not. */
 export interface RequestStarter {
-    begin(tenure: ControllerTenure, rows: EngineRows, request: OrderRequest): Promise<StepResult>;
+    start(tenure: ControllerTenure, rows: EngineRows, request: OrderRequest): Promise<StepResult>;
 }
 
 /** Creates the starter of one process. */
 export function createRequestStarter(context: OrderContext): RequestStarter {
     const { clock, records, settings } = context;
 
-    const begin = async (tenure: ControllerTenure, rows: EngineRows, request: OrderRequest) => {
+    const start = async (tenure: ControllerTenure, rows: EngineRows, request: OrderRequest) => {
         if (clock.wallNow() >= request.deadline) {
             return refuse(tenure, rows, request, OrderRequestState.Expired, "not begun in time");
         }
         if (!isConfigurationCurrent(context, rows)) {
             return StepResult.Wait;
         }
-        const objection = judgeChangeGoal(request, context.configurationManager.current());
-        if (objection !== undefined) {
-            return refuse(tenure, rows, request, OrderRequestState.Refused, objection);
+        const refusalReason = evaluateChangeGoal(request, context.configurationManager.current());
+        if (refusalReason !== undefined) {
+            return refuse(tenure, rows, request, OrderRequestState.Refused, refusalReason);
         }
         const change: EngineChange = {
             requestId: request.requestId,
@@ -43,9 +43,9 @@
             tries: 0,
         };
         return write(tenure, rows, {
-            orders: { ...withoutWithheld(rows.orders), change },
+            orders: { ...clearWithheld(rows.orders), change },
             request: { ...request, state: OrderRequestState.Running },
-            isBoundToConfiguration: true,
+            requiresCurrentConfiguration: true,
         });
     };
 
@@ -57,11 +57,11 @@
         reason: string,
     ) => {
         const ended = { ...request, state, reason, endedAt: clock.wallNow() };
-        return write(tenure, rows, { orders: withoutWithheld(rows.orders), request: ended });
+        return write(tenure, rows, { orders: clearWithheld(rows.orders), request: ended });
     };
 
     const write = async (tenure: ControllerTenure, rows: EngineRows, change: EngineWrite) =>
         await records.writeEngine(tenure, rows, change) ? StepResult.Progress : StepResult.Wait;
 
-    return { begin };
+    return { start };
 }
--- a/packages/daisyturn/src/process/orders/steps/planNextStep.ts
+++ b/packages/daisyturn/src/process/orders/steps/planNextStep.ts
@@ -1,12 +1,12 @@
 import { EnginePhase, type EngineState, OrderKind } from "../../../ports/engine.js";
-import { isInPlace } from "../rows/orderEffect.js";
+import { isGoalReached } from "../rows/orderEffect.js";
 import { ChangeStage, type EngineChange, OrderRequestState } from "../rows/orderRows.js";
 
 /** What to do next for a change. */
 export enum StepKind {
     Wait = "wait",
     Order = "order",
-    GiveUp = "give_up",
+    Abandon = "give_up",
     Finish = "finish",
 }
 
@@ -22,8 +22,8 @@
 }
 
 /** Return the engine to service without the change. */
-export interface GiveUpStep {
-    readonly kind: StepKind.GiveUp;
+export interface AbandonStep {
+    readonly kind: StepKind.Abandon;
     readonly reason: string;
 }
 
@@ -35,24 +35,24 @@
 }
 
 /** One of the steps. */
-export type NextStep = WaitStep | OrderStep | GiveUpStep | FinishStep;
+export type NextStep = WaitStep | OrderStep | AbandonStep | FinishStep;
 
 /** What decides beside the engine's state. */
 export interface ChangeCircumstances {
     /** Why the change must not go on, if something has come up. */
-    readonly objection?: string;
+    readonly refusalReason?: string;
     /** Whether no entry VM has anything under way at the engine. */
-    readonly areEntryVmsQuiet: boolean;
+    readonly areEntryVmsIdle: boolean;
     /** Whether the time for the streams to end is over. */
-    readonly isDrainOver: boolean;
+    readonly isDrainTimeOver: boolean;
     /** Whether the configuration in force here is the newest accepted one. */
     readonly isConfigurationCurrent: boolean;
 }
 
 /** Times that an order is given anew after the engine lost it. */
-const maximumTries = 3;
+const maxAttempts = 3;
 
-const wait: WaitStep = { kind: StepKind.Wait };
+const waitStep: WaitStep = { kind: StepKind.Wait };
 
 /**
  * Decides from what the engine is now, not from what was done before: so a new holder of the lease goes on with a
@@ -60,20 +60,20 @@
  */
 export function planNextStep(change: EngineChange, state: EngineState, circumstances: ChangeCircumstances): NextStep {
     if (state.phase === EnginePhase.Changing) {
-        return wait;
+        return waitStep;
     }
-    if (change.stage === ChangeStage.GivingUp) {
-        return returnToService(change, state);
+    if (change.stage === ChangeStage.Abandoning) {
+        return planReturnToService(change, state);
     }
-    if (isInPlace(change, state) && state.phase === EnginePhase.Serving) {
+    if (isGoalReached(change, state) && state.phase === EnginePhase.Serving) {
         return state.draining
             ? orderStep(OrderKind.Resume)
             : { kind: StepKind.Finish, outcome: OrderRequestState.Done };
     }
-    return findObstacle(change, circumstances) ?? approachChange(change, state, circumstances);
+    return findAbandonReason(change, circumstances) ?? planTowardsGoal(change, state, circumstances);
 }
 
-function returnToService(change: EngineChange, state: EngineState): NextStep {
+function planReturnToService(change: EngineChange, state: EngineState): NextStep {
     if (state.phase === EnginePhase.Stuck) {
         const reason = `${change.reason}; the engine stopped partway and is stuck`;
         return { kind: StepKind.Finish, outcome: OrderRequestState.Failed, reason };
@@ -84,22 +84,22 @@
     return { kind: StepKind.Finish, outcome: OrderRequestState.Failed, reason: change.reason };
 }
 
-function findObstacle(change: EngineChange, circumstances: ChangeCircumstances): GiveUpStep | undefined {
-    if (circumstances.objection !== undefined) {
-        return { kind: StepKind.GiveUp, reason: circumstances.objection };
+function findAbandonReason(change: EngineChange, circumstances: ChangeCircumstances): AbandonStep | undefined {
+    if (circumstances.refusalReason !== undefined) {
+        return { kind: StepKind.Abandon, reason: circumstances.refusalReason };
     }
-    if (change.tries >= maximumTries) {
-        return { kind: StepKind.GiveUp, reason: `the engine lost or refused the order ${change.tries} times` };
+    if (change.tries >= maxAttempts) {
+        return { kind: StepKind.Abandon, reason: `the engine lost or refused the order ${change.tries} times` };
     }
-    if (circumstances.isDrainOver) {
-        return { kind: StepKind.GiveUp, reason: "the engine was not free, or not changed, in time" };
+    if (circumstances.isDrainTimeOver) {
+        return { kind: StepKind.Abandon, reason: "the engine was not free, or not changed, in time" };
     }
     return undefined;
 }
 
-function approachChange(change: EngineChange, state: EngineState, circumstances: ChangeCircumstances): NextStep {
+function planTowardsGoal(change: EngineChange, state: EngineState, circumstances: ChangeCircumstances): NextStep {
     if (!circumstances.isConfigurationCurrent) {
-        return wait;
+        return waitStep;
     }
     if (state.phase === EnginePhase.Stuck) {
         return orderStep(change.kind);
@@ -107,7 +107,7 @@
     if (!state.draining) {
         return orderStep(OrderKind.Drain);
     }
-    return isDrained(state) && circumstances.areEntryVmsQuiet ? orderStep(change.kind) : wait;
+    return isDrained(state) && circumstances.areEntryVmsIdle ? orderStep(change.kind) : waitStep;
 }
 
 /** Whether an order would cut no stream: nothing runs, and the engine itself lets nothing in. */
