--- a/packages/daisyturn/src/process/orders/__fixtures__/orderedEngine.ts
+++ b/packages/daisyturn/src/process/orders/__fixtures__/orderedEngine.ts
@@ -19,7 +19,7 @@
     readonly engineId: string;
     /** What went against the promises; must stay empty. */
     readonly violations: readonly string[];
-    readonly acceptedOrders: readonly AcceptedOrder[];
+    readonly taken: readonly AcceptedOrder[];
     order(order: EngineOrder): OrderAnswer;
     /** Notes something else that went against the promises. */
     recordViolation(violation: string): void;
@@ -44,7 +44,7 @@
 export function createOrderedEngine(options: OrderedEngineOptions): OrderedEngine {
     const { engineId, clock, checksFencingNumbers } = options;
     const violations: string[] = [];
-    const acceptedOrders: AcceptedOrder[] = [];
+    const taken: AcceptedOrder[] = [];
     let incarnation = 1;
     let role = EngineRole.Mixed;
     let models: readonly string[] = ["large"];
@@ -90,7 +90,7 @@
             return OrderAnswer.Busy;
         }
         lastOrderId = given.orderId;
-        acceptedOrders.push({ order: given, at: now() });
+        taken.push({ order: given, at: now() });
         begin(given);
         return OrderAnswer.Accepted;
     };
@@ -156,7 +156,7 @@
 
     const recordViolation = (violation: string) => void violations.push(violation);
 
-    return { engineId, violations, acceptedOrders, order, recordViolation, state, startWork, crash };
+    return { engineId, violations, taken, order, recordViolation, state, startWork, crash };
 }
 
 function changesEngine(order: EngineOrder): boolean {
--- a/packages/daisyturn/src/process/orders/__fixtures__/raceOverSeeds.ts
+++ b/packages/daisyturn/src/process/orders/__fixtures__/raceOverSeeds.ts
@@ -9,20 +9,20 @@
 export async function raceOverSeeds(seeds: number, create: (seed: number) => RaceOptions): Promise<void> {
     const problems: string[] = [];
     let done = 0;
-    let requested = 0;
+    let asked = 0;
     for (let seed = 1; seed <= seeds; seed++) {
         const result = await raceOnce(create(seed));
         problems.push(...result.problems);
         done += result.done;
-        requested += result.requested;
+        asked += result.asked;
     }
     assert.deepEqual(problems, []);
-    assert.ok(2 * done > requested, `only ${done} of ${requested} requests were carried out`);
+    assert.ok(2 * done > asked, `only ${done} of ${asked} requests were carried out`);
 }
 
 async function raceOnce(
     options: RaceOptions,
-): Promise<{ problems: readonly string[]; done: number; requested: number; }> {
+): Promise<{ problems: readonly string[]; done: number; asked: number; }> {
     const run = await runRacingOperators(options);
     const problems = [...run.violations];
     if (!run.hasSettled || run.requests.some(isRequestOpen)) {
@@ -36,6 +36,6 @@
     return {
         problems: problems.map(problem => `seed ${options.seed}: ${problem}`),
         done,
-        requested: run.requests.length,
+        asked: run.requests.length,
     };
 }
--- a/packages/daisyturn/src/process/orders/__tests__/controller.test.ts
+++ b/packages/daisyturn/src/process/orders/__tests__/controller.test.ts
@@ -13,7 +13,7 @@
         const answer = await world.processes[1]!.controller.requestRoleChange("engine-1", EngineRole.Decode);
         assert.ok(answer.isOk);
         assert.ok(await world.advanceUntil(() => world.request()?.state === OrderRequestState.Done, 20_000));
-        assert.deepEqual(world.engine.acceptedOrders.map(one => one.order.kind), [
+        assert.deepEqual(world.engine.taken.map(one => one.order.kind), [
             OrderKind.Drain,
             OrderKind.ChangeRole,
             OrderKind.Resume,
@@ -30,7 +30,7 @@
         const leave = other!.gate.enter("engine-1");
         await one!.controller.requestRoleChange("engine-1", EngineRole.Decode);
         await world.clock.advance(15_000);
-        assert.deepEqual(world.engine.acceptedOrders.map(accepted => accepted.order.kind), [OrderKind.Drain]);
+        assert.deepEqual(world.engine.taken.map(taken => taken.order.kind), [OrderKind.Drain]);
         leave();
         assert.ok(await world.advanceUntil(() => world.request()?.state === OrderRequestState.Done, 20_000));
         assert.equal(other!.gate.isOpen("engine-1"), true);
--- a/packages/daisyturn/src/process/orders/__tests__/createOrderCommands.test.ts
+++ b/packages/daisyturn/src/process/orders/__tests__/createOrderCommands.test.ts
@@ -66,7 +66,7 @@
         const shown = (await other.commands.listEngineOrders()).unwrapOr([]);
         assert.equal(shown[0]?.withheld?.reason, WithheldReason.SenderMayBeAlive);
         assert.equal(other.gate.isOpen("engine-1"), true, "the engine serves on while a drain is in doubt");
-        assert.equal(world.engine.acceptedOrders.length, 0);
+        assert.equal(world.engine.taken.length, 0);
         assert.ok((await other.commands.vouch(vouchFor(holder.identity.incarnation))).isOk);
         assert.ok(await world.advanceUntil(() => !world.orders().change, 60_000));
         assert.deepEqual(world.engine.violations, []);
--- a/packages/daisyturn/src/process/orders/index.ts
+++ b/packages/daisyturn/src/process/orders/index.ts
@@ -1,5 +1,6 @@
 /**
- * Changes of engines under the lease, recorded before they are sent and settled after.
+ * The controller: sends orders to engines while it holds the lease, records each order before it is sent and settles
+ * it afterwards.
  *
  * @module
  */
--- a/packages/daisyturn/src/process/orders/rows/__tests__/createOrderRecords.test.ts
+++ b/packages/daisyturn/src/process/orders/rows/__tests__/createOrderRecords.test.ts
@@ -37,11 +37,11 @@
     const rows = (await records.readEngine("engine-1", 1_000)).unwrapOr(undefined)!;
     const overwrite = (key: string) =>
         table.transact({ writeId: "other", conditions: [], writes: [{ key, value: {} }] }, 1_000);
-    const write = async (isBoundToConfiguration: boolean) => {
+    const write = async (requiresCurrentConfiguration: boolean) => {
         const orders = { engineId: "engine-1" };
         const written = records.writeEngine(tenure, rows, {
             orders,
-            requiresCurrentConfiguration: isBoundToConfiguration,
+            requiresCurrentConfiguration,
         });
         await clock.advance(1_000);
         return await written;
@@ -56,20 +56,20 @@
     });
 
     for (
-        const { name, key, isBoundToConfiguration } of [
-            { name: "the lease has been taken over", key: fencingKey, isBoundToConfiguration: false },
+        const { name, key, requiresCurrentConfiguration } of [
+            { name: "the lease has been taken over", key: fencingKey, requiresCurrentConfiguration: false },
             {
                 name: "the engine's row has changed",
                 key: engineOrdersKey("cell-1", "engine-1"),
-                isBoundToConfiguration: false,
+                requiresCurrentConfiguration: false,
             },
-            { name: "a configuration has been accepted", key: headKey, isBoundToConfiguration: true },
+            { name: "a configuration has been accepted", key: headKey, requiresCurrentConfiguration: true },
         ]
     ) {
         it(`writes nothing once ${name}`, async () => {
             const { overwrite, write } = await createRecordsRig();
             await overwrite(key);
-            assert.equal(await write(isBoundToConfiguration), undefined);
+            assert.equal(await write(requiresCurrentConfiguration), undefined);
         });
     }
 
--- a/packages/daisyturn/src/process/orders/rows/createOrderRecords.ts
+++ b/packages/daisyturn/src/process/orders/rows/createOrderRecords.ts
@@ -24,7 +24,7 @@
 } from "./orderRows.js";
 import { parseEngineOrders, parseOrderRequest, parseVouch } from "./parseOrderRows.js";
 
-/** What the store has on one engine, as of one moment. */
+/** Rows of one engine, read at one version of the store. */
 export interface EngineRows {
     readonly engineId: string;
     readonly orders: EngineOrders;
@@ -36,20 +36,20 @@
     readonly headVersion: number;
 }
 
-/** What the store has on all engines of the cell. */
+/** Rows about orders of all engines of the cell. */
 export interface OrderOverview {
     readonly orders: readonly EngineOrders[];
-    /** Requests in the order in which the store took them. */
+    /** Requests in the order in which the store committed them. */
     readonly requests: readonly OrderRequest[];
     readonly vouches: readonly Vouch[];
 }
 
-/** A write of the controller's to one engine's rows. */
+/** A write of the controller to the rows of one engine. */
 export interface EngineWrite {
     readonly orders: EngineOrders;
-    /** Left out: the request row stays as it is. */
+    /** If undefined, the request row is not written. */
     readonly request?: OrderRequest;
-    /** Whether the write must fail if a configuration was accepted that is not in force here. */
+    /** Whether the write must fail if a configuration has been accepted since the rows were read. */
     readonly requiresCurrentConfiguration?: boolean;
 }
 
@@ -58,18 +58,17 @@
     readEngine(engineId: string, deadline: number): Promise<Result<EngineRows, Failure>>;
     readAll(deadline: number): Promise<Result<OrderOverview, Failure>>;
     /**
-     * Writes under the lease: refused if the lease has had another holder since, or if the rows have changed since they
-     * were read. Tries until the outcome is known or the tenure is over.
-     * @returns the rows as written, or undefined where nothing is known to be written
+     * Writes under the lease. The write is rejected if the lease has had another holder since, or if the rows have
+     * changed since they were read. Retries until the outcome is known or the tenure is over.
+     * @returns the rows as written, or undefined if the write is not known to be committed
      */
     writeEngine(tenure: ControllerTenure, rows: EngineRows, write: EngineWrite): Promise<EngineRows | undefined>;
-    /** Adds the sender's own word to its order's row, without the lease; refused if the row has changed. */
+    /** Adds the sender's own statement to the row of its order, without the lease; rejected if the row has changed. */
     writeStatement(rows: EngineRows, orders: EngineOrders, deadline: number): Promise<TransactionAnswer>;
     writeRequest(request: OrderRequest, rows: EngineRows, deadline: number): Promise<TransactionAnswer>;
     writeVouch(vouch: Vouch, deadline: number): Promise<TransactionAnswer>;
 }
 
-/** What the records need. */
 export interface OrderRecordsOptions {
     readonly cell: string;
     readonly storeClient: StoreClient;
@@ -77,7 +76,7 @@
     readonly ids: IdSource;
 }
 
-/** Longest time for one try of a write under the lease. */
+/** Time limit of one attempt to write under the lease. */
 const maxWriteMilliseconds = 2_000;
 const retryMilliseconds = 200;
 
--- a/packages/daisyturn/src/process/orders/rows/orderEffect.ts
+++ b/packages/daisyturn/src/process/orders/rows/orderEffect.ts
@@ -1,15 +1,15 @@
 import { type EngineOrder, EnginePhase, type EngineState, OrderKind } from "../../../ports/engine.js";
 import type { OrderRecord } from "./orderRows.js";
 
-/** What an engine's state says of an order that it has been given. */
+/** Progress of an order that an engine has received, as shown by the engine's state. */
 export enum OrderProgress {
     Pending = "pending",
     Done = "done",
-    /** The engine restarted, or stopped partway: the order is lost. */
+    /** The engine restarted, or stopped during the change: the order will not be completed. */
     Lost = "lost",
 }
 
-/** Whether the engine is what the order wants it to be. */
+/** Whether the engine is in the state that an order is to bring about. */
 export function isGoalReached(goal: Pick<EngineOrder, "kind" | "role" | "artifact">, state: EngineState): boolean {
     switch (goal.kind) {
         case OrderKind.ChangeRole:
@@ -27,7 +27,7 @@
     }
 }
 
-/** Judges an order that the engine has accepted, by the engine's own view. */
+/** Determines the progress of an order that the engine has accepted from the state that the engine reports. */
 export function determineProgress(record: OrderRecord, state: EngineState): OrderProgress {
     if (state.phase === EnginePhase.Changing) {
         return OrderProgress.Pending;
--- a/packages/daisyturn/src/process/orders/rows/orderRows.ts
+++ b/packages/daisyturn/src/process/orders/rows/orderRows.ts
@@ -1,39 +1,39 @@
 import type { EngineOrder, EngineRole, OrderKind } from "../../../ports/engine.js";
 import type { ProcessIdentity } from "../../peers/index.js";
 
-/** How far an order has come. An order is open while Planned or Sent, and the next one waits for its end. */
+/** State of an order. An order is open while Planned or Sent; the next order to the engine waits until it is closed. */
 export enum OrderState {
-    /** Recorded; certainly not sent. */
+    /** Recorded, and not yet sent. */
     Planned = "planned",
-    /** About to be sent, sent, or under way at the engine. */
+    /** About to be sent, sent, or in progress at the engine. */
     Sent = "sent",
-    /** Its effect was read from the engine. */
+    /** The engine's state has shown the effect of the order. */
     Confirmed = "confirmed",
-    /** It has ended without its effect, or can have none any more. */
+    /** It ended without effect, or can no longer take effect. */
     Abandoned = "abandoned",
 }
 
-/** What the process that recorded an order knows of the call that carries it. */
+/** Status of the call that carries an order, as known to the process that recorded the order. */
 export enum OrderCallStatus {
-    /** The call was not made and never will be. */
+    /** The call was not made and will never be made. */
     NotSent = "not_sent",
     /** The call is being made. */
     UnderWay = "under_way",
     Accepted = "accepted",
-    /** The engine answered that it did not take the order. */
+    /** The engine answered that it did not accept the order. */
     Refused = "refused",
     /** The call has ended without an answer; its bytes may still reach the engine. */
     MayBeInFlight = "may_be_on_the_way",
 }
 
-/** The last order to an engine, as recorded before it was sent. */
+/** An order to an engine, recorded before it is sent. */
 export interface OrderRecord {
     readonly order: EngineOrder;
     readonly state: OrderState;
     readonly sender: ProcessIdentity;
-    /** The sender's own word, given after it had lost its authority. */
+    /** Status of the call as stated by the sender after it lost the lease. */
     readonly statement?: OrderCallStatus;
-    /** Incarnation of the engine's process for which the order was meant. */
+    /** Incarnation of the engine's process to which the order was addressed. */
     readonly engineIncarnation: string;
     /** Wall-clock time in milliseconds. */
     readonly plannedAt: number;
@@ -41,89 +41,88 @@
     readonly reason?: string;
 }
 
-/** Orders that operators and the role planner ask for; the others serve to carry these out. */
+/** Orders that operators and the role planner request; the other kinds are only used to carry these out. */
 export type ChangeKind = Exclude<OrderKind, OrderKind.Drain | OrderKind.Resume>;
 
-/** What an engine is to become. */
+/** The requested result of a change. */
 export interface ChangeGoal {
     readonly kind: ChangeKind;
-    /** With ChangeRole. */
+    /** Set for ChangeRole. */
     readonly role?: EngineRole;
-    /** With the loads: name of the model, adapter or version. */
+    /** Set for loads: name of the model, adapter or version. */
     readonly artifact?: string;
 }
 
-/** Whether a change is still pursued. */
+/** Whether a change is in progress or has been abandoned. */
 export enum ChangeStage {
     Running = "running",
-    /** It has failed; the engine is being returned to service. */
+    /** It failed; the engine is being returned to service. */
     Abandoning = "giving_up",
 }
 
-/** A change under way: drain, then the order itself, then back to service. */
+/** A change in progress: a drain, the order itself, and the return to service. */
 export interface EngineChange extends ChangeGoal {
     readonly requestId: string;
     readonly stage: ChangeStage;
     /** Absent for the role planner's own changes. */
     readonly partner?: string;
-    /** Wall-clock time, in milliseconds, by which the streams must have ended; later the change is given up. */
+    /** Wall-clock time in milliseconds by which the streams must have ended; after it the change is abandoned. */
     readonly drainDeadline: number;
     /** Orders of any kind planned for this change. */
     readonly ordersPlanned: number;
-    /** Orders of the change's own kind among them. */
+    /** Orders of the kind of the change among them. */
     readonly tries: number;
-    /** Why it is given up. */
+    /** Why it is being abandoned. */
     readonly reason?: string;
 }
 
-/** Why no order is given to an engine at the moment. */
+/** Why no order is sent to an engine at the moment. */
 export enum WithheldReason {
-    /** The sender of the open order may still be alive and send it late. */
+    /** The sender of the open order may still be alive and may send it late. */
     SenderMayBeAlive = "sender_may_live",
     EngineUnreachable = "engine_unreachable",
-    /** The engine is not in the configuration any more. */
+    /** The engine is no longer in the configuration. */
     NotRegistered = "not_registered",
-    /** The engine has been changing for longer than any change should take. */
+    /** The engine has been changing for longer than `changingLimitMilliseconds`. */
     ChangingTooLong = "changing_too_long",
 }
 
-/** Tells operators that an engine waits. */
+/** Shows operators that orders to an engine are withheld. */
 export interface Withheld {
     readonly reason: WithheldReason;
     /** Wall-clock time in milliseconds. */
     readonly since: number;
 }
 
-/** Value of an engine's order row; written only under the lease, but for the sender's own word. */
+/** Value of an engine's order row. Written only under the lease, except for the sender's own statement. */
 export interface EngineOrders {
     readonly engineId: string;
     readonly change?: EngineChange;
     readonly last?: OrderRecord;
     /**
-     * An earlier order that may still reach an engine which checks fencing numbers. It can have no effect once the
-     * engine has seen a greater number; until then nothing but an order that raises the number is sent.
+     * An earlier order that may still reach an engine which checks fencing numbers. It can no longer take effect once
+     * the engine has seen a greater number; until then only an order that raises the number is sent.
      */
     readonly doubtful?: OrderRecord;
     readonly withheld?: Withheld;
 }
 
-/** What became of a request. */
 export enum OrderRequestState {
     /** Waits for the controller. */
     Requested = "requested",
     Running = "running",
     Done = "done",
-    /** Not begun: another partner's hold stands, or the rules forbid it. */
+    /** Not started: a hold of another partner is active, or the rules forbid the change. */
     Refused = "refused",
-    /** Begun and given up; the engine was returned to service, unless `reason` says otherwise. */
+    /** Started and abandoned; the engine was returned to service, unless `reason` says otherwise. */
     Failed = "failed",
-    /** Not begun before its deadline. */
+    /** Not started before its deadline. */
     Expired = "expired",
 }
 
-/** Value of an engine's request row: the request that is open, or the last one that was. */
+/** Value of an engine's request row: the open request, or the last one that was open. */
 export interface OrderRequest extends ChangeGoal {
-    /** Chosen by the one who asks; asking again with the same id changes nothing. */
+    /** Chosen by the requester; a repeated request with the same id changes nothing. */
     readonly requestId: string;
     readonly engineId: string;
     /** Absent for the role planner. */
@@ -132,13 +131,13 @@
     readonly state: OrderRequestState;
     /** Wall-clock times in milliseconds. */
     readonly requestedAt: number;
-    /** By which it must have begun. */
+    /** Time by which the change must have been started. */
     readonly deadline: number;
     readonly endedAt?: number;
     readonly reason?: string;
 }
 
-/** Value of a row by which an operator takes it on himself that a process run has ended. */
+/** Value of a row in which an operator confirms that an incarnation of a process has ended. */
 export interface Vouch {
     readonly incarnation: string;
     readonly partner: string;
@@ -148,22 +147,22 @@
     readonly vouchedAt: number;
 }
 
-/** Whether an order may still take effect, as far as its row tells. */
+/** Whether an order may still take effect according to its row. */
 export function isOrderOpen(record: OrderRecord | undefined): record is OrderRecord {
     return record?.state === OrderState.Planned || record?.state === OrderState.Sent;
 }
 
-/** The row's value without the note that the engine waits. */
+/** Returns the row's value without `withheld`. */
 export function clearWithheld(orders: EngineOrders): EngineOrders {
     return { ...orders, withheld: undefined };
 }
 
-/** Whether a request still occupies its engine. */
+/** Whether a request is waiting or running, so that its engine can have no other one. */
 export function isRequestOpen(request: OrderRequest | undefined): request is OrderRequest {
     return request?.state === OrderRequestState.Requested || request?.state === OrderRequestState.Running;
 }
 
-/** Start of the keys of all rows about a cell's orders. */
+/** Common prefix of the keys of all rows about a cell's orders. */
 export function orderPrefix(cell: string): string {
     return `orders/${cell}/`;
 }
@@ -173,12 +172,12 @@
     return `${orderPrefix(cell)}engine/${engineId}`;
 }
 
-/** Key of an engine's request row. One for each engine, so that two requests for it can't both be open. */
+/** Key of an engine's request row. There is one row per engine, so that only one request for it can be open. */
 export function orderRequestKey(cell: string, engineId: string): string {
     return `${orderPrefix(cell)}request/${engineId}`;
 }
 
-/** Key of the vouch for the end of a process run. */
+/** Key of the vouch for the end of an incarnation of a process. */
 export function vouchKey(cell: string, incarnation: string): string {
     return `${orderPrefix(cell)}vouch/${incarnation}`;
 }
--- a/packages/daisyturn/src/process/orders/rows/parseOrderRows.ts
+++ b/packages/daisyturn/src/process/orders/rows/parseOrderRows.ts
@@ -82,17 +82,17 @@
     vouchedAt: z.number(),
 }) satisfies z.ZodType<Vouch>;
 
-/** Reads an order row. Throws where it is something else: only this code writes it. */
+/** Parses an order row. Throws if it does not match the schema, since only this code writes such rows. */
 export function parseEngineOrders(value: JsonValue): EngineOrders {
     return engineOrdersSchema.parse(value);
 }
 
-/** Reads a request row; throws where it is something else. */
+/** Parses a request row; throws if it does not match the schema. */
 export function parseOrderRequest(value: JsonValue): OrderRequest {
     return orderRequestSchema.parse(value);
 }
 
-/** Reads a vouch; throws where it is something else. */
+/** Parses a vouch; throws if it does not match the schema. */
 export function parseVouch(value: JsonValue): Vouch {
     return vouchSchema.parse(value);
 }
--- a/packages/daisyturn/src/process/orders/rows/publishCallStatuses.ts
+++ b/packages/daisyturn/src/process/orders/rows/publishCallStatuses.ts
@@ -7,9 +7,9 @@
 const maxRetryMilliseconds = 5_000;
 
 /**
- * Tells the next holder of the lease, through the order rows, what became of the calls that this process made while it
- * held it. A holder that was paused and comes back thereby ends the doubt about its orders without an operator.
- * Goes on until all is told, or nobody needs it any more, or `signal` is aborted.
+ * Writes to the order rows, for the next holder of the lease, the status of the calls that this process made while it
+ * held the lease. A holder that resumes after a pause thereby settles its orders without an operator. Retries until
+ * every status is written or no longer needed, or `signal` is aborted.
  */
 export async function publishCallStatuses(context: OrderContext, signal: AbortSignal): Promise<void> {
     let retryAfter = minRetryMilliseconds;
@@ -24,10 +24,10 @@
     }
 }
 
-/** Returns whether nothing is left to say about the order. */
-async function publishCallStatus(context: OrderContext, unsettled: TrackedOrder): Promise<boolean> {
+/** Returns whether nothing remains to be written about the order. */
+async function publishCallStatus(context: OrderContext, trackedOrder: TrackedOrder): Promise<boolean> {
     const { records, sender, clock, settings } = context;
-    const { engineId, orderId, callStatus } = unsettled;
+    const { engineId, orderId, callStatus } = trackedOrder;
     if (callStatus === OrderCallStatus.UnderWay) {
         return false;
     }
@@ -47,11 +47,11 @@
     return true;
 }
 
-/** The row with the statement; undefined if the row has nothing open of that order. */
+/** Returns the row with the statement, or undefined if the order is neither open nor doubtful in the row. */
 function addStatement(orders: EngineOrders, orderId: string, callStatus: OrderCallStatus): EngineOrders | undefined {
     const { last, doubtful } = orders;
-    // Also where it is only planned: the new version of the row shuts out the write that would have marked it as sent,
-    // if that one is still on its way to the store.
+    // Also written if the order is only planned: the new version of the row makes the write that would mark the order as
+    // sent fail, if that write has not reached the store yet.
     if (isOrderOpen(last) && last.order.orderId === orderId) {
         return { ...orders, last: withStatement(last, callStatus) };
     }
--- a/packages/daisyturn/src/process/orders/sending/createOrderDispatcher.ts
+++ b/packages/daisyturn/src/process/orders/sending/createOrderDispatcher.ts
@@ -7,20 +7,20 @@
 import { isDrained } from "../steps/planNextStep.js";
 import { readEngineState } from "../steps/readEngineState.js";
 
-/** An order with all that it is given for. */
+/** An order and the context in which it is sent. */
 export interface Dispatch {
     readonly rows: EngineRows;
-    /** The change that it serves, with the order counted; undefined where no change is under way. */
+    /** The change that the order belongs to, with the order counted; undefined if no change is in progress. */
     readonly change: EngineChange | undefined;
     readonly engine: Engine;
-    /** The engine's state on which the decision was made. */
+    /** The state of the engine on which the decision was based. */
     readonly state: EngineState;
     readonly order: EngineOrder;
 }
 
 /** Records orders and sends them. */
 export interface OrderDispatcher {
-    /** Plans, records as about to be sent, and sends once. What becomes of it is for the settler to find out. */
+    /** Records the order as planned, then as sent, and sends it once. The settler determines its outcome. */
     dispatch(tenure: ControllerTenure, dispatch: Dispatch): Promise<StepResult>;
 }
 
@@ -31,12 +31,12 @@
     const dispatch = async (tenure: ControllerTenure, { rows, change, engine, state, order }: Dispatch) => {
         const orders = { ...clearWithheld(rows.orders), change };
         const record = createRecord(order, state);
-        // Going back to service overrides nobody's choice, so that it need not wait for the newest configuration.
-        const isBoundToConfiguration = order.kind === OrderKind.Drain || order.kind === change?.kind;
+        // A return to service overrides no hold, so it need not wait for the newest configuration.
+        const requiresCurrentConfiguration = order.kind === OrderKind.Drain || order.kind === change?.kind;
         sender.track(rows.engineId, order.orderId);
         const planned = await records.writeEngine(tenure, rows, {
             orders: { ...orders, last: record },
-            requiresCurrentConfiguration: isBoundToConfiguration,
+            requiresCurrentConfiguration,
         });
         if (!planned) {
             return StepResult.Wait;
@@ -44,10 +44,10 @@
         logOrder(EventKind.OrderPlanned, rows.engineId, order);
         const sent = await records.writeEngine(tenure, planned, {
             orders: { ...orders, last: { ...record, state: OrderState.Sent } },
-            requiresCurrentConfiguration: isBoundToConfiguration,
+            requiresCurrentConfiguration,
         });
         if (!sent) {
-            // Whatever of it reached the store, the settler finds that it was not sent.
+            // Whether or not the write reached the store, the settler finds that the order was not sent.
             return StepResult.Wait;
         }
         if (order.kind !== change?.kind || await isStillDrained(engine, state)) {
@@ -65,7 +65,7 @@
         plannedAt: clock.wallNow(),
     });
 
-    /** The engine may have restarted while the order was recorded, and taken work again. */
+    /** Checks the engine again, as it may have restarted and accepted work while the order was being recorded. */
     const isStillDrained = async (engine: Engine, before: EngineState) => {
         const state = await readEngineState(context, engine);
         return state !== undefined && state.incarnation === before.incarnation && isDrained(state);
--- a/packages/daisyturn/src/process/orders/sending/createOrderSender.ts
+++ b/packages/daisyturn/src/process/orders/sending/createOrderSender.ts
@@ -4,22 +4,22 @@
 import type { Lease } from "../../lease/index.js";
 import { OrderCallStatus } from "../rows/orderRows.js";
 
-/** An order of this process whose row is not settled yet. */
+/** An order of this process whose row is not settled. */
 export interface TrackedOrder {
     readonly engineId: string;
     readonly orderId: string;
     readonly callStatus: OrderCallStatus;
 }
 
-/** Makes the calls that carry orders, and knows for each order of this process what became of its call. */
+/** Makes the calls that carry orders and tracks the call status of each order of this process. */
 export interface OrderSender {
-    /** Begins to keep account of an order; to be called before its row is written. */
+    /** Starts to track an order; must be called before its row is written. */
     track(engineId: string, orderId: string): void;
-    /** Calls the engine once, unless the lease has run out by now. An order is never called a second time. */
+    /** Calls the engine once, unless the lease has expired. An order is never sent a second time. */
     send(lease: Lease, engine: Engine, order: EngineOrder): Promise<void>;
-    /** An order that this process does not know of was not sent by it. */
+    /** Returns NotSent for an order that is not tracked: this process did not send it. */
     getCallStatus(orderId: string): OrderCallStatus;
-    /** Ends the account of an order whose row is settled. */
+    /** Stops tracking an order whose row is settled. */
     untrack(orderId: string): void;
     listTracked(): readonly TrackedOrder[];
 }
@@ -35,8 +35,8 @@
     };
 
     const send = async (lease: Lease, engine: Engine, order: EngineOrder) => {
-        // Nothing is awaited between this check and the call. A pause that falls between them, or inside the call, is
-        // what fencing numbers and the wait for proof are for.
+        // Nothing is awaited between this check and the call. The process may still be paused between them or during the
+        // call; fencing numbers and the wait for proof that the sender has ended cover that case.
         if (!lease.isHeld() || getCallStatus(order.orderId) !== OrderCallStatus.NotSent) {
             return;
         }
--- a/packages/daisyturn/src/process/orders/sending/createOrderSettler.ts
+++ b/packages/daisyturn/src/process/orders/sending/createOrderSettler.ts
@@ -14,20 +14,20 @@
     WithheldReason,
 } from "../rows/orderRows.js";
 
-/** Brings open orders to an end: this process's own, and those that an earlier holder of the lease left behind. */
+/** Closes open orders: those of this process and those of earlier holders of the lease. */
 export interface OrderSettler {
-    /** Takes one step towards the end of the engine's open order. */
+    /** Performs the next step towards closing the engine's open order. */
     settle(tenure: ControllerTenure, rows: EngineRows, record: OrderRecord): Promise<StepResult>;
-    /** Whether a doubtful order can have no effect any more, given the engine's state as read just now. */
+    /** Whether a doubtful order can no longer take effect, given the current state of the engine. */
     isHarmless(engineId: string, record: OrderRecord, state: EngineState): boolean;
-    /** Whether the engine refuses orders with an old fencing number. One of which nothing is said does not. */
+    /** Whether the engine is configured as refusing orders with an old fencing number. False if not configured. */
     checksFencingNumbers(engineId: string): boolean;
 }
 
 /** Creates the settler of one process. */
 export function createOrderSettler(context: OrderContext): OrderSettler {
     const { clock, records, sender, settings, eventLog } = context;
-    /** Monotonic times at which it was first known that an order's sender will not send it any more, by order id. */
+    /** Monotonic times at which it was first known that an order will no longer be sent, by order id. */
     const callEndedAt = new Map<string, number>();
     /** Monotonic times at which an order was first seen pending at the engine, by order id. */
     const pendingSince = new Map<string, number>();
@@ -46,7 +46,7 @@
         }
     };
 
-    /** What is known of the call from the one who made it; undefined if he said nothing. */
+    /** Returns the call status as known to the order's sender; undefined if the sender has not stated it. */
     const findCallStatus = (record: OrderRecord): OrderCallStatus | undefined => {
         const isOwn = record.sender.incarnation === context.self.incarnation;
         return record.statement ?? (isOwn ? sender.getCallStatus(record.order.orderId) : undefined);
@@ -104,7 +104,7 @@
         return close(tenure, rows, record, OrderState.Abandoned, "taken by the engine, without effect");
     };
 
-    /** The engine shows no trace of the order, and nobody can say that it was not sent. */
+    /** Settles an order that the engine's state does not show and that is not known to be unsent. */
     const settleUncertain = async (
         tenure: ControllerTenure,
         rows: EngineRows,
@@ -128,7 +128,7 @@
             : close(tenure, rows, record, OrderState.Abandoned, "never reached the engine");
     };
 
-    /** A drain that arrives late cuts nothing, so the engine may serve until the doubt is over. */
+    /** A drain that arrives late cuts no stream, so the engine may serve until the order is settled. */
     const keepInService = (rows: EngineRows, record: OrderRecord, state: EngineState) => {
         const { change } = rows.orders;
         if (change && record.order.kind === OrderKind.Drain && !state.draining) {
@@ -136,7 +136,7 @@
         }
     };
 
-    // Of two orders in doubt the one with the greater number is kept: what overtakes it overtakes the other.
+    // Of two doubtful orders the one with the greater number is recorded: a number that exceeds it exceeds both.
     const setAsDoubtful = (tenure: ControllerTenure, rows: EngineRows, record: OrderRecord) => {
         const earlier = rows.orders.doubtful;
         const isNewer = !earlier || earlier.order.fencingNumber < record.order.fencingNumber;
@@ -162,7 +162,7 @@
         return hasEnded;
     };
 
-    /** Whether at `moment` all bytes of the order's call had arrived or were lost. */
+    /** Whether all bytes of the order's call had arrived or were lost at the monotonic time `moment`. */
     const isInFlightTimeOver = (record: OrderRecord, moment: number) => {
         const since = callEndedAt.get(record.order.orderId) ?? moment;
         return moment - since >= settings.bytesInFlightMilliseconds;
