--- a/packages/daisyturn/src/process/orders/controller.ts
+++ b/packages/daisyturn/src/process/orders/controller.ts
@@ -8,16 +8,16 @@
     readonly engineId: string;
     readonly kind: ChangeKind;
     readonly role?: EngineRole;
-    /** Why it stands still, if it does. */
+    /** Set while no orders are sent for the change. */
     readonly withheld?: Withheld;
 }
 
-/** Gives orders to the cell's engines while this process holds the controller lease. */
+/** Sends orders to the cell's engines while this process holds the controller lease. */
 export interface Controller {
-    /** Works whenever the lease is held, until `signal` is aborted. */
+    /** Runs until `signal` is aborted; sends orders only while the lease is held. */
     run(signal: AbortSignal): Promise<void>;
-    /** Asks for a role change on the planner's behalf. Resolves when it is recorded; `changesUnderWay` shows it then. */
+    /** Requests a role change for the role planner. Resolves when it is recorded; `changesUnderWay` lists it from then on. */
     requestRoleChange(engineId: string, role: EngineRole): Promise<Result<OrderRequest, Failure>>;
-    /** Changes under way or waiting for proof, as of the last look through the rows; empty without the lease. */
+    /** Changes in progress or withheld, as of the last overview of the rows; empty without the lease. */
     changesUnderWay(): readonly ChangeUnderWay[];
 }
--- a/packages/daisyturn/src/process/orders/createController.ts
+++ b/packages/daisyturn/src/process/orders/createController.ts
@@ -18,7 +18,6 @@
 import { createChangeDriver } from "./steps/createChangeDriver.js";
 import { createEngineQuiescer } from "./steps/createEngineQuiescer.js";
 
-/** What a controller is made of. */
 export interface ControllerOptions {
     readonly self: ProcessIdentity;
     readonly leaseManager: LeaseManager;
@@ -36,7 +35,7 @@
     readonly settings?: Partial<ControllerSettings>;
 }
 
-/** How often a process without the lease looks whether it has got it. */
+/** Interval at which a process without the lease checks whether it holds it. */
 const idleIntervalMilliseconds = 100;
 
 /** Creates the controller of one process; it does nothing before `run`. */
@@ -45,7 +44,7 @@
     const settings = { ...defaultControllerSettings, ...options.settings };
     const vouched = new Set<string>();
     const startedLoads = new Map<string | undefined, number>();
-    let underWay: readonly ChangeUnderWay[] = [];
+    let changesInProgress: readonly ChangeUnderWay[] = [];
     let tenureEnd: AbortController | undefined;
     let work: Promise<void> = Promise.resolve();
 
@@ -76,7 +75,7 @@
         publishingEnd.abort();
     };
 
-    /** Works until the tenure is over, then tells what became of its orders. */
+    /** Works until the tenure is over, then publishes the call statuses of its orders. */
     const workDuring = async (tenure: ControllerTenure, publishingSignal: AbortSignal) => {
         const tasks = new Map<string, Promise<void>>();
         while (!tenure.isOver()) {
@@ -87,13 +86,16 @@
             }
             await clock.sleepUntil(clock.monotonicNow() + settings.overviewIntervalMilliseconds, tenure.signal);
         }
-        underWay = [];
+        changesInProgress = [];
         context.quiescer.clear();
         await Promise.all(tasks.values());
         await publishCallStatuses(context, publishingSignal);
     };
 
-    /** Telling is worth a short wait when the process stops, and any wait while it runs on without the lease. */
+    /**
+     * Ends the publishing of call statuses after one call limit when the process stops. While the process continues to
+     * run without the lease, publishing is not limited in time.
+     */
     const endPublishing = async (publishingEnd: AbortController) => {
         await clock.sleepUntil(clock.monotonicNow() + settings.callLimitMilliseconds, publishingEnd.signal);
         publishingEnd.abort();
@@ -101,16 +103,16 @@
 
     const applyOverview = (overview: OrderOverview) => {
         overview.vouches.forEach(vouch => vouched.add(vouch.incarnation));
-        underWay = overview.orders.flatMap(describeUnderWay);
+        changesInProgress = overview.orders.flatMap(describeUnderWay);
     };
 
     const startTasks = (tenure: ControllerTenure, tasks: Map<string, Promise<void>>, overview: OrderOverview) => {
-        // Half-done work goes first and is not limited: it may be an engine that is out of service.
+        // Unfinished changes come first and are not limited, since their engines may be out of service.
         const unfinished = overview.orders.filter(isUnfinished).map(orders => orders.engineId);
         const chosen = chooseRequests(overview.requests, {
             busyEngines: new Set([...tasks.keys(), ...unfinished]),
             freeChanges: settings.maxConcurrentChanges - unfinished.length,
-            freeLoads: settings.maxConcurrentLoads - underWay.filter(isLoadUnderWay).length,
+            freeLoads: settings.maxConcurrentLoads - changesInProgress.filter(isLoadUnderWay).length,
         }, loadShares);
         chosen.filter(isLoad).forEach(({ partner }) => startedLoads.set(partner, loadShares.started(partner) + 1));
         for (const engineId of [...unfinished, ...chosen.map(request => request.engineId)]) {
@@ -125,7 +127,7 @@
             await serveEngine(context, driver, tenure, engineId);
         }
         catch (error) {
-            // A row that can't be read, for one: the other engines' orders go on, and this one is tried again.
+            // For example, a row that can't be parsed. Other engines are not affected, and this one is retried.
             eventLog.record(EventKind.Fault, { engine: engineId, reason: String(error) });
         }
     };
@@ -148,7 +150,7 @@
                 kind: OrderKind.ChangeRole,
                 role,
             }),
-        changesUnderWay: () => underWay,
+        changesUnderWay: () => changesInProgress,
     };
 }
 
--- a/packages/daisyturn/src/process/orders/createOrderCommands.ts
+++ b/packages/daisyturn/src/process/orders/createOrderCommands.ts
@@ -17,9 +17,9 @@
 } from "./rows/orderRows.js";
 import { evaluateChangeGoal } from "./steps/evaluateChangeGoal.js";
 
-/** What is asked of an engine, and by whom. */
+/** A change requested for an engine, with its requester. */
 export interface NewOrderRequest extends ChangeGoal {
-    /** Chosen by the one who asks; asking again with the same id tells what became of it and changes nothing. */
+    /** Chosen by the requester; a repeated request with the same id returns the recorded one and changes nothing. */
     readonly requestId: string;
     readonly engineId: string;
     /** Absent for the role planner. */
@@ -27,12 +27,12 @@
     readonly operator?: string;
 }
 
-/** Orders of one engine, as operators see them. */
+/** Orders of one engine, as shown to operators. */
 export interface EngineOrdersView extends EngineOrders {
     readonly request?: OrderRequest;
 }
 
-/** An operator's word that a process run has ended. */
+/** An operator's confirmation that an incarnation of a process has ended. */
 export interface NewVouch {
     readonly incarnation: string;
     readonly partner: string;
@@ -40,25 +40,27 @@
     readonly note: string;
 }
 
-/** Who holds the controller lease. */
+/** Holder and fencing number of the controller lease. */
 export interface LeaseView extends FencingValue {
     readonly name: string;
 }
 
-/** What operators can ask about orders, at any entry VM. */
+/** Commands on orders that operators can run at any entry VM. */
 export interface OrderCommands {
-    /** Engines of which the store has any order or request. */
+    /** Lists the engines for which the store has an order or a request. */
     listEngineOrders(): Promise<Result<readonly EngineOrdersView[], Failure>>;
-    /** Records a request for the controller. Conflict: a hold stands against it, or another request is open. */
+    /** Records a request for the controller. Fails with Conflict if the change is not allowed or another request is open. */
     requestOrder(newRequest: NewOrderRequest): Promise<Result<OrderRequest, Failure>>;
-    /** Records that an operator answers for the end of a process run; only one that holds up an engine can be named. */
+    /**
+     * Records an operator's confirmation that an incarnation of a process has ended. Fails with NotFound unless an open
+     * or doubtful order was sent by that incarnation, and with Conflict while it is alive.
+     */
     vouch(newVouch: NewVouch): Promise<Result<Vouch, Failure>>;
     listVouches(): Promise<Result<readonly Vouch[], Failure>>;
-    /** NotFound before the first holder. */
+    /** Fails with NotFound before the lease is first held. */
     showLease(): Promise<Result<LeaseView, Failure>>;
 }
 
-/** What the commands need. */
 export interface OrderCommandsOptions {
     readonly records: OrderRecords;
     readonly leaseName: string;
@@ -67,7 +69,7 @@
     readonly configurationManager: ConfigurationManager;
     readonly clock: Clock;
     readonly callLimitMilliseconds?: number;
-    /** How long a request may wait for the controller to begin with it. */
+    /** How long a request may wait for the controller to start it. */
     readonly beginLimitMilliseconds?: number;
 }
 
--- a/packages/daisyturn/src/process/orders/orderContext.ts
+++ b/packages/daisyturn/src/process/orders/orderContext.ts
@@ -10,27 +10,26 @@
 
 /** Times and limits of the controller. */
 export interface ControllerSettings {
-    /** How often the rows of the cell are looked through for new requests. */
+    /** Interval at which the rows of the cell are read to find new requests. */
     readonly overviewIntervalMilliseconds: number;
-    /** How often an engine under an order is looked at. */
+    /** Interval at which an engine with an open order is checked. */
     readonly pollIntervalMilliseconds: number;
     readonly callLimitMilliseconds: number;
-    /** How long the streams of an engine are given to end before a change is given up. */
+    /** How long the streams of an engine may take to end before the change is abandoned. */
     readonly drainLimitMilliseconds: number;
-    /** How long an engine may be changing before operators are told. */
+    /** How long an engine may be changing before it is reported to operators as withheld. */
     readonly changingLimitMilliseconds: number;
     /**
-     * How long bytes may be on the way after their sender has ended. The kernel of a VM goes on sending what an ended
-     * process left in its socket: with Linux's defaults for about 100 s if the engine's VM does not answer it.
+     * How long bytes may be in flight after their sender has ended. The kernel of a VM continues to send what an ended
+     * process left in its socket, with Linux's defaults for about 100 s if the engine's VM does not respond.
      */
     readonly bytesInFlightMilliseconds: number;
-    /** Engines that are changed at once. */
+    /** Maximum number of engines changed at the same time. */
     readonly maxConcurrentChanges: number;
-    /** Engines that load weights at once. */
+    /** Maximum number of engines loading weights at the same time. */
     readonly maxConcurrentLoads: number;
 }
 
-/** Settings that hold where nothing else is said. */
 export const defaultControllerSettings: ControllerSettings = {
     overviewIntervalMilliseconds: 1_000,
     pollIntervalMilliseconds: 250,
@@ -42,7 +41,7 @@
     maxConcurrentLoads: 1,
 };
 
-/** What the parts of the controller share. */
+/** Dependencies shared by the parts of the controller. */
 export interface OrderContext {
     readonly self: ProcessIdentity;
     readonly clock: Clock;
@@ -56,21 +55,21 @@
     readonly configurationManager: ConfigurationManager;
     readonly targetDirectory: TargetDirectory;
     readonly weightStore: WeightStore;
-    /** Whether an operator has vouched for the end of that process run. */
+    /** Whether an operator has vouched that this incarnation of a process has ended. */
     readonly isVouched: (incarnation: string) => boolean;
 }
 
-/** What a step has brought. */
+/** Result of a step; determines when the next one follows. */
 export enum StepResult {
-    /** Something was written; the rows have to be read again. */
+    /** Something was written; the rows are read again at once. */
     Progress = "progress",
     /** Nothing to do yet. */
     Wait = "wait",
-    /** Something failed; look again after a longer while. */
+    /** Something failed or is withheld; try again after an increasing delay. */
     BackOff = "back_off",
     /** Nothing to do for this engine. */
     Idle = "idle",
 }
 
-/** Takes one step for one engine. */
+/** Performs one step for one engine. */
 export type EngineStepper = (tenure: ControllerTenure, rows: EngineRows) => Promise<StepResult>;
--- a/packages/daisyturn/src/process/orders/reportWithheld.ts
+++ b/packages/daisyturn/src/process/orders/reportWithheld.ts
@@ -4,7 +4,7 @@
 import type { EngineRows } from "./rows/createOrderRecords.js";
 import type { WithheldReason } from "./rows/orderRows.js";
 
-/** Records, once, that no order is given to an engine for now, so that operators see it at every entry VM. */
+/** Records once, in the engine's row, that orders are withheld, so that operators can see it at every entry VM. */
 export async function reportWithheld(
     context: OrderContext,
     tenure: ControllerTenure,
--- a/packages/daisyturn/src/process/orders/serveEngine.ts
+++ b/packages/daisyturn/src/process/orders/serveEngine.ts
@@ -5,7 +5,7 @@
 const minBackOffMilliseconds = 500;
 const maxBackOffMilliseconds = 2_000;
 
-/** Works on one engine, step by step, until nothing is left to do for it or the tenure is over. */
+/** Performs the steps for one engine until nothing remains to be done or the tenure is over. */
 export async function serveEngine(
     context: OrderContext,
     driver: ChangeDriver,
--- a/packages/daisyturn/src/process/orders/steps/chooseRequests.ts
+++ b/packages/daisyturn/src/process/orders/steps/chooseRequests.ts
@@ -1,27 +1,27 @@
 import { OrderKind } from "../../../ports/engine.js";
 import { type OrderRequest, OrderRequestState } from "../rows/orderRows.js";
 
-/** What the controller is already at. */
+/** Which engines are busy and how many more requests the controller may start. */
 export interface ControllerCapacity {
-    /** Engines that have a task. */
+    /** Engines on which the controller is already working. */
     readonly busyEngines: ReadonlySet<string>;
-    /** Requests that may begin now. */
+    /** Requests that may start now. */
     readonly freeChanges: number;
-    /** Loads of weights among them. */
+    /** Loads of weights that may start now; they count as requests too. */
     readonly freeLoads: number;
 }
 
-/** How much a partner has had of the loads, and its weight in sharing. */
+/** How many loads each partner has had, and its weight in sharing them. */
 export interface LoadShares {
-    /** Loads begun for the partner (undefined: for the role planner). */
+    /** Number of loads started for the partner (undefined: for the role planner). */
     started(partner: string | undefined): number;
     weight(partner: string | undefined): number;
 }
 
 /**
- * Chooses the requests that begin now, in the order in which the store took them; but of the loads that wait for the
- * rate-limited weight store, first one of the partner that has had least for its weight.
- * @param requests in the order in which the store took them
+ * Chooses the requests to start now, in the order in which the store committed them. Among the loads, which share the
+ * rate-limited weight store, the partner with the fewest started loads in relation to its weight comes first.
+ * @param requests in the order in which the store committed them
  */
 export function chooseRequests(
     requests: readonly OrderRequest[],
@@ -43,7 +43,7 @@
     return chosen;
 }
 
-/** Whether a request needs the weight store. */
+/** Whether a request loads weights from the weight store. */
 export function isLoad(request: OrderRequest): boolean {
     return request.kind !== OrderKind.ChangeRole;
 }
--- a/packages/daisyturn/src/process/orders/steps/createChangeDriver.ts
+++ b/packages/daisyturn/src/process/orders/steps/createChangeDriver.ts
@@ -21,9 +21,9 @@
 import { type FinishStep, type NextStep, planNextStep, StepKind } from "./planNextStep.js";
 import { readEngineState } from "./readEngineState.js";
 
-/** Carries out what is asked of an engine, one step at a time. */
+/** Carries out the changes requested for an engine, one step at a time. */
 export interface ChangeDriver {
-    /** Takes the next step for the engine, as its rows stand. */
+    /** Performs the next step for the engine, according to its rows. */
     runNextStep(tenure: ControllerTenure, rows: EngineRows): Promise<StepResult>;
 }
 
@@ -96,7 +96,7 @@
         }
     };
 
-    /** Without any order planned the engine is as it was, and the change can end without its being asked. */
+    /** If no order was planned, the engine is unchanged, and the change can end without reading the engine's state. */
     const handleUnavailableEngine = (
         tenure: ControllerTenure,
         rows: EngineRows,
@@ -130,7 +130,7 @@
         return result;
     };
 
-    /** Plans, records as about to be sent, and sends. What becomes of it is for the settler to find out. */
+    /** Creates the next order of the change, counts it and passes it to the dispatcher. */
     const dispatchOrder = async (
         tenure: ControllerTenure,
         rows: EngineRows,
@@ -176,7 +176,7 @@
 
 const noGrant: { readonly grantId?: string; } = {};
 
-/** While it is in doubt whether a drain will still arrive, the engine goes on serving. */
+/** Whether the engine continues to serve because a drain may still arrive late. */
 function isLeftInService({ last, withheld }: EngineOrders): boolean {
     return withheld?.reason === WithheldReason.SenderMayBeAlive && last?.order.kind === OrderKind.Drain;
 }
--- a/packages/daisyturn/src/process/orders/steps/createDoubtfulOrderResolver.ts
+++ b/packages/daisyturn/src/process/orders/steps/createDoubtfulOrderResolver.ts
@@ -8,9 +8,12 @@
 import type { OrderSettler } from "../sending/createOrderSettler.js";
 import { readEngineState } from "./readEngineState.js";
 
-/** Ends the doubt about an earlier holder's order at an engine that checks fencing numbers. */
+/** Resolves a doubtful order of an earlier lease holder at an engine that checks fencing numbers. */
 export interface DoubtfulOrderResolver {
-    /** Makes the engine see this tenure's number by an order that leaves it as it is; afterwards it refuses the other. */
+    /**
+     * Sends an order that does not change the engine's state, so that the engine records the fencing number of this
+     * tenure and refuses the doubtful order from then on.
+     */
     resolve(tenure: ControllerTenure, rows: EngineRows, doubtful: OrderRecord): Promise<StepResult>;
 }
 
--- a/packages/daisyturn/src/process/orders/steps/createEngineQuiescer.ts
+++ b/packages/daisyturn/src/process/orders/steps/createEngineQuiescer.ts
@@ -2,19 +2,21 @@
 import { type Membership, PeerMethod, type PeerNetwork, type ProcessIdentity } from "../../peers/index.js";
 import { parseQuiesceAnswer, type QuiesceDemand, type TargetGate } from "../../targets/index.js";
 
-/** Keeps new work of all entry VMs away from an engine while it is changed. */
+/** Prevents all entry VMs from sending new work to an engine while it is being changed. */
 export interface EngineQuiescer {
-    /** Closes the engine here and at all live peers, or renews the closing; does not wait for answers. */
+    /** Closes the engine in this process and at all live peers, or renews the closing; does not wait for answers. */
     keepClosed(engineId: string, changeId: string): void;
-    /** Whether every live peer has said that it has nothing under way there; one that stays silent counts for a while. */
+    /**
+     * Whether this process and every live peer have no call in flight at the engine. A peer that does not answer counts
+     * as busy for 5 s.
+     */
     isIdle(engineId: string, changeId: string): boolean;
-    /** Opens the engine again here and at all peers. */
+    /** Reopens the engine in this process and at all peers. */
     release(engineId: string, changeId: string): void;
-    /** Forgets all closings without opening anything: they lapse, or the next controller renews them. */
+    /** Discards all closings without reopening the engines: they expire, or the next controller renews them. */
     clear(): void;
 }
 
-/** What a quiescer needs. */
 export interface EngineQuiescerOptions {
     readonly peerNetwork: PeerNetwork;
     readonly membership: Membership;
@@ -22,24 +24,24 @@
     readonly clock: Clock;
 }
 
-/** One closing, as this process knows it. */
+/** A closing that this process has requested. */
 interface Closing {
     since: number;
     renewedAt: number;
-    /** Peers that have answered, with their last count. */
+    /** Last reported number of calls in flight, by incarnation of the peer. */
     readonly counts: Map<string, number>;
 }
 
-/** How long a closing lasts if it is not renewed: an engine is in use again soon after the controller died. */
+/** Duration of a closing that is not renewed. Limits how long an engine stays unused after the controller ended. */
 const closingMilliseconds = 10_000;
 const renewalMilliseconds = 1_000;
 /**
- * How long a live peer that does not answer holds up an order. The engine itself has been told to take no new work and
- * its own count says that nothing runs, so a silent peer can at most be refused by it.
+ * How long a live peer that does not answer delays an order. The engine has already been ordered to accept no new work
+ * and reports that nothing is running, so calls of a silent peer can at most be refused by the engine.
  */
 const silenceLimitMilliseconds = 5_000;
 
-/** Creates the part that closes and opens engines over all entry VMs of the cell. */
+/** Creates the part that closes and reopens engines at all entry VMs of the cell. */
 export function createEngineQuiescer(options: EngineQuiescerOptions): EngineQuiescer {
     const { peerNetwork, membership, targetGate, clock } = options;
     const closings = new Map<string, Closing>();
@@ -53,7 +55,7 @@
             return;
         }
         if (now - closing.renewedAt >= closingMilliseconds) {
-            // It has lapsed meanwhile, and what was answered before says nothing any more.
+            // The closing has expired at the peers, so earlier answers are no longer valid.
             closing.since = now;
             closing.counts.clear();
         }
--- a/packages/daisyturn/src/process/orders/steps/createRequestStarter.ts
+++ b/packages/daisyturn/src/process/orders/steps/createRequestStarter.ts
@@ -11,7 +11,7 @@
 import { evaluateChangeGoal } from "./evaluateChangeGoal.js";
 import { isConfigurationCurrent } from "./isConfigurationCurrent.js";
 
-/** Makes a change of a request, or tells why not. */
+/** Starts the change of a request, or closes the request with the reason why it was not started. */
 export interface RequestStarter {
     start(tenure: ControllerTenure, rows: EngineRows, request: OrderRequest): Promise<StepResult>;
 }
--- a/packages/daisyturn/src/process/orders/steps/evaluateChangeGoal.ts
+++ b/packages/daisyturn/src/process/orders/steps/evaluateChangeGoal.ts
@@ -3,7 +3,7 @@
 import type { ConfigurationVersion } from "../../../version/configurationVersion.js";
 import type { ChangeGoal } from "../rows/orderRows.js";
 
-/** Who wants what of which engine. */
+/** A change proposed by a partner or the role planner for one engine. */
 export interface ProposedChange extends ChangeGoal {
     readonly engineId: string;
     /** Absent for the role planner. */
@@ -11,9 +11,9 @@
 }
 
 /**
- * Tells why a change must not be made, or undefined if it may. A partner's hold is that partner's choice, and an order
- * by anybody else would act on an engine that it has set aside. Its own drain leaves it free to change the engine
- * meanwhile; its own withdrawal or replacement does not.
+ * Returns the reason why a change must be refused, or undefined if it is allowed. A hold reserves the engine for the
+ * partner that set it, so changes by others are refused. A partner may change an engine while its own drain is active,
+ * but not while its own withdrawal or replacement is.
  */
 export function evaluateChangeGoal(change: ProposedChange, version: ConfigurationVersion): string | undefined {
     const target = version.findTarget(change.engineId);
--- a/packages/daisyturn/src/process/orders/steps/planNextStep.ts
+++ b/packages/daisyturn/src/process/orders/steps/planNextStep.ts
@@ -2,7 +2,7 @@
 import { isGoalReached } from "../rows/orderEffect.js";
 import { ChangeStage, type EngineChange, OrderRequestState } from "../rows/orderRows.js";
 
-/** What to do next for a change. */
+/** Kind of the next step of a change. */
 export enum StepKind {
     Wait = "wait",
     Order = "order",
@@ -10,18 +10,18 @@
     Finish = "finish",
 }
 
-/** Look again later. */
+/** Read the rows and the engine's state again later. */
 export interface WaitStep {
     readonly kind: StepKind.Wait;
 }
 
-/** Give this order. */
+/** Send an order of this kind. */
 export interface OrderStep {
     readonly kind: StepKind.Order;
     readonly order: OrderKind;
 }
 
-/** Return the engine to service without the change. */
+/** Abandon the change and return the engine to service. */
 export interface AbandonStep {
     readonly kind: StepKind.Abandon;
     readonly reason: string;
@@ -34,29 +34,29 @@
     readonly reason?: string;
 }
 
-/** One of the steps. */
 export type NextStep = WaitStep | OrderStep | AbandonStep | FinishStep;
 
-/** What decides beside the engine's state. */
+/** Conditions, besides the engine's state, on which the next step depends. */
 export interface ChangeCircumstances {
-    /** Why the change must not go on, if something has come up. */
+    /** Why the change must not be continued; undefined if it may. */
     readonly refusalReason?: string;
-    /** Whether no entry VM has anything under way at the engine. */
+    /** Whether no entry VM has a call in flight at the engine. */
     readonly areEntryVmsIdle: boolean;
-    /** Whether the time for the streams to end is over. */
+    /** Whether the time limit for the streams to end has passed. */
     readonly isDrainTimeOver: boolean;
-    /** Whether the configuration in force here is the newest accepted one. */
+    /** Whether the active configuration of this process is the newest accepted one. */
     readonly isConfigurationCurrent: boolean;
 }
 
-/** Times that an order is given anew after the engine lost it. */
+/** Number of orders of the change's own kind that are sent before the change is abandoned. */
 const maxAttempts = 3;
 
 const waitStep: WaitStep = { kind: StepKind.Wait };
 
 /**
- * Decides from what the engine is now, not from what was done before: so a new holder of the lease goes on with a
- * half-done change by the same code, and an engine that restarts midway is met as it is.
+ * Determines the next step from the current state of the engine, not from earlier steps. A new holder of the lease can
+ * thus continue an unfinished change with the same code, and an engine that restarted in between is handled according
+ * to its actual state.
  */
 export function planNextStep(change: EngineChange, state: EngineState, circumstances: ChangeCircumstances): NextStep {
     if (state.phase === EnginePhase.Changing) {
@@ -110,7 +110,7 @@
     return isDrained(state) && circumstances.areEntryVmsIdle ? orderStep(change.kind) : waitStep;
 }
 
-/** Whether an order would cut no stream: nothing runs, and the engine itself lets nothing in. */
+/** Whether an order would cut no stream: nothing is running or queued, and the engine accepts no new work. */
 export function isDrained(state: EngineState): boolean {
     const isClosed = state.draining || state.phase === EnginePhase.Stuck;
     return isClosed && state.runningStreams === 0 && state.queuedRequests === 0;
