--- a/packages/daisyturn/src/process/orders/__fixtures__/describeFaults.ts
+++ b/packages/daisyturn/src/process/orders/__fixtures__/describeFaults.ts
@@ -7,7 +7,7 @@
 const workMilliseconds = 900;
 const hourMilliseconds = 3_600_000;
 
-/** Disturbances beside the faults of a single call. */
+/** Disturbances other than the faults of a single call. */
 const disturbances: Readonly<Record<string, DisturbCall>> = {
     "the holder is cut off from the store only": (world, { host }, index) =>
         host.atCall(index, () => {
@@ -26,7 +26,7 @@
     "the engine restarts": (world, { host }, index) =>
         host.atCall(index, kind => {
             world.engine.crash();
-            // Work that gets in between the second look and the order is cut; the design note says so.
+            // Work that starts between the dispatcher's second state check and the order is cut: a known limitation.
             if (kind !== CallKind.EngineOrder) {
                 world.engine.startWork(workMilliseconds);
             }
@@ -46,11 +46,14 @@
         host.atCall(index, () => world.clock.jumpWall(-hourMilliseconds)),
 };
 
-/** Every fault of a single call and every disturbance, at every call of a role change's holder: nothing is sampled. */
+/**
+ * Tests a role change with every fault of a single call and every disturbance, at each call of the lease holder; no
+ * cases are sampled.
+ */
 export function describeFaults(checksFencingNumbers: boolean): void {
     describe(`a role change of an engine that ${checksFencingNumbers ? "checks" : "does not check"} numbers`, () => {
         for (const fault of Object.values(CallFault)) {
-            it(`ends without a conflict when ${fault} strikes at any call`, () =>
+            it(`ends without a conflict when ${fault} occurs at any call`, () =>
                 explore(checksFencingNumbers, (...[, { host }, index]) => host.failCall(index, fault)));
         }
         for (const [name, disturb] of Object.entries(disturbances)) {
@@ -61,6 +64,6 @@
 
 async function explore(checksFencingNumbers: boolean, disturb: DisturbCall): Promise<void> {
     const { runs, failures } = await exploreCalls(checksFencingNumbers, disturb);
-    assert.ok(runs > 30, `a role change takes ${runs} calls only`);
+    assert.ok(runs > 30, `a role change takes only ${runs} calls`);
     assert.deepEqual(failures, []);
 }
--- a/packages/daisyturn/src/process/orders/__fixtures__/exploreCalls.ts
+++ b/packages/daisyturn/src/process/orders/__fixtures__/exploreCalls.ts
@@ -4,19 +4,19 @@
 import { runRoleChange } from "./runRoleChange.js";
 import type { WorldProcess } from "./worldProcess.js";
 
-/** Prepares a disturbance at the holder's call with the number `index`. */
+/** Schedules a disturbance at the lease holder's call with the number `index`. */
 export type DisturbCall = (world: OrderWorld, holder: WorldProcess, index: number) => void;
 
-/** What came of the runs, one for each call of the holder's. */
+/** Results of the runs, one for each call of the lease holder. */
 export interface Exploration {
     readonly runs: number;
-    /** Runs that went against a promise, left something open, or whose outcome is not what the engine is. */
+    /** Runs with a violation, with an open order or request, or whose outcome differs from the engine's state. */
     readonly failures: readonly string[];
-    /** Runs whose change was made in spite of the disturbance. */
+    /** Number of runs in which the change was made despite the disturbance. */
     readonly done: number;
 }
 
-/** Runs a role change once for each call that its undisturbed holder makes, disturbed at that call. */
+/** Runs a role change once for each call that the holder makes in an undisturbed run, disturbed at that call. */
 export async function exploreCalls(checksFencingNumbers: boolean, disturb: DisturbCall): Promise<Exploration> {
     const calls = await countCalls(checksFencingNumbers);
     const failures: string[] = [];
--- a/packages/daisyturn/src/process/orders/__fixtures__/hostTable.ts
+++ b/packages/daisyturn/src/process/orders/__fixtures__/hostTable.ts
@@ -3,7 +3,7 @@
 import { RejectionCause, TableService, type Transaction, TransactionOutcome } from "../../../ports/tableService.js";
 import { CallKind, type ProcessHost } from "./processHost.js";
 
-/** The table service as one process reaches it. */
+/** Creates one process's access to the table service; the calls pass through the process's host. */
 export function hostTable(host: ProcessHost, table: TableService): TableService {
     const down = <T>() => Result.err<T, Failure>(notRun(FailureReason.StoreUnavailable, "no answer"));
 
--- a/packages/daisyturn/src/process/orders/__fixtures__/orderWorld.ts
+++ b/packages/daisyturn/src/process/orders/__fixtures__/orderWorld.ts
@@ -21,7 +21,7 @@
 import { testCell } from "./worldConstants.js";
 import { createWorldProcess, type OrderWorldOptions, type SharedWorld, type WorldProcess } from "./worldProcess.js";
 
-/** After a process has died, how long until its end is proved: while its last call is still on the way. */
+/** Time from the death of a process to the proof of its end. Its last call is still in flight at that moment. */
 const proofMilliseconds = flightMilliseconds - 1_000;
 
 const testSettings: Partial<ControllerSettings> = {
@@ -31,20 +31,20 @@
     bytesInFlightMilliseconds: 2_000,
 };
 
-/** A cell with one engine: processes around one table service, one configuration and one clock. */
+/** A cell with one engine and several processes that share a table service, a configuration and a clock. */
 export interface OrderWorld extends SharedWorld {
-    /** Has the platform's list prove the end of the processes that have been dead for long enough. */
+    /** Marks processes as ended that have been dead for long enough, as the platform's list does. */
     proveDeaths(): void;
     /** Adds a process and starts it. */
     addProcess(name: string, incarnation?: string): WorldProcess;
-    /** Accepts a change of the holds. */
+    /** Accepts a configuration in which the hold is set or removed. */
     setHold(hold: Hold, isStanding: boolean): Promise<void>;
     acceptedConfiguration(): ConfigurationVersion;
     orders(): EngineOrders;
     request(): OrderRequest | undefined;
     /** Called after each committed transaction. */
     onCommit(listener: (transaction: Transaction) => void): void;
-    /** Moves the clock until the condition holds; false if the limit came first. */
+    /** Advances the clock until the condition holds; returns false if the limit is reached first. */
     advanceUntil(condition: () => boolean, limitMilliseconds: number): Promise<boolean>;
     stop(): Promise<void>;
 }
@@ -157,7 +157,7 @@
     return item.kind === other.kind && item.partner === other.partner && item.name === other.name;
 }
 
-/** A table service whose rows and commits the test sees. */
+/** Creates a table service whose rows and commits the test can observe. */
 function createWatchedTable(rows: Map<string, JsonValue>, onCommit: (transaction: Transaction) => void): TableService {
     const inner = createMemoryTableService();
 
--- a/packages/daisyturn/src/process/orders/__fixtures__/orderedEngine.ts
+++ b/packages/daisyturn/src/process/orders/__fixtures__/orderedEngine.ts
@@ -8,39 +8,38 @@
     OrderKind,
 } from "../../../ports/engine.js";
 
-/** What an engine of the tests remembers of an order that it took. */
+/** An order that the engine accepted, and when. */
 export interface AcceptedOrder {
     readonly order: EngineOrder;
     readonly at: number;
 }
 
-/** An engine that checks what must always hold of its orders. */
+/** A simulated engine that checks the invariants of the orders it receives. */
 export interface OrderedEngine {
     readonly engineId: string;
-    /** What went against the promises; must stay empty. */
+    /** Violated invariants; must stay empty. */
     readonly violations: readonly string[];
     readonly taken: readonly AcceptedOrder[];
     order(order: EngineOrder): OrderAnswer;
-    /** Notes something else that went against the promises. */
+    /** Records a violation that was detected outside of the engine. */
     recordViolation(violation: string): void;
     state(): EngineState;
-    /** Takes a request that runs for so long; false: refused as not run. */
+    /** Starts a request that runs for the given time; returns false if it is refused as not run. */
     startWork(milliseconds: number): boolean;
-    /** Restarts the engine; in the midst of a change it comes back stuck if `isStuck`. */
+    /** Restarts the engine. With `isStuck`, an engine that was changing is stuck afterwards. */
     crash(isStuck?: boolean): void;
 }
 
-/** How an engine of the tests is made. */
 export interface OrderedEngineOptions {
     readonly engineId: string;
     readonly clock: Clock;
     readonly checksFencingNumbers: boolean;
     readonly changeMilliseconds: number;
-    /** Whether the store has the order as the engine's open one, sent; the engine's own truth lies in the rows. */
+    /** Whether the store has the order as the engine's open or doubtful one. */
     readonly isRecordedAsSent: (orderId: string) => boolean;
 }
 
-/** Creates an engine that serves as a mixed one with the model `large`. */
+/** Creates an engine that serves in the mixed role with the model `large`. */
 export function createOrderedEngine(options: OrderedEngineOptions): OrderedEngine {
     const { engineId, clock, checksFencingNumbers } = options;
     const violations: string[] = [];
--- a/packages/daisyturn/src/process/orders/__fixtures__/processHost.ts
+++ b/packages/daisyturn/src/process/orders/__fixtures__/processHost.ts
@@ -1,71 +1,71 @@
 import { Clock } from "daisyturn-utils";
 
-/** What goes wrong with one call of a process to the outside. */
+/** Faults of one outgoing call of a process. */
 export enum CallFault {
     /** The process ends; the call is not made. */
     KillBefore = "kill_before",
-    /** The process ends while the call is on its way: it takes effect later. */
+    /** The process ends while the call is in flight; the call takes effect later. */
     KillInFlight = "kill_in_flight",
-    /** The call takes effect, and the process ends before its answer. */
+    /** The call takes effect, and the process ends before it receives the answer. */
     KillAfter = "kill_after",
-    /** The process is paused within the call, which takes effect when it goes on. */
+    /** The process is paused during the call, which takes effect when the process resumes. */
     PauseBefore = "pause_before",
-    /** The call takes effect, and the process is paused before its answer. */
+    /** The call takes effect, and the process is paused before it receives the answer. */
     PauseAfter = "pause_after",
-    /** As with PauseBefore, and the clocks of the process stand still, as when its VM is moved to another machine. */
+    /** Like PauseBefore, but the clocks of the process stand still, as when its VM is moved to another machine. */
     SuspendBefore = "suspend_before",
-    /** As with PauseAfter, and the clocks of the process stand still. */
+    /** Like PauseAfter, but the clocks of the process stand still. */
     SuspendAfter = "suspend_after",
-    /** The call takes effect, and its answer is lost. */
+    /** The call takes effect, but its answer is lost. */
     LoseAnswer = "lose_answer",
-    /** The call is lost, and so is the knowledge of it. */
+    /** The call is lost, and the process does not know whether it took effect. */
     LoseCall = "lose_call",
     /** The call is known not to have been sent. */
     NotSent = "not_sent",
 }
 
-/** How a call ends without its own answer. */
+/** Results of a call that ends without the callee's answer. */
 export interface CallFailures<T> {
     readonly unknown: T;
     readonly notSent: T;
 }
 
-/** What a process calls; faults may be limited to some kinds. */
+/** Kinds of outgoing calls; faults may be limited to some kinds. */
 export enum CallKind {
     Store = "store",
     EngineOrder = "engine_order",
     EngineState = "engine_state",
 }
 
-/** One process of a test: its calls are counted, and it can be paused and killed at any of them. */
+/** Host of a simulated process. Counts its calls, and can pause or kill it at any of them. */
 export interface ProcessHost {
-    /** The clock of the process: it reads on, but nobody is woken by it, while the process is paused. */
+    /** The clock of the process. While the process is paused, the clock advances but wakes no sleeper. */
     readonly clock: Clock;
-    /** Makes a call to the outside. */
+    /** Makes an outgoing call. */
     call<T>(kind: CallKind, run: () => Promise<T>, failures: CallFailures<T>): Promise<T>;
     callCount(): number;
-    /** Puts a fault on the call with that number, counted from 1. */
+    /** Injects a fault at the call with that number, counted from 1. */
     failCall(index: number, fault: CallFault): void;
-    /** Puts a fault on the next call of a kind. */
+    /** Injects a fault at the next call of a kind. */
     failNext(kind: CallKind, fault: CallFault): void;
-    /** Runs an action right before the call with that number, and before its fault. */
+    /** Runs an action immediately before the call with that number and before its fault. */
     atCall(index: number, action: (kind: CallKind) => void): void;
-    /** While set, calls of that kind are known not to be sent. */
+    /** While set, calls of that kind fail as not sent. */
     cutOff(kind: CallKind, isCut: boolean): void;
     kill(): void;
     pause(milliseconds: number): void;
     isDead(): boolean;
     isPaused(): boolean;
-    /** Resolves when the process can act: at once, after a pause, or never. */
+    /** Resolves when the process can continue: at once, after a pause, or never if it was killed. */
     whenActive(): Promise<void>;
 }
 
-/** How long calls of a killed process are on their way. */
+/** How long a call stays in flight when its process is killed with `KillInFlight`. */
 export const flightMilliseconds = 7_000;
 
 /**
- * Creates a process on the clock of the test.
- * @param drawDelay milliseconds on the way of a call or of its answer
+ * Creates the host of a process that runs on the clock of the test.
+ * @param drawDelay returns the delay of a call or of its answer, in milliseconds
  */
 export function createProcessHost(
     clock: Clock,
@@ -79,9 +79,9 @@
     let calls = 0;
     let isDead = false;
     let pausedUntil = -Infinity;
-    /** How far the clocks of the process are behind after past suspensions. */
+    /** Total length of completed suspensions, by which the clocks of the process lag. */
     let pastSuspensionMilliseconds = 0;
-    /** When the suspension began that goes on or has just ended. */
+    /** Start of the current suspension, or of one that has ended and is not yet added to the total. */
     let suspendedAt: number | undefined;
 
     const isPaused = () => clock.monotonicNow() < pausedUntil;
@@ -104,7 +104,7 @@
         pause(milliseconds);
     };
 
-    /** How far the clocks of the process are behind now. */
+    /** Returns by how many milliseconds the clocks of the process lag now. */
     const computeClockLag = () => {
         if (suspendedAt !== undefined && isPaused()) {
             return pastSuspensionMilliseconds + clock.monotonicNow() - suspendedAt;
@@ -190,7 +190,7 @@
         override async sleepUntil(deadline: number, signal?: AbortSignal): Promise<void> {
             while (this.monotonicNow() < deadline && !signal?.aborted) {
                 const behind = computeClockLag();
-                // Rounded up, so that a sleeper never wakes a little too early and spins.
+                // Rounded up, so that a sleeper never wakes slightly early and loops without advancing.
                 await clock.sleepUntil(behind > 0 ? Math.floor(deadline + behind) + 1 : deadline, signal);
                 await whenActive();
             }
--- a/packages/daisyturn/src/process/orders/__fixtures__/raceOverSeeds.ts
+++ b/packages/daisyturn/src/process/orders/__fixtures__/raceOverSeeds.ts
@@ -5,7 +5,7 @@
 
 const start = { role: EngineRole.Mixed, models: ["large"], version: "1" };
 
-/** Runs a race for each seed and fails with all that went wrong, or if hardly any request was carried out. */
+/** Runs a race for each seed. Fails if any run has a problem, or if at most half of all requests were carried out. */
 export async function raceOverSeeds(seeds: number, create: (seed: number) => RaceOptions): Promise<void> {
     const problems: string[] = [];
     let done = 0;
@@ -26,11 +26,11 @@
     const run = await runRacingOperators(options);
     const problems = [...run.violations];
     if (!run.hasSettled || run.requests.some(isRequestOpen)) {
-        problems.push("something stayed open");
+        problems.push("an order or a request stayed open");
     }
     const expected = applyInOrder(start, run.requests);
     if (JSON.stringify(expected) !== JSON.stringify(run.engine)) {
-        problems.push(`engine ${JSON.stringify(run.engine)}, naive version ${JSON.stringify(expected)}`);
+        problems.push(`engine ${JSON.stringify(run.engine)}, naive model ${JSON.stringify(expected)}`);
     }
     const done = run.requests.filter(request => request.state === OrderRequestState.Done).length;
     return {
--- a/packages/daisyturn/src/process/orders/__fixtures__/runRacingOperators.ts
+++ b/packages/daisyturn/src/process/orders/__fixtures__/runRacingOperators.ts
@@ -16,25 +16,23 @@
 import { createOrderWorld, type OrderWorld } from "./orderWorld.js";
 import { CallFault } from "./processHost.js";
 
-/** How wild a run is. */
 export interface RaceOptions {
     readonly seed: number;
     readonly checksFencingNumbers: boolean;
     readonly hasHolds: boolean;
-    /** Faults of single calls, at random processes. */
+    /** Number of faults of single calls, injected into random processes. */
     readonly faultCount: number;
 }
 
-/** What a run has shown. */
 export interface RaceRun {
     readonly violations: readonly string[];
     readonly hasSettled: boolean;
-    /** Requests in the order in which the store took them, as they ended. */
+    /** Final states of the requests, in the order in which the store committed them. */
     readonly requests: readonly OrderRequest[];
     readonly engine: EngineGoalState;
 }
 
-/** What changes are about. */
+/** The part of an engine's state that changes modify. */
 export interface EngineGoalState {
     readonly role: EngineRole;
     readonly models: readonly string[];
@@ -50,7 +48,7 @@
 const settleMilliseconds = 150_000;
 const workMilliseconds = 600;
 
-/** Lets operators of both partners act at random on one engine, and processes fail at random. */
+/** Runs random actions of operators of both partners on one engine while processes fail at random. */
 export async function runRacingOperators(options: RaceOptions): Promise<RaceRun> {
     const random = createSeededRandom(options.seed);
     const lags = new Map(["p1", "p2", "p3"].map(name => [name, random.integerBelow(maxLagMilliseconds)]));
@@ -96,7 +94,7 @@
     };
 }
 
-/** The naive version: one process, one lock, one request after the other; those that were not carried out left out. */
+/** Naive model: applies the requests that were carried out one after the other, as one process with one lock would. */
 export function applyInOrder(start: EngineGoalState, requests: readonly OrderRequest[]): EngineGoalState {
     const done = requests.filter(request => request.state === OrderRequestState.Done);
     return done.reduce<EngineGoalState>((state, request) => ({
@@ -109,8 +107,8 @@
 }
 
 /**
- * Holds against which an order is marked as sent although they were accepted before. An order that only overtakes a
- * doubtful one leaves the engine as it is.
+ * Describes the holds that had already been accepted when an order that they forbid was marked as sent. An order that
+ * only supersedes a doubtful one is exempt: it leaves the engine unchanged.
  */
 function findOverriddenHold(
     world: OrderWorld,
@@ -163,7 +161,7 @@
     }
 }
 
-/** Goes on with the work, proves deaths, keeps a process alive, and tells whether all is over. */
+/** Adds work, proves deaths and ensures that a process is alive; returns whether everything has settled. */
 function continueRun(world: OrderWorld): boolean {
     world.engine.startWork(workMilliseconds);
     world.proveDeaths();
--- a/packages/daisyturn/src/process/orders/__fixtures__/runRoleChange.ts
+++ b/packages/daisyturn/src/process/orders/__fixtures__/runRoleChange.ts
@@ -5,10 +5,10 @@
 import { type OrderWorldOptions } from "./worldProcess.js";
 import type { WorldProcess } from "./worldProcess.js";
 
-/** What a run of one role change under faults has shown. */
+/** Result of a run of one role change under faults. */
 export interface RoleChangeRun {
     readonly violations: readonly string[];
-    /** Whether the engine serves again, nothing is open and every living entry VM may use it. */
+    /** Whether the engine serves again and no change, order or request is open. */
     readonly hasSettled: boolean;
     readonly outcome: OrderRequestState | undefined;
     readonly role: EngineRole;
@@ -17,7 +17,7 @@
     readonly world: OrderWorld;
 }
 
-/** How a run is disturbed. */
+/** Hooks through which a test disturbs a run. */
 export interface RoleChangeDisturbance {
     /** Called when the request is recorded, with the process that holds the lease. */
     readonly atRequest?: (world: OrderWorld, holder: WorldProcess) => void;
@@ -30,7 +30,7 @@
 /** When the first lease is held, and when the request is made. */
 const startMilliseconds = 2_000;
 
-/** Runs one role change with two processes and work from a well-behaved and from a cut-off entry VM, to its end. */
+/** Runs one role change to its end, with work from entry VMs that follow the closing and from one that does not. */
 export async function runRoleChange(
     options: OrderWorldOptions,
     disturbance: RoleChangeDisturbance = {},
@@ -50,7 +50,7 @@
         return hasSettled(world);
     };
     const settled = await world.advanceUntil(step, runLimitMilliseconds);
-    // Whatever is still on its way, of a paused process for one, arrives before the judgement.
+    // Calls that are still in flight, for example of a paused process, arrive before the result is evaluated.
     await world.clock.advance(pauseMilliseconds);
     const run = {
         violations: world.engine.violations,
@@ -65,7 +65,7 @@
     return run;
 }
 
-/** Work from every entry VM that may send it, and from one that knows of no closing. */
+/** Starts work from every entry VM that may send it, and from one that has not received the closing. */
 function dispatchWork(world: OrderWorld): void {
     world.engine.startWork(workMilliseconds);
     for (const { host, gate } of world.processes) {
--- a/packages/daisyturn/src/process/orders/__fixtures__/worldConstants.ts
+++ b/packages/daisyturn/src/process/orders/__fixtures__/worldConstants.ts
@@ -1,5 +1,5 @@
 export const testCell = "cell-1";
 export const testLeaseName = "controller-cell-1";
 
-/** Length of a pause: longer than the lease and than the proof and the wait that may follow it. */
+/** Length of a pause. Longer than the lease, and than the time to prove the sender's end plus the subsequent wait. */
 export const pauseMilliseconds = 14_000;
--- a/packages/daisyturn/src/process/orders/__fixtures__/worldProcess.ts
+++ b/packages/daisyturn/src/process/orders/__fixtures__/worldProcess.ts
@@ -29,19 +29,18 @@
 import { CallKind, createProcessHost, type ProcessHost } from "./processHost.js";
 import { pauseMilliseconds, testCell, testLeaseName } from "./worldConstants.js";
 
-/** How a test's cell is made. */
 export interface OrderWorldOptions {
     readonly checksFencingNumbers: boolean;
     readonly processCount?: number;
     readonly seed?: number;
     readonly settings?: Partial<ControllerSettings>;
-    /** Milliseconds on the way of a call or of its answer. */
+    /** Returns the delay of a call or of its answer, in milliseconds. */
     readonly drawDelay?: () => number;
-    /** After a hold is accepted, how long until it is in force at a process. */
+    /** Time in milliseconds until an accepted configuration is active at a process. */
     readonly configurationLag?: (processName: string) => number;
 }
 
-/** What the processes of a cell share. */
+/** Environment shared by the processes of a cell. */
 export interface SharedWorld {
     readonly clock: FakeClock;
     readonly engine: OrderedEngine;
@@ -54,7 +53,7 @@
     configurationAt(processName: string): ConfigurationVersion;
 }
 
-/** One entry VM's process, running. */
+/** A running process of one entry VM. */
 export interface WorldProcess {
     readonly identity: ProcessIdentity;
     readonly host: ProcessHost;
@@ -67,7 +66,7 @@
     stop(): Promise<void>;
 }
 
-/** Lengths of the lease in the tests; the margin covers no clock here, but code that drops it must be found out. */
+/** Times of the lease in the tests. No clock drifts here; the margin serves to detect code that ignores it. */
 const leaseTimes = { leaseMilliseconds: 5_000, marginMilliseconds: 500, renewalIntervalMilliseconds: 1_500 };
 
 /** Creates a process in a cell and starts it. */
@@ -163,8 +162,8 @@
         current: () => world.configurationAt(processName),
         adopt: () => Promise.resolve(),
         run: () => Promise.resolve(),
-        publish: () => Promise.reject(new Error("not in this world")),
-        history: () => Promise.reject(new Error("not in this world")),
+        publish: () => Promise.reject(new Error("not supported by this fixture")),
+        history: () => Promise.reject(new Error("not supported by this fixture")),
         onVersion: () => undefined,
     };
 }
@@ -172,14 +171,14 @@
 function hostEngine(host: ProcessHost, ordered: OrderedEngine, holdsLease: () => boolean): Engine {
     const unknown = <T>() => Result.err<T, Failure>(mayHaveRun(FailureReason.TargetFailed, "no answer"));
     const notSent = <T>() => Result.err<T, Failure>(notRun(FailureReason.NoTarget, "not sent"));
-    const unused = () => Promise.reject(new Error("not in this world"));
+    const unused = () => Promise.reject(new Error("not supported by this fixture"));
 
     class HostedEngine extends Engine {
         override readonly engineId = ordered.engineId;
 
         override order(order: EngineOrder): Promise<Result<OrderAnswer, Failure>> {
             if (!holdsLease()) {
-                ordered.recordViolation(`${order.orderId} is sent by a process that knows its lease to be over`);
+                ordered.recordViolation(`${order.orderId} is sent by a process that knows that its lease has expired`);
             }
             const run = () => Promise.resolve(Result.ok<OrderAnswer, Failure>(ordered.order(order)));
             return host.call(CallKind.EngineOrder, run, { unknown: unknown(), notSent: notSent() });
--- a/packages/daisyturn/src/process/orders/__tests__/controller.test.ts
+++ b/packages/daisyturn/src/process/orders/__tests__/controller.test.ts
@@ -23,7 +23,7 @@
         await world.stop();
     });
 
-    it("waits for what an entry VM has under way at the engine, also where the engine itself shows none", async () => {
+    it("waits for calls of an entry VM in flight at the engine, even if the engine itself reports none", async () => {
         const world = createOrderWorld({ checksFencingNumbers: true });
         await world.clock.advance(2_000);
         const [one, other] = world.processes;
@@ -37,7 +37,7 @@
         await world.stop();
     });
 
-    it("does not wait for ever for an entry VM that does not answer", async () => {
+    it("does not wait indefinitely for an entry VM that does not answer", async () => {
         const world = createOrderWorld({ checksFencingNumbers: true });
         await world.clock.advance(2_000);
         world.peers.cutBoth("p1", "p2");
@@ -46,7 +46,7 @@
         await world.stop();
     });
 
-    it("gives a change up rather than cut a stream that does not end", async () => {
+    it("abandons a change rather than cut a stream that does not end", async () => {
         const world = createOrderWorld({ checksFencingNumbers: true });
         await world.clock.advance(2_000);
         world.engine.startWork(60_000);
@@ -60,7 +60,7 @@
 });
 
 describe("chooseRequests", () => {
-    it("shares loads by weight and keeps the order of arrival otherwise", () => {
+    it("shares loads by weight and otherwise keeps the order of arrival", () => {
         const request = (name: string, partner: string, kind: ChangeKind): OrderRequest => ({
             requestId: name,
             engineId: name,
--- a/packages/daisyturn/src/process/orders/__tests__/createOrderCommands.test.ts
+++ b/packages/daisyturn/src/process/orders/__tests__/createOrderCommands.test.ts
@@ -19,7 +19,7 @@
 };
 
 describe("createOrderCommands", () => {
-    it("takes a request once, tells what became of it, and refuses a second one meanwhile", async () => {
+    it("records a request once, returns its state when repeated, and refuses a second one", async () => {
         const world = createOrderWorld({ checksFencingNumbers: true });
         const [one, other] = world.processes.map(process => process.commands);
         const [first, second] = await Promise.all([
@@ -44,7 +44,7 @@
             { holdKind: HoldKind.Drain, own: false, isAllowed: false },
         ]
     ) {
-        it(`${isAllowed ? "takes" : "refuses"} an order while ${own ? "its own" : "the other"} partner has a ${holdKind}`, async () => {
+        it(`${isAllowed ? "accepts" : "refuses"} a request while ${own ? "the same" : "another"} partner has a ${holdKind}`, async () => {
             const world = createOrderWorld({ checksFencingNumbers: true });
             await world.setHold(createHold(own ? "nyamata" : "jizdenka", "engine-1", holdKind), true);
             const answer = await world.processes[0]!.commands.requestOrder(newRequest);
@@ -53,7 +53,7 @@
         });
     }
 
-    it("shows what is withheld, and goes on after an operator has vouched for the end of the sender", async () => {
+    it("shows withheld orders, and continues after an operator has vouched for the end of the sender", async () => {
         const world = createOrderWorld({ checksFencingNumbers: false });
         await world.clock.advance(2_000);
         const holder = world.processes.find(one => one.leaseManager.current())!;
@@ -65,7 +65,11 @@
         await world.clock.advance(60_000);
         const shown = (await other.commands.listEngineOrders()).unwrapOr([]);
         assert.equal(shown[0]?.withheld?.reason, WithheldReason.SenderMayBeAlive);
-        assert.equal(other.gate.isOpen("engine-1"), true, "the engine serves on while a drain is in doubt");
+        assert.equal(
+            other.gate.isOpen("engine-1"),
+            true,
+            "the engine serves while it is uncertain whether a drain will arrive",
+        );
         assert.equal(world.engine.taken.length, 0);
         assert.ok((await other.commands.vouch(vouchFor(holder.identity.incarnation))).isOk);
         assert.ok(await world.advanceUntil(() => !world.orders().change, 60_000));
@@ -75,7 +79,7 @@
         await world.stop();
     });
 
-    it("does not let a run that is alive be vouched for", async () => {
+    it("rejects a vouch for the end of an incarnation that is alive", async () => {
         const world = createOrderWorld({ checksFencingNumbers: false });
         await world.clock.advance(2_000);
         const holder = world.processes.find(one => one.leaseManager.current())!;
--- a/packages/daisyturn/src/process/orders/__tests__/failingProcesses.test.ts
+++ b/packages/daisyturn/src/process/orders/__tests__/failingProcesses.test.ts
@@ -2,7 +2,7 @@
 import { raceOverSeeds } from "../__fixtures__/raceOverSeeds.js";
 
 describe("operators of both partners at one engine, while three calls fail in the processes", () => {
-    it("bring about no conflicting orders and override no hold", () =>
+    it("cause no conflicting orders and override no hold", () =>
         raceOverSeeds(300, seed => ({
             seed,
             checksFencingNumbers: seed % 2 === 0,
@@ -10,7 +10,7 @@
             faultCount: 3,
         })));
 
-    it("leave the engine as the naive version does", () =>
+    it("leave the engine in the state of the naive model", () =>
         raceOverSeeds(300, seed => ({
             seed,
             checksFencingNumbers: seed % 2 === 0,
--- a/packages/daisyturn/src/process/orders/controller.ts
+++ b/packages/daisyturn/src/process/orders/controller.ts
@@ -16,7 +16,7 @@
 export interface Controller {
     /** Runs until `signal` is aborted; sends orders only while the lease is held. */
     run(signal: AbortSignal): Promise<void>;
-    /** Requests a role change for the role planner. Resolves when it is recorded; `changesUnderWay` lists it from then on. */
+    /** Requests a role change for the role planner. Resolves when the request is recorded. */
     requestRoleChange(engineId: string, role: EngineRole): Promise<Result<OrderRequest, Failure>>;
     /** Changes in progress or withheld, as of the last overview of the rows; empty without the lease. */
     changesUnderWay(): readonly ChangeUnderWay[];
--- a/packages/daisyturn/src/process/orders/createOrderCommands.ts
+++ b/packages/daisyturn/src/process/orders/createOrderCommands.ts
@@ -49,7 +49,7 @@
 export interface OrderCommands {
     /** Lists the engines for which the store has an order or a request. */
     listEngineOrders(): Promise<Result<readonly EngineOrdersView[], Failure>>;
-    /** Records a request for the controller. Fails with Conflict if the change is not allowed or another request is open. */
+    /** Records a request for the controller. Fails with Conflict if it is not allowed or another request is open. */
     requestOrder(newRequest: NewOrderRequest): Promise<Result<OrderRequest, Failure>>;
     /**
      * Records an operator's confirmation that an incarnation of a process has ended. Fails with NotFound unless an open
--- a/packages/daisyturn/src/process/orders/rows/__tests__/createOrderRecords.test.ts
+++ b/packages/daisyturn/src/process/orders/rows/__tests__/createOrderRecords.test.ts
@@ -10,7 +10,7 @@
 
 const fencingKey = "lease/test";
 
-/** Records with a lease that is held at the fencing row's version 1. */
+/** Creates the records and a lease that is held at version 1 of the fencing row. */
 async function createRecordsRig() {
     const clock = new FakeClock();
     const table = createMemoryTableService({ initialRows: [{ key: fencingKey, value: {} }] });
@@ -50,7 +50,7 @@
 }
 
 describe("createOrderRecords", () => {
-    it("writes under the lease, on the rows that were read", async () => {
+    it("writes under the lease if the rows are unchanged since they were read", async () => {
         const { write } = await createRecordsRig();
         assert.ok(await write(true));
     });
@@ -73,7 +73,7 @@
         });
     }
 
-    it("returns an engine to service also while a configuration is accepted", async () => {
+    it("commits a return to service after a configuration has been accepted", async () => {
         const { overwrite, write } = await createRecordsRig();
         await overwrite(headKey);
         assert.ok(await write(false));
--- a/packages/daisyturn/src/process/orders/rows/publishCallStatuses.ts
+++ b/packages/daisyturn/src/process/orders/rows/publishCallStatuses.ts
@@ -47,11 +47,11 @@
     return true;
 }
 
-/** Returns the row with the statement, or undefined if the order is neither open nor doubtful in the row. */
+/** Returns the row with the statement, or undefined if the order is neither open nor doubtful in it. */
 function addStatement(orders: EngineOrders, orderId: string, callStatus: OrderCallStatus): EngineOrders | undefined {
     const { last, doubtful } = orders;
-    // Also written if the order is only planned: the new version of the row makes the write that would mark the order as
-    // sent fail, if that write has not reached the store yet.
+    // Also written if the order is only planned: due to the new version of the row, a write that would mark the order as
+    // sent fails if it has not reached the store yet.
     if (isOrderOpen(last) && last.order.orderId === orderId) {
         return { ...orders, last: withStatement(last, callStatus) };
     }
--- a/packages/daisyturn/src/process/orders/sending/createOrderSender.ts
+++ b/packages/daisyturn/src/process/orders/sending/createOrderSender.ts
@@ -35,8 +35,8 @@
     };
 
     const send = async (lease: Lease, engine: Engine, order: EngineOrder) => {
-        // Nothing is awaited between this check and the call. The process may still be paused between them or during the
-        // call; fencing numbers and the wait for proof that the sender has ended cover that case.
+        // Nothing is awaited between this check and the call. The process may still be paused between them or during
+        // the call; fencing numbers and the wait for proof that the sender has ended cover that case.
         if (!lease.isHeld() || getCallStatus(order.orderId) !== OrderCallStatus.NotSent) {
             return;
         }
--- a/packages/daisyturn/src/process/orders/steps/createDoubtfulOrderResolver.ts
+++ b/packages/daisyturn/src/process/orders/steps/createDoubtfulOrderResolver.ts
@@ -17,7 +17,7 @@
     resolve(tenure: ControllerTenure, rows: EngineRows, doubtful: OrderRecord): Promise<StepResult>;
 }
 
-/** Creates the doubtfulOrderResolver of one process. */
+/** Creates the resolver of one process. */
 export function createDoubtfulOrderResolver(
     context: OrderContext,
     settler: OrderSettler,
--- a/packages/daisyturn/src/process/orders/steps/createEngineQuiescer.ts
+++ b/packages/daisyturn/src/process/orders/steps/createEngineQuiescer.ts
@@ -8,7 +8,7 @@
     keepClosed(engineId: string, changeId: string): void;
     /**
      * Whether this process and every live peer have no call in flight at the engine. A peer that does not answer counts
-     * as busy for 5 s.
+     * as busy until the silence limit has passed.
      */
     isIdle(engineId: string, changeId: string): boolean;
     /** Reopens the engine in this process and at all peers. */
--- a/packages/daisyturn/src/process/orders/steps/planNextStep.ts
+++ b/packages/daisyturn/src/process/orders/steps/planNextStep.ts
@@ -48,7 +48,7 @@
     readonly isConfigurationCurrent: boolean;
 }
 
-/** Number of orders of the change's own kind that are sent before the change is abandoned. */
+/** Maximum number of orders of the change's own kind; after that many the change is abandoned. */
 const maxAttempts = 3;
 
 const waitStep: WaitStep = { kind: StepKind.Wait };
