--- a/packages/daisyturn/src/process/orders/__tests__/createOrderCommands.test.ts
+++ b/packages/daisyturn/src/process/orders/__tests__/createOrderCommands.test.ts
@@ -44,7 +44,7 @@
             { holdKind: HoldKind.Drain, own: false, isAllowed: false },
         ]
     ) {
-        it(`${isAllowed ? "accepts" : "refuses"} a request while ${own ? "the same" : "another"} partner has a ${holdKind}`, async () => {
+        it(`${isAllowed ? "takes" : "refuses"} a request while ${own ? "the same" : "another"} partner has a ${holdKind}`, async () => {
             const world = createOrderWorld({ checksFencingNumbers: true });
             await world.setHold(createHold(own ? "nyamata" : "jizdenka", "engine-1", holdKind), true);
             const answer = await world.processes[0]!.commands.requestOrder(newRequest);
--- a/packages/daisyturn/src/process/orders/rows/publishCallStatuses.ts
+++ b/packages/daisyturn/src/process/orders/rows/publishCallStatuses.ts
@@ -50,8 +50,8 @@
 /** Returns the row with the statement, or undefined if the order is neither open nor doubtful in it. */
 function addStatement(orders: EngineOrders, orderId: string, callStatus: OrderCallStatus): EngineOrders | undefined {
     const { last, doubtful } = orders;
-    // Also written if the order is only planned: due to the new version of the row, a write that would mark the order as
-    // sent fails if it has not reached the store yet.
+    // Also written if the order is only planned: the row then has a new version, so that a write that would mark the
+    // order as sent fails if it has not reached the store yet.
     if (isOrderOpen(last) && last.order.orderId === orderId) {
         return { ...orders, last: withStatement(last, callStatus) };
     }
