--- a/packages/daisyturn/src/process/orders/__tests__/createOrderCommands.test.ts
+++ b/packages/daisyturn/src/process/orders/__tests__/createOrderCommands.test.ts
@@ -19,7 +19,7 @@
 };
 
 describe("createOrderCommands", () => {
-    it("records a request once, returns its state when repeated, and refuses a second one", async () => {
+    it("records a request once, returns its state if repeated, and refuses a second while one is open", async () => {
         const world = createOrderWorld({ checksFencingNumbers: true });
         const [one, other] = world.processes.map(process => process.commands);
         const [first, second] = await Promise.all([
--- a/packages/daisyturn/src/process/orders/controller.ts
+++ b/packages/daisyturn/src/process/orders/controller.ts
@@ -16,7 +16,10 @@
 export interface Controller {
     /** Runs until `signal` is aborted; sends orders only while the lease is held. */
     run(signal: AbortSignal): Promise<void>;
-    /** Requests a role change for the role planner. Resolves when the request is recorded. */
+    /**
+     * Requests a role change for the role planner. Resolves when the request is recorded; `changesUnderWay` can list
+     * the change from then on.
+     */
     requestRoleChange(engineId: string, role: EngineRole): Promise<Result<OrderRequest, Failure>>;
     /** Changes in progress or withheld, as of the last overview of the rows; empty without the lease. */
     changesUnderWay(): readonly ChangeUnderWay[];
--- a/packages/daisyturn/src/process/orders/createController.ts
+++ b/packages/daisyturn/src/process/orders/createController.ts
@@ -44,7 +44,7 @@
     const settings = { ...defaultControllerSettings, ...options.settings };
     const vouched = new Set<string>();
     const startedLoads = new Map<string | undefined, number>();
-    let changesInProgress: readonly ChangeUnderWay[] = [];
+    let changesUnderWay: readonly ChangeUnderWay[] = [];
     let tenureEnd: AbortController | undefined;
     let work: Promise<void> = Promise.resolve();
 
@@ -67,7 +67,7 @@
             const lease = leaseManager.current();
             if (lease) {
                 tenureEnd = new AbortController();
-                work = workDuring(createControllerTenure(lease, tenureEnd.signal), publishingEnd.signal);
+                work = runTenure(createControllerTenure(lease, tenureEnd.signal), publishingEnd.signal);
                 await work;
             }
             await clock.sleepUntil(clock.monotonicNow() + idleIntervalMilliseconds, signal);
@@ -76,7 +76,7 @@
     };
 
     /** Works until the tenure is over, then publishes the call statuses of its orders. */
-    const workDuring = async (tenure: ControllerTenure, publishingSignal: AbortSignal) => {
+    const runTenure = async (tenure: ControllerTenure, publishingSignal: AbortSignal) => {
         const tasks = new Map<string, Promise<void>>();
         while (!tenure.isOver()) {
             const overview = await records.readAll(clock.monotonicNow() + settings.callLimitMilliseconds);
@@ -86,7 +86,7 @@
             }
             await clock.sleepUntil(clock.monotonicNow() + settings.overviewIntervalMilliseconds, tenure.signal);
         }
-        changesInProgress = [];
+        changesUnderWay = [];
         context.quiescer.clear();
         await Promise.all(tasks.values());
         await publishCallStatuses(context, publishingSignal);
@@ -103,7 +103,7 @@
 
     const applyOverview = (overview: OrderOverview) => {
         overview.vouches.forEach(vouch => vouched.add(vouch.incarnation));
-        changesInProgress = overview.orders.flatMap(describeUnderWay);
+        changesUnderWay = overview.orders.flatMap(describeUnderWay);
     };
 
     const startTasks = (tenure: ControllerTenure, tasks: Map<string, Promise<void>>, overview: OrderOverview) => {
@@ -112,7 +112,7 @@
         const chosen = chooseRequests(overview.requests, {
             busyEngines: new Set([...tasks.keys(), ...unfinished]),
             freeChanges: settings.maxConcurrentChanges - unfinished.length,
-            freeLoads: settings.maxConcurrentLoads - changesInProgress.filter(isLoadUnderWay).length,
+            freeLoads: settings.maxConcurrentLoads - changesUnderWay.filter(isLoadUnderWay).length,
         }, loadShares);
         chosen.filter(isLoad).forEach(({ partner }) => startedLoads.set(partner, loadShares.started(partner) + 1));
         for (const engineId of [...unfinished, ...chosen.map(request => request.engineId)]) {
@@ -150,7 +150,7 @@
                 kind: OrderKind.ChangeRole,
                 role,
             }),
-        changesUnderWay: () => changesInProgress,
+        changesUnderWay: () => changesUnderWay,
     };
 }
 
--- a/packages/daisyturn/src/process/orders/createOrderCommands.ts
+++ b/packages/daisyturn/src/process/orders/createOrderCommands.ts
@@ -131,8 +131,10 @@
         if (overview.isErr) {
             return Result.err(overview.error);
         }
-        const isHoldingUp = overview.value.orders.some(orders => holdsUp(orders, newVouch.incarnation));
-        if (!isHoldingUp) {
+        const hasUnsettledOrder = overview.value.orders.some(orders =>
+            hasUnsettledOrderFrom(orders, newVouch.incarnation)
+        );
+        if (!hasUnsettledOrder) {
             const message = `no open order was sent by the run ${newVouch.incarnation}`;
             return Result.err(notRun(FailureReason.NotFound, message));
         }
@@ -159,7 +161,7 @@
     return { listEngineOrders, requestOrder, vouch, listVouches, showLease };
 }
 
-function holdsUp(orders: EngineOrders, incarnation: string): boolean {
+function hasUnsettledOrderFrom(orders: EngineOrders, incarnation: string): boolean {
     const open = [isOrderOpen(orders.last) ? orders.last : undefined, orders.doubtful];
     return open.some(record => record?.sender.incarnation === incarnation);
 }
