--- a/packages/daisyturn/src/process/orders/steps/createEngineQuiescer.ts
+++ b/packages/daisyturn/src/process/orders/steps/createEngineQuiescer.ts
@@ -1,6 +1,6 @@
 import type { Clock } from "daisyturn-utils";
 import { type Membership, PeerMethod, type PeerNetwork, type ProcessIdentity } from "../../peers/index.js";
-import { parseQuiesceAnswer, type QuiesceDemand, type TargetGate } from "../../targets/index.js";
+import { parseQuiesceAnswer, type QuiesceRequest, type TargetGate } from "../../targets/index.js";
 
 /** Prevents all entry VMs from sending new work to an engine while it is being changed. */
 export interface EngineQuiescer {
@@ -61,13 +61,13 @@
         }
         closing.renewedAt = now;
         targetGate.close(engineId, changeId, now + closingMilliseconds);
-        const demand = { engineId, orderId: changeId, forMilliseconds: closingMilliseconds };
-        membership.livePeers().forEach(peer => void requestQuiesce(peer, demand, closing));
+        const request = { engineId, orderId: changeId, forMilliseconds: closingMilliseconds };
+        membership.livePeers().forEach(peer => void requestQuiesce(peer, request, closing));
     };
 
-    const requestQuiesce = async (peer: ProcessIdentity, demand: QuiesceDemand, closing: Closing) => {
+    const requestQuiesce = async (peer: ProcessIdentity, request: QuiesceRequest, closing: Closing) => {
         const limit = clock.monotonicNow() + renewalMilliseconds;
-        const answer = await peerNetwork.request(peer.processId, PeerMethod.QuiesceEngine, { ...demand }, limit);
+        const answer = await peerNetwork.request(peer.processId, PeerMethod.QuiesceEngine, { ...request }, limit);
         const parsed = answer.isOk ? parseQuiesceAnswer(answer.value) : undefined;
         if (parsed) {
             closing.counts.set(peer.incarnation, parsed.inFlight);
