--- a/packages/daisyturn/src/process/orders/createController.ts
+++ b/packages/daisyturn/src/process/orders/createController.ts
@@ -11,14 +11,13 @@
 import { type ControllerSettings, defaultControllerSettings, type OrderContext } from "./orderContext.js";
 import type { OrderOverview, OrderRecords } from "./rows/createOrderRecords.js";
 import { type EngineOrders, isOrderOpen } from "./rows/orderRows.js";
-import { stateFates } from "./rows/stateFates.js";
+import { publishCallStatuses } from "./rows/publishCallStatuses.js";
 import { createOrderSender } from "./sending/createOrderSender.js";
 import { serveEngine } from "./serveEngine.js";
 import { chooseRequests, isLoad } from "./steps/chooseRequests.js";
 import { createChangeDriver } from "./steps/createChangeDriver.js";
 import { createEngineQuiescer } from "./steps/createEngineQuiescer.js";
 
-/** What a controller is made of. */
 export interface ControllerOptions {
     readonly self: ProcessIdentity;
     readonly leaseManager: LeaseManager;
@@ -36,7 +35,7 @@
     readonly settings?: Partial<ControllerSettings>;
 }
 
-/** How often a process without the lease looks whether it has got it. */
+/** Interval at which a process without the lease checks whether it holds it. */
 const idleIntervalMilliseconds = 100;
 
 /** Creates the controller of one process; it does nothing before `run`. */
@@ -44,8 +43,8 @@
     const { leaseManager, records, clock, eventLog } = options;
     const settings = { ...defaultControllerSettings, ...options.settings };
     const vouched = new Set<string>();
-    const loadsBegun = new Map<string | undefined, number>();
-    let underWay: readonly ChangeUnderWay[] = [];
+    const startedLoads = new Map<string | undefined, number>();
+    let changesUnderWay: readonly ChangeUnderWay[] = [];
     let tenureEnd: AbortController | undefined;
     let work: Promise<void> = Promise.resolve();
 
@@ -59,60 +58,63 @@
     const driver = createChangeDriver(context);
 
     const run = async (signal: AbortSignal) => {
-        const tellingEnd = new AbortController();
+        const publishingEnd = new AbortController();
         signal.addEventListener("abort", () => {
             tenureEnd?.abort();
-            void endTelling(tellingEnd);
+            void endPublishing(publishingEnd);
         }, { once: true });
         while (!signal.aborted) {
             const lease = leaseManager.current();
             if (lease) {
                 tenureEnd = new AbortController();
-                work = workUnder(createControllerTenure(lease, tenureEnd.signal), tellingEnd.signal);
+                work = runTenure(createControllerTenure(lease, tenureEnd.signal), publishingEnd.signal);
                 await work;
             }
             await clock.sleepUntil(clock.monotonicNow() + idleIntervalMilliseconds, signal);
         }
-        tellingEnd.abort();
+        publishingEnd.abort();
     };
 
-    /** Works until the tenure is over, then tells what became of its orders. */
-    const workUnder = async (tenure: ControllerTenure, tellingSignal: AbortSignal) => {
+    /** Works until the tenure is over, then publishes the call statuses of its orders. */
+    const runTenure = async (tenure: ControllerTenure, publishingSignal: AbortSignal) => {
         const tasks = new Map<string, Promise<void>>();
         while (!tenure.isOver()) {
             const overview = await records.readAll(clock.monotonicNow() + settings.callLimitMilliseconds);
             if (overview.isOk && !tenure.isOver()) {
-                takeIn(overview.value);
+                applyOverview(overview.value);
                 startTasks(tenure, tasks, overview.value);
             }
             await clock.sleepUntil(clock.monotonicNow() + settings.overviewIntervalMilliseconds, tenure.signal);
         }
-        underWay = [];
-        context.quiescer.forgetAll();
+        changesUnderWay = [];
+        context.quiescer.clear();
         await Promise.all(tasks.values());
-        await stateFates(context, tellingSignal);
+        await publishCallStatuses(context, publishingSignal);
     };
 
-    /** Telling is worth a short wait when the process stops, and any wait while it runs on without the lease. */
-    const endTelling = async (tellingEnd: AbortController) => {
-        await clock.sleepUntil(clock.monotonicNow() + settings.callLimitMilliseconds, tellingEnd.signal);
-        tellingEnd.abort();
+    /**
+     * Ends the publishing of call statuses after one call limit when the process stops. While the process continues to
+     * run without the lease, publishing is not limited in time.
+     */
+    const endPublishing = async (publishingEnd: AbortController) => {
+        await clock.sleepUntil(clock.monotonicNow() + settings.callLimitMilliseconds, publishingEnd.signal);
+        publishingEnd.abort();
     };
 
-    const takeIn = (overview: OrderOverview) => {
+    const applyOverview = (overview: OrderOverview) => {
         overview.vouches.forEach(vouch => vouched.add(vouch.incarnation));
-        underWay = overview.orders.flatMap(describeUnderWay);
+        changesUnderWay = overview.orders.flatMap(describeUnderWay);
     };
 
     const startTasks = (tenure: ControllerTenure, tasks: Map<string, Promise<void>>, overview: OrderOverview) => {
-        // Half-done work goes first and is not limited: it may be an engine that is out of service.
+        // Unfinished changes come first and are not limited, since their engines may be out of service.
         const unfinished = overview.orders.filter(isUnfinished).map(orders => orders.engineId);
         const chosen = chooseRequests(overview.requests, {
             busyEngines: new Set([...tasks.keys(), ...unfinished]),
-            freeChanges: settings.maximumConcurrentChanges - unfinished.length,
-            freeLoads: settings.maximumConcurrentLoads - underWay.filter(isLoadUnderWay).length,
-        }, ledger);
-        chosen.filter(isLoad).forEach(({ partner }) => loadsBegun.set(partner, ledger.begun(partner) + 1));
+            freeChanges: settings.maxConcurrentChanges - unfinished.length,
+            freeLoads: settings.maxConcurrentLoads - changesUnderWay.filter(isLoadUnderWay).length,
+        }, loadShares);
+        chosen.filter(isLoad).forEach(({ partner }) => startedLoads.set(partner, loadShares.started(partner) + 1));
         for (const engineId of [...unfinished, ...chosen.map(request => request.engineId)]) {
             if (!tasks.has(engineId)) {
                 tasks.set(engineId, runTask(tenure, engineId).finally(() => tasks.delete(engineId)));
@@ -125,13 +127,13 @@
             await serveEngine(context, driver, tenure, engineId);
         }
         catch (error) {
-            // A row that can't be read, for one: the other engines' orders go on, and this one is tried again.
+            // For example, a row that can't be parsed. Other engines are not affected, and this one is retried.
             eventLog.record(EventKind.Fault, { engine: engineId, reason: String(error) });
         }
     };
 
-    const ledger = {
-        begun: (partner: string | undefined) => loadsBegun.get(partner) ?? 0,
+    const loadShares = {
+        started: (partner: string | undefined) => startedLoads.get(partner) ?? 0,
         weight: (partner: string | undefined) =>
             partner === undefined ? 1 : options.configurationManager.current().shareWeight(partner),
     };
@@ -148,7 +150,7 @@
                 kind: OrderKind.ChangeRole,
                 role,
             }),
-        changesUnderWay: () => underWay,
+        changesUnderWay: () => changesUnderWay,
     };
 }
 
--- a/packages/daisyturn/src/process/orders/index.ts
+++ b/packages/daisyturn/src/process/orders/index.ts
@@ -1,5 +1,6 @@
 /**
- * Changes of engines under the lease, recorded before they are sent and settled after.
+ * The controller: sends orders to engines while it holds the lease, records each order before it is sent and settles
+ * it afterwards.
  *
  * @module
  */
@@ -10,4 +11,4 @@
 export * from "./orderContext.js";
 export * from "./rows/createOrderRecords.js";
 export * from "./rows/orderRows.js";
-export * from "./steps/judgeChangeGoal.js";
+export * from "./steps/evaluateChangeGoal.js";
--- a/packages/daisyturn/src/process/orders/rows/orderEffect.ts
+++ b/packages/daisyturn/src/process/orders/rows/orderEffect.ts
@@ -1,25 +1,25 @@
 import { type EngineOrder, EnginePhase, type EngineState, OrderKind } from "../../../ports/engine.js";
 import type { OrderRecord } from "./orderRows.js";
 
-/** What an engine's state says of an order that it has been given. */
+/** Progress of an order that an engine has received, as shown by the engine's state. */
 export enum OrderProgress {
     Pending = "pending",
     Done = "done",
-    /** The engine restarted, or stopped partway: the order is lost. */
+    /** The engine restarted, or stopped during the change: the order will not be completed. */
     Lost = "lost",
 }
 
-/** Whether the engine is what the order wants it to be. */
-export function isInPlace(order: Pick<EngineOrder, "kind" | "role" | "artifact">, state: EngineState): boolean {
-    switch (order.kind) {
+/** Whether the engine is in the state that an order is to bring about. */
+export function isGoalReached(goal: Pick<EngineOrder, "kind" | "role" | "artifact">, state: EngineState): boolean {
+    switch (goal.kind) {
         case OrderKind.ChangeRole:
-            return state.role === order.role;
+            return state.role === goal.role;
         case OrderKind.LoadModel:
-            return state.models.includes(order.artifact ?? "");
+            return state.models.includes(goal.artifact ?? "");
         case OrderKind.LoadAdapter:
-            return state.adapters.includes(order.artifact ?? "");
+            return state.adapters.includes(goal.artifact ?? "");
         case OrderKind.LoadVersion:
-            return state.version === order.artifact;
+            return state.version === goal.artifact;
         case OrderKind.Drain:
             return state.draining;
         case OrderKind.Resume:
@@ -27,12 +27,12 @@
     }
 }
 
-/** Judges an order that the engine has accepted, by the engine's own view. */
-export function judgeProgress(record: OrderRecord, state: EngineState): OrderProgress {
+/** Determines the progress of an order that the engine has accepted from the state that the engine reports. */
+export function determineProgress(record: OrderRecord, state: EngineState): OrderProgress {
     if (state.phase === EnginePhase.Changing) {
         return OrderProgress.Pending;
     }
-    if (state.phase === EnginePhase.Serving && isInPlace(record.order, state)) {
+    if (state.phase === EnginePhase.Serving && isGoalReached(record.order, state)) {
         return OrderProgress.Done;
     }
     const isForgotten = state.lastOrderId !== record.order.orderId;
