--- a/packages/daisyturn/src/process/orders/__tests__/controller.test.ts
+++ b/packages/daisyturn/src/process/orders/__tests__/controller.test.ts
@@ -9,7 +9,7 @@
     it("drains, changes the role and returns the engine to service", async () => {
         const world = createOrderWorld({ checksFencingNumbers: true });
         await world.clock.advance(2_000);
-        world.engine.takeWork(4_000);
+        world.engine.startWork(4_000);
         const answer = await world.processes[1]!.controller.requestRoleChange("engine-1", EngineRole.Decode);
         assert.ok(answer.isOk);
         assert.ok(await world.advanceUntil(() => world.request()?.state === OrderRequestState.Done, 20_000));
@@ -23,7 +23,7 @@
         await world.stop();
     });
 
-    it("waits for what an entry VM has under way at the engine, also where the engine itself shows none", async () => {
+    it("waits for calls of an entry VM in flight at the engine, even if the engine itself reports none", async () => {
         const world = createOrderWorld({ checksFencingNumbers: true });
         await world.clock.advance(2_000);
         const [one, other] = world.processes;
@@ -37,7 +37,7 @@
         await world.stop();
     });
 
-    it("does not wait for ever for an entry VM that does not answer", async () => {
+    it("does not wait indefinitely for an entry VM that does not answer", async () => {
         const world = createOrderWorld({ checksFencingNumbers: true });
         await world.clock.advance(2_000);
         world.peers.cutBoth("p1", "p2");
@@ -46,10 +46,10 @@
         await world.stop();
     });
 
-    it("gives a change up rather than cut a stream that does not end", async () => {
+    it("abandons a change rather than cut a stream that does not end", async () => {
         const world = createOrderWorld({ checksFencingNumbers: true });
         await world.clock.advance(2_000);
-        world.engine.takeWork(60_000);
+        world.engine.startWork(60_000);
         await world.processes[0]!.controller.requestRoleChange("engine-1", EngineRole.Decode);
         assert.ok(await world.advanceUntil(() => world.request()?.state === OrderRequestState.Failed, 40_000));
         const state = world.engine.state();
@@ -60,7 +60,7 @@
 });
 
 describe("chooseRequests", () => {
-    it("shares loads by weight and keeps the order of arrival otherwise", () => {
+    it("shares loads by weight and otherwise keeps the order of arrival", () => {
         const request = (name: string, partner: string, kind: ChangeKind): OrderRequest => ({
             requestId: name,
             engineId: name,
@@ -79,7 +79,7 @@
         ];
         const choose = (freeChanges: number, freeLoads: number) =>
             chooseRequests(requests, { busyEngines: new Set(["a2"]), freeChanges, freeLoads }, {
-                begun: () => 0,
+                started: () => 0,
                 weight: partner => partner === "nyamata" ? 1 : 3,
             }).map(one => one.requestId);
         assert.deepEqual(choose(9, 9), ["a1", "b1", "a3", "b2"]);
--- a/packages/daisyturn/src/process/orders/createOrderCommands.ts
+++ b/packages/daisyturn/src/process/orders/createOrderCommands.ts
@@ -15,11 +15,11 @@
     OrderRequestState,
     type Vouch,
 } from "./rows/orderRows.js";
-import { judgeChangeGoal } from "./steps/judgeChangeGoal.js";
+import { evaluateChangeGoal } from "./steps/evaluateChangeGoal.js";
 
-/** What is asked of an engine, and by whom. */
-export interface OrderWish extends ChangeGoal {
-    /** Chosen by the one who asks; asking again with the same id tells what became of it and changes nothing. */
+/** A change requested for an engine, with its requester. */
+export interface NewOrderRequest extends ChangeGoal {
+    /** Chosen by the requester; a repeated request with the same id returns the recorded one and changes nothing. */
     readonly requestId: string;
     readonly engineId: string;
     /** Absent for the role planner. */
@@ -27,38 +27,40 @@
     readonly operator?: string;
 }
 
-/** Orders of one engine, as operators see them. */
+/** Orders of one engine, as shown to operators. */
 export interface EngineOrdersView extends EngineOrders {
     readonly request?: OrderRequest;
 }
 
-/** An operator's word that a process run has ended. */
-export interface VouchWish {
+/** An operator's confirmation that an incarnation of a process has ended. */
+export interface NewVouch {
     readonly incarnation: string;
     readonly partner: string;
     readonly operator: string;
     readonly note: string;
 }
 
-/** Who holds the controller lease. */
+/** Holder and fencing number of the controller lease. */
 export interface LeaseView extends FencingValue {
     readonly name: string;
 }
 
-/** What operators can ask about orders, at any entry VM. */
+/** Commands on orders that operators can run at any entry VM. */
 export interface OrderCommands {
-    /** Engines of which the store has any order or request. */
+    /** Lists the engines for which the store has an order or a request. */
     listEngineOrders(): Promise<Result<readonly EngineOrdersView[], Failure>>;
-    /** Records a request for the controller. Conflict: a hold stands against it, or another request is open. */
-    requestOrder(wish: OrderWish): Promise<Result<OrderRequest, Failure>>;
-    /** Records that an operator answers for the end of a process run; only one that holds up an engine can be named. */
-    vouch(wish: VouchWish): Promise<Result<Vouch, Failure>>;
+    /** Records a request for the controller. Fails with Conflict if it is not allowed or another request is open. */
+    requestOrder(newRequest: NewOrderRequest): Promise<Result<OrderRequest, Failure>>;
+    /**
+     * Records an operator's confirmation that an incarnation of a process has ended. Fails with NotFound unless an open
+     * or doubtful order was sent by that incarnation, and with Conflict while it is alive.
+     */
+    vouch(newVouch: NewVouch): Promise<Result<Vouch, Failure>>;
     listVouches(): Promise<Result<readonly Vouch[], Failure>>;
-    /** NotFound before the first holder. */
+    /** Fails with NotFound before the lease is first held. */
     showLease(): Promise<Result<LeaseView, Failure>>;
 }
 
-/** What the commands need. */
 export interface OrderCommandsOptions {
     readonly records: OrderRecords;
     readonly leaseName: string;
@@ -67,7 +69,7 @@
     readonly configurationManager: ConfigurationManager;
     readonly clock: Clock;
     readonly callLimitMilliseconds?: number;
-    /** How long a request may wait for the controller to begin with it. */
+    /** How long a request may wait for the controller to start it. */
     readonly beginLimitMilliseconds?: number;
 }
 
@@ -94,50 +96,52 @@
         });
     };
 
-    const requestOrder = async (wish: OrderWish): Promise<Result<OrderRequest, Failure>> => {
+    const requestOrder = async (newRequest: NewOrderRequest): Promise<Result<OrderRequest, Failure>> => {
         const deadline = limit();
-        const rows = await records.readEngine(wish.engineId, deadline);
+        const rows = await records.readEngine(newRequest.engineId, deadline);
         if (rows.isErr) {
             return Result.err(rows.error);
         }
         const { request: present } = rows.value;
-        if (present?.requestId === wish.requestId) {
-            return present.partner === wish.partner
+        if (present?.requestId === newRequest.requestId) {
+            return present.partner === newRequest.partner
                 ? Result.ok(present)
                 : Result.err(conflict("the request id is another partner's"));
         }
         if (isRequestOpen(present)) {
-            return Result.err(conflict(`${describeOwner(present)} has an order for ${wish.engineId} under way`));
+            return Result.err(conflict(`${describeOwner(present)} has an order for ${newRequest.engineId} under way`));
         }
-        const objection = judgeChangeGoal(wish, configurationManager.current());
-        if (objection !== undefined) {
-            return Result.err(conflict(objection));
+        const refusalReason = evaluateChangeGoal(newRequest, configurationManager.current());
+        if (refusalReason !== undefined) {
+            return Result.err(conflict(refusalReason));
         }
-        const request = createRequest(wish);
+        const request = createRequest(newRequest);
         const answer = await records.writeRequest(request, rows.value, deadline);
-        return toResult(answer, request, `another request for ${wish.engineId} came first`);
+        return toResult(answer, request, `another request for ${newRequest.engineId} came first`);
     };
 
-    const createRequest = (wish: OrderWish): OrderRequest => {
+    const createRequest = (newRequest: NewOrderRequest): OrderRequest => {
         const now = clock.wallNow();
-        return { ...wish, state: OrderRequestState.Requested, requestedAt: now, deadline: now + beginLimit };
+        return { ...newRequest, state: OrderRequestState.Requested, requestedAt: now, deadline: now + beginLimit };
     };
 
-    const vouch = async (wish: VouchWish): Promise<Result<Vouch, Failure>> => {
+    const vouch = async (newVouch: NewVouch): Promise<Result<Vouch, Failure>> => {
         const deadline = limit();
         const overview = await records.readAll(deadline);
         if (overview.isErr) {
             return Result.err(overview.error);
         }
-        const isHoldingUp = overview.value.orders.some(orders => holdsUp(orders, wish.incarnation));
-        if (!isHoldingUp) {
-            const message = `no open order was sent by the run ${wish.incarnation}`;
+        const hasUnsettledOrder = overview.value.orders.some(orders =>
+            hasUnsettledOrderFrom(orders, newVouch.incarnation)
+        );
+        if (!hasUnsettledOrder) {
+            const message = `no open order was sent by the run ${newVouch.incarnation}`;
             return Result.err(notRun(FailureReason.NotFound, message));
         }
-        if (membership.livePeers().some(peer => peer.incarnation === wish.incarnation)) {
-            return Result.err(conflict(`the run ${wish.incarnation} is alive: it was heard from just now`));
+        if (membership.livePeers().some(peer => peer.incarnation === newVouch.incarnation)) {
+            return Result.err(conflict(`the run ${newVouch.incarnation} is alive: it was heard from just now`));
         }
-        const recorded: Vouch = { ...wish, vouchedAt: clock.wallNow() };
+        const recorded: Vouch = { ...newVouch, vouchedAt: clock.wallNow() };
         return toResult(await records.writeVouch(recorded, deadline), recorded, "the vouch was rejected");
     };
 
@@ -157,7 +161,7 @@
     return { listEngineOrders, requestOrder, vouch, listVouches, showLease };
 }
 
-function holdsUp(orders: EngineOrders, incarnation: string): boolean {
+function hasUnsettledOrderFrom(orders: EngineOrders, incarnation: string): boolean {
     const open = [isOrderOpen(orders.last) ? orders.last : undefined, orders.doubtful];
     return open.some(record => record?.sender.incarnation === incarnation);
 }
--- a/packages/daisyturn/src/process/orders/rows/__tests__/createOrderRecords.test.ts
+++ b/packages/daisyturn/src/process/orders/rows/__tests__/createOrderRecords.test.ts
@@ -10,7 +10,7 @@
 
 const fencingKey = "lease/test";
 
-/** Records with a lease that is held at the fencing row's version 1. */
+/** Creates the records and a lease that is held at version 1 of the fencing row. */
 async function createRecordsRig() {
     const clock = new FakeClock();
     const table = createMemoryTableService({ initialRows: [{ key: fencingKey, value: {} }] });
@@ -37,9 +37,12 @@
     const rows = (await records.readEngine("engine-1", 1_000)).unwrapOr(undefined)!;
     const overwrite = (key: string) =>
         table.transact({ writeId: "other", conditions: [], writes: [{ key, value: {} }] }, 1_000);
-    const write = async (isBoundToConfiguration: boolean) => {
+    const write = async (requiresCurrentConfiguration: boolean) => {
         const orders = { engineId: "engine-1" };
-        const written = records.writeEngine(tenure, rows, { orders, isBoundToConfiguration });
+        const written = records.writeEngine(tenure, rows, {
+            orders,
+            requiresCurrentConfiguration,
+        });
         await clock.advance(1_000);
         return await written;
     };
@@ -47,30 +50,30 @@
 }
 
 describe("createOrderRecords", () => {
-    it("writes under the lease, on the rows that were read", async () => {
+    it("writes under the lease if the rows are unchanged since they were read", async () => {
         const { write } = await createRecordsRig();
         assert.ok(await write(true));
     });
 
     for (
-        const { name, key, isBoundToConfiguration } of [
-            { name: "the lease has been taken over", key: fencingKey, isBoundToConfiguration: false },
+        const { name, key, requiresCurrentConfiguration } of [
+            { name: "the lease has been taken over", key: fencingKey, requiresCurrentConfiguration: false },
             {
                 name: "the engine's row has changed",
                 key: engineOrdersKey("cell-1", "engine-1"),
-                isBoundToConfiguration: false,
+                requiresCurrentConfiguration: false,
             },
-            { name: "a configuration has been accepted", key: headKey, isBoundToConfiguration: true },
+            { name: "a configuration has been accepted", key: headKey, requiresCurrentConfiguration: true },
         ]
     ) {
         it(`writes nothing once ${name}`, async () => {
             const { overwrite, write } = await createRecordsRig();
             await overwrite(key);
-            assert.equal(await write(isBoundToConfiguration), undefined);
+            assert.equal(await write(requiresCurrentConfiguration), undefined);
         });
     }
 
-    it("returns an engine to service also while a configuration is accepted", async () => {
+    it("commits a return to service after a configuration has been accepted", async () => {
         const { overwrite, write } = await createRecordsRig();
         await overwrite(headKey);
         assert.ok(await write(false));
--- a/packages/daisyturn/src/process/orders/steps/planNextStep.ts
+++ b/packages/daisyturn/src/process/orders/steps/planNextStep.ts
@@ -1,29 +1,29 @@
 import { EnginePhase, type EngineState, OrderKind } from "../../../ports/engine.js";
-import { isInPlace } from "../rows/orderEffect.js";
+import { isGoalReached } from "../rows/orderEffect.js";
 import { ChangeStage, type EngineChange, OrderRequestState } from "../rows/orderRows.js";
 
-/** What to do next for a change. */
+/** Kind of the next step of a change. */
 export enum StepKind {
     Wait = "wait",
     Order = "order",
-    GiveUp = "give_up",
+    Abandon = "give_up",
     Finish = "finish",
 }
 
-/** Look again later. */
+/** Read the rows and the engine's state again later. */
 export interface WaitStep {
     readonly kind: StepKind.Wait;
 }
 
-/** Give this order. */
+/** Send an order of this kind. */
 export interface OrderStep {
     readonly kind: StepKind.Order;
     readonly order: OrderKind;
 }
 
-/** Return the engine to service without the change. */
-export interface GiveUpStep {
-    readonly kind: StepKind.GiveUp;
+/** Abandon the change and return the engine to service. */
+export interface AbandonStep {
+    readonly kind: StepKind.Abandon;
     readonly reason: string;
 }
 
@@ -34,46 +34,46 @@
     readonly reason?: string;
 }
 
-/** One of the steps. */
-export type NextStep = WaitStep | OrderStep | GiveUpStep | FinishStep;
+export type NextStep = WaitStep | OrderStep | AbandonStep | FinishStep;
 
-/** What decides beside the engine's state. */
+/** Conditions, besides the engine's state, on which the next step depends. */
 export interface ChangeCircumstances {
-    /** Why the change must not go on, if something has come up. */
-    readonly objection?: string;
-    /** Whether no entry VM has anything under way at the engine. */
-    readonly areEntryVmsQuiet: boolean;
-    /** Whether the time for the streams to end is over. */
-    readonly isDrainOver: boolean;
-    /** Whether the configuration in force here is the newest accepted one. */
+    /** Why the change must not be continued; undefined if it may. */
+    readonly refusalReason?: string;
+    /** Whether no entry VM has a call in flight at the engine. */
+    readonly areEntryVmsIdle: boolean;
+    /** Whether the time limit for the streams to end has passed. */
+    readonly isDrainTimeOver: boolean;
+    /** Whether the active configuration of this process is the newest accepted one. */
     readonly isConfigurationCurrent: boolean;
 }
 
-/** Times that an order is given anew after the engine lost it. */
-const maximumTries = 3;
+/** Maximum number of orders of the change's own kind; after that many the change is abandoned. */
+const maxAttempts = 3;
 
-const wait: WaitStep = { kind: StepKind.Wait };
+const waitStep: WaitStep = { kind: StepKind.Wait };
 
 /**
- * Decides from what the engine is now, not from what was done before: so a new holder of the lease goes on with a
- * half-done change by the same code, and an engine that restarts midway is met as it is.
+ * Determines the next step from the current state of the engine, not from earlier steps. A new holder of the lease can
+ * thus continue an unfinished change with the same code, and an engine that restarted in between is handled according
+ * to its actual state.
  */
 export function planNextStep(change: EngineChange, state: EngineState, circumstances: ChangeCircumstances): NextStep {
     if (state.phase === EnginePhase.Changing) {
-        return wait;
+        return waitStep;
     }
-    if (change.stage === ChangeStage.GivingUp) {
-        return returnToService(change, state);
+    if (change.stage === ChangeStage.Abandoning) {
+        return planReturnToService(change, state);
     }
-    if (isInPlace(change, state) && state.phase === EnginePhase.Serving) {
+    if (isGoalReached(change, state) && state.phase === EnginePhase.Serving) {
         return state.draining
             ? orderStep(OrderKind.Resume)
             : { kind: StepKind.Finish, outcome: OrderRequestState.Done };
     }
-    return findObstacle(change, circumstances) ?? approachChange(change, state, circumstances);
+    return findAbandonReason(change, circumstances) ?? planTowardsGoal(change, state, circumstances);
 }
 
-function returnToService(change: EngineChange, state: EngineState): NextStep {
+function planReturnToService(change: EngineChange, state: EngineState): NextStep {
     if (state.phase === EnginePhase.Stuck) {
         const reason = `${change.reason}; the engine stopped partway and is stuck`;
         return { kind: StepKind.Finish, outcome: OrderRequestState.Failed, reason };
@@ -84,22 +84,22 @@
     return { kind: StepKind.Finish, outcome: OrderRequestState.Failed, reason: change.reason };
 }
 
-function findObstacle(change: EngineChange, circumstances: ChangeCircumstances): GiveUpStep | undefined {
-    if (circumstances.objection !== undefined) {
-        return { kind: StepKind.GiveUp, reason: circumstances.objection };
+function findAbandonReason(change: EngineChange, circumstances: ChangeCircumstances): AbandonStep | undefined {
+    if (circumstances.refusalReason !== undefined) {
+        return { kind: StepKind.Abandon, reason: circumstances.refusalReason };
     }
-    if (change.tries >= maximumTries) {
-        return { kind: StepKind.GiveUp, reason: `the engine lost or refused the order ${change.tries} times` };
+    if (change.tries >= maxAttempts) {
+        return { kind: StepKind.Abandon, reason: `the engine lost or refused the order ${change.tries} times` };
     }
-    if (circumstances.isDrainOver) {
-        return { kind: StepKind.GiveUp, reason: "the engine was not free, or not changed, in time" };
+    if (circumstances.isDrainTimeOver) {
+        return { kind: StepKind.Abandon, reason: "the engine was not free, or not changed, in time" };
     }
     return undefined;
 }
 
-function approachChange(change: EngineChange, state: EngineState, circumstances: ChangeCircumstances): NextStep {
+function planTowardsGoal(change: EngineChange, state: EngineState, circumstances: ChangeCircumstances): NextStep {
     if (!circumstances.isConfigurationCurrent) {
-        return wait;
+        return waitStep;
     }
     if (state.phase === EnginePhase.Stuck) {
         return orderStep(change.kind);
@@ -107,10 +107,10 @@
     if (!state.draining) {
         return orderStep(OrderKind.Drain);
     }
-    return isDrained(state) && circumstances.areEntryVmsQuiet ? orderStep(change.kind) : wait;
+    return isDrained(state) && circumstances.areEntryVmsIdle ? orderStep(change.kind) : waitStep;
 }
 
-/** Whether an order would cut no stream: nothing runs, and the engine itself lets nothing in. */
+/** Whether an order would cut no stream: nothing is running or queued, and the engine accepts no new work. */
 export function isDrained(state: EngineState): boolean {
     const isClosed = state.draining || state.phase === EnginePhase.Stuck;
     return isClosed && state.runningStreams === 0 && state.queuedRequests === 0;
