--- a/packages/daisyturn/src/connection/forwarding/createForwardServer.ts
+++ b/packages/daisyturn/src/connection/forwarding/createForwardServer.ts
@@ -112,7 +112,7 @@
             refuseUnread(outgoing, exchange, body.error);
             return;
         }
-        const timeout = described.value.patienceMilliseconds ?? defaultTimeoutMilliseconds;
+        const timeout = described.value.callerTimeoutMilliseconds ?? defaultTimeoutMilliseconds;
         if (arrivedAt + timeout > endsAt) {
             const message = "This process is stopping; ask again elsewhere.";
             refuseCall(exchange, notRun(FailureReason.OutOfService, message, clock.wallNow()), clock);
--- a/packages/daisyturn/src/ports/forwardedCall.ts
+++ b/packages/daisyturn/src/ports/forwardedCall.ts
@@ -26,7 +26,7 @@
     /** Unique to one attempt of the caller. Targets echo it. */
     readonly callId: string;
     /** How long the caller waits, in milliseconds; undefined if it does not say. */
-    readonly patienceMilliseconds?: number;
+    readonly callerTimeoutMilliseconds?: number;
     readonly prompt?: PromptDescription;
     /** Identifier of the last event that the caller received of an answer that is to be continued. */
     readonly lastEventId?: string;
