--- a/packages/daisyturn/src/__fixtures__/__tests__/fakePeerNetwork.test.ts
+++ b/packages/daisyturn/src/__fixtures__/__tests__/fakePeerNetwork.test.ts
@@ -24,7 +24,7 @@
         assert.deepEqual((await ask(1)).unwrapOr({}), { from: "p1", number: 1 });
     });
 
-    it("loses requests on a cut way, and answers on a cut way back", async () => {
+    it("loses requests and answers in a direction that is cut", async () => {
         const { clock, networks, taken, ask } = createPair();
         for (const [from, to] of [["p1", "p2"], ["p2", "p1"]] as const) {
             networks.cut(from, to);
@@ -37,18 +37,18 @@
         assert.equal(taken.length, 1);
     });
 
-    it("fails with NotRun towards a process that has ended", async () => {
+    it("fails with NotRun if the process was removed", async () => {
         const { networks, ask } = createPair();
         networks.remove("p2");
         const result = await ask(1);
         assert.ok(result.isErr && result.error.verdict === ExecutionVerdict.NotRun);
     });
 
-    it("delays, loses and crosses answers", async () => {
+    it("delays, loses and reorders answers", async () => {
         const { clock, networks, taken, ask } = createPair();
         const order: number[] = [];
         networks.delay("p1", "p2", 30);
-        networks.crossAnswers("p2", "p1");
+        networks.reorderAnswers("p2", "p1");
         const both = [1, 2].map(number => ask(number).then(() => order.push(number)));
         await clock.advance(29);
         assert.deepEqual(taken, []);
--- a/packages/daisyturn/src/__fixtures__/eagerClock.ts
+++ b/packages/daisyturn/src/__fixtures__/eagerClock.ts
@@ -5,10 +5,10 @@
     readonly wake: () => void;
 }
 
-/** A clock that moves on to the next deadline by itself whenever all tasks wait. For tests that run many times. */
+/** A clock that advances to the next deadline whenever all tasks wait. For tests that run many times. */
 export class EagerClock extends Clock {
     private now = 0;
-    private isMoving = false;
+    private isScheduled = false;
     private readonly sleepers = new Set<Sleeper>();
 
     override monotonicNow(): number {
@@ -29,27 +29,27 @@
                 resolve();
             };
             const wake = () => {
-                // A task that sleeps again and again under one signal must not pile up listeners.
+                // Prevents listeners from accumulating when a task sleeps repeatedly with the same signal.
                 signal?.removeEventListener("abort", onAbort);
                 resolve();
             };
             const sleeper: Sleeper = { deadline, wake };
             this.sleepers.add(sleeper);
             signal?.addEventListener("abort", onAbort, { once: true });
-            this.move();
+            this.scheduleWake();
         });
     }
 
-    /** Wakes the next sleeper once all tasks that can run have run. */
-    private move(): void {
-        if (this.isMoving || this.sleepers.size === 0) {
+    /** Wakes the next sleeper after all runnable tasks have run. */
+    private scheduleWake(): void {
+        if (this.isScheduled || this.sleepers.size === 0) {
             return;
         }
-        this.isMoving = true;
+        this.isScheduled = true;
         setImmediate(() => {
-            this.isMoving = false;
+            this.isScheduled = false;
             this.wakeNext();
-            this.move();
+            this.scheduleWake();
         });
     }
 
--- a/packages/daisyturn/src/ports/http/operation.ts
+++ b/packages/daisyturn/src/ports/http/operation.ts
@@ -1,36 +1,36 @@
 import type { Clock } from "daisyturn-utils";
 
-/** Why an operation was stopped from this side. */
-export enum StopCause {
+/** Why this process aborted an operation. */
+export enum AbortReason {
     Cancelled = "cancelled",
     DeadlinePassed = "deadline_passed",
-    /** Nothing was heard from the target for too long. */
+    /** The target sent no data within the silence limit. */
     Silent = "silent",
 }
 
-/** One exchange with a target, from the first attempt to connect to the last byte of the answer. */
+/** One exchange with a target, from the first connection attempt to the last byte of the answer. */
 export interface Operation {
-    /** Aborted once the operation is stopped, for whatever cause. */
+    /** Aborted when the operation is stopped, for any cause. */
     readonly signal: AbortSignal;
-    /** The first cause; undefined while it runs. */
-    cause(): StopCause | undefined;
-    stop(cause: StopCause): void;
-    /** Notes that the target was heard. */
+    /** The first cause for which the operation was stopped; undefined if it was not stopped. */
+    cause(): AbortReason | undefined;
+    stop(cause: AbortReason): void;
+    /** Records that the target sent data, which restarts the silence limit. */
     recordActivity(): void;
-    /** Ends the timers; the signal stays as it is. */
+    /** Stops the timers. The signal does not change any more. */
     end(): void;
 }
 
-/** What limits an operation. Deadlines are monotonic times. */
+/** Limits of an operation. Deadlines are monotonic times. */
 export interface OperationOptions {
     readonly clock: Clock;
     readonly deadline: number;
     readonly signal?: AbortSignal;
-    /** Longest silence of the target; absent: only the deadline counts. */
+    /** Maximum time without data from the target; unlimited if absent. */
     readonly silenceLimitMilliseconds?: number;
 }
 
-/** Given to `abort`, which else builds an error with its stack. */
+/** Passed to `abort`, which would otherwise create an error with a stack trace. */
 const endedReason = "ended";
 
 /** Starts the timers of one operation. */
@@ -38,26 +38,26 @@
     const { clock, deadline } = options;
     const stopper = new AbortController();
     const timers = new AbortController();
-    let stopCause: StopCause | undefined;
-    let lastHeardAt = clock.monotonicNow();
+    let abortReason: AbortReason | undefined;
+    let lastActivityAt = clock.monotonicNow();
 
-    const stop = (cause: StopCause) => {
-        if (stopCause === undefined && !timers.signal.aborted) {
-            stopCause = cause;
+    const stop = (cause: AbortReason) => {
+        if (abortReason === undefined && !timers.signal.aborted) {
+            abortReason = cause;
             stopper.abort(new Error(cause));
         }
     };
-    const onCallerAbort = () => stop(StopCause.Cancelled);
+    const onCallerAbort = () => stop(AbortReason.Cancelled);
 
     const watchDeadline = async () => {
         await clock.sleepUntil(deadline, timers.signal);
-        stop(StopCause.DeadlinePassed);
+        stop(AbortReason.DeadlinePassed);
     };
     const watchSilence = async (limit: number) => {
-        while (!timers.signal.aborted && clock.monotonicNow() < lastHeardAt + limit) {
-            await clock.sleepUntil(lastHeardAt + limit, timers.signal);
+        while (!timers.signal.aborted && clock.monotonicNow() < lastActivityAt + limit) {
+            await clock.sleepUntil(lastActivityAt + limit, timers.signal);
         }
-        stop(StopCause.Silent);
+        stop(AbortReason.Silent);
     };
 
     if (options.signal?.aborted) {
@@ -71,10 +71,10 @@
 
     return {
         signal: stopper.signal,
-        cause: () => stopCause,
+        cause: () => abortReason,
         stop,
         recordActivity: () => {
-            lastHeardAt = clock.monotonicNow();
+            lastActivityAt = clock.monotonicNow();
         },
         end: () => {
             options.signal?.removeEventListener("abort", onCallerAbort);
--- a/packages/daisyturn/src/process/orders/rows/createOrderRecords.ts
+++ b/packages/daisyturn/src/process/orders/rows/createOrderRecords.ts
@@ -24,7 +24,7 @@
 } from "./orderRows.js";
 import { parseEngineOrders, parseOrderRequest, parseVouch } from "./parseOrderRows.js";
 
-/** What the store has on one engine, as of one moment. */
+/** Rows of one engine, read at one version of the store. */
 export interface EngineRows {
     readonly engineId: string;
     readonly orders: EngineOrders;
@@ -36,21 +36,21 @@
     readonly headVersion: number;
 }
 
-/** What the store has on all engines of the cell. */
+/** Rows about orders of all engines of the cell. */
 export interface OrderOverview {
     readonly orders: readonly EngineOrders[];
-    /** Requests in the order in which the store took them. */
+    /** Requests in the order in which the store committed them. */
     readonly requests: readonly OrderRequest[];
     readonly vouches: readonly Vouch[];
 }
 
-/** A write of the controller's to one engine's rows. */
+/** A write of the controller to the rows of one engine. */
 export interface EngineWrite {
     readonly orders: EngineOrders;
-    /** Left out: the request row stays as it is. */
+    /** If undefined, the request row is not written. */
     readonly request?: OrderRequest;
-    /** Whether the write must fail if a configuration was accepted that is not in force here. */
-    readonly isBoundToConfiguration?: boolean;
+    /** Whether the write must fail if a configuration has been accepted since the rows were read. */
+    readonly requiresCurrentConfiguration?: boolean;
 }
 
 /** Reads and writes the rows about orders. */
@@ -58,18 +58,17 @@
     readEngine(engineId: string, deadline: number): Promise<Result<EngineRows, Failure>>;
     readAll(deadline: number): Promise<Result<OrderOverview, Failure>>;
     /**
-     * Writes under the lease: refused if the lease has had another holder since, or if the rows have changed since they
-     * were read. Tries until the outcome is known or the tenure is over.
-     * @returns the rows as written, or undefined where nothing is known to be written
+     * Writes under the lease. The write is rejected if the lease has had another holder since, or if the rows have
+     * changed since they were read. Retries until the outcome is known or the tenure is over.
+     * @returns the rows as written, or undefined if the write is not known to be committed
      */
     writeEngine(tenure: ControllerTenure, rows: EngineRows, write: EngineWrite): Promise<EngineRows | undefined>;
-    /** Adds the sender's own word to its order's row, without the lease; refused if the row has changed. */
+    /** Adds the sender's own statement to the row of its order, without the lease; rejected if the row has changed. */
     writeStatement(rows: EngineRows, orders: EngineOrders, deadline: number): Promise<TransactionAnswer>;
     writeRequest(request: OrderRequest, rows: EngineRows, deadline: number): Promise<TransactionAnswer>;
     writeVouch(vouch: Vouch, deadline: number): Promise<TransactionAnswer>;
 }
 
-/** What the records need. */
 export interface OrderRecordsOptions {
     readonly cell: string;
     readonly storeClient: StoreClient;
@@ -77,8 +76,8 @@
     readonly ids: IdSource;
 }
 
-/** Longest time for one try of a write under the lease. */
-const writeLimitMilliseconds = 2_000;
+/** Time limit of one attempt to write under the lease. */
+const maxWriteMilliseconds = 2_000;
 const retryMilliseconds = 200;
 
 /** Creates the access to a cell's rows about orders. */
@@ -109,19 +108,19 @@
     const readAll = async (deadline: number): Promise<Result<OrderOverview, Failure>> => {
         const answer = await storeClient.list(orderPrefix(cell), StorePriority.Other, deadline);
         return answer.map(rows => ({
-            orders: select(rows, engineOrdersKey(cell, ""), parseEngineOrders),
-            requests: select(byVersion(rows), orderRequestKey(cell, ""), parseOrderRequest),
-            vouches: select(rows, vouchKey(cell, ""), parseVouch),
+            orders: parseRowsWithPrefix(rows, engineOrdersKey(cell, ""), parseEngineOrders),
+            requests: parseRowsWithPrefix(sortByVersion(rows), orderRequestKey(cell, ""), parseOrderRequest),
+            vouches: parseRowsWithPrefix(rows, vouchKey(cell, ""), parseVouch),
         }));
     };
 
     const writeEngine = async (tenure: ControllerTenure, rows: EngineRows, write: EngineWrite) => {
-        const transaction = engineTransaction(tenure, rows, write);
+        const transaction = createEngineTransaction(tenure, rows, write);
         while (!tenure.isOver()) {
-            const limit = clock.monotonicNow() + writeLimitMilliseconds;
+            const limit = clock.monotonicNow() + maxWriteMilliseconds;
             const answer = await storeClient.commit(transaction, StorePriority.Other, limit);
             if (answer.outcome === TransactionOutcome.Committed) {
-                return advanceRows(rows, write, answer.version ?? absentVersion);
+                return updateRows(rows, write, answer.version ?? absentVersion);
             }
             if (answer.cause === RejectionCause.ConditionFailed) {
                 return undefined;
@@ -131,7 +130,7 @@
         return undefined;
     };
 
-    const engineTransaction = (tenure: ControllerTenure, rows: EngineRows, write: EngineWrite): Transaction => {
+    const createEngineTransaction = (tenure: ControllerTenure, rows: EngineRows, write: EngineWrite): Transaction => {
         const ordersKey = engineOrdersKey(cell, rows.engineId);
         const requestKey = orderRequestKey(cell, rows.engineId);
         const conditions: RowCondition[] = [
@@ -143,7 +142,7 @@
             conditions.push({ key: requestKey, expectedVersion: rows.requestVersion });
             writes.push({ key: requestKey, value: toJson(write.request) });
         }
-        if (write.isBoundToConfiguration) {
+        if (write.requiresCurrentConfiguration) {
             conditions.push({ key: headKey, expectedVersion: rows.headVersion });
         }
         return { writeId: ids.next("wr"), conditions, writes };
@@ -172,7 +171,7 @@
     };
 }
 
-function advanceRows(rows: EngineRows, write: EngineWrite, version: number): EngineRows {
+function updateRows(rows: EngineRows, write: EngineWrite, version: number): EngineRows {
     return {
         ...rows,
         orders: write.orders,
@@ -182,10 +181,10 @@
     };
 }
 
-function select<T>(rows: readonly Row[], prefix: string, parse: (value: JsonValue) => T): readonly T[] {
+function parseRowsWithPrefix<T>(rows: readonly Row[], prefix: string, parse: (value: JsonValue) => T): readonly T[] {
     return rows.filter(row => row.key.startsWith(prefix)).map(row => parse(row.value));
 }
 
-function byVersion(rows: readonly Row[]): readonly Row[] {
+function sortByVersion(rows: readonly Row[]): readonly Row[] {
     return [...rows].sort((left, right) => left.version - right.version);
 }
--- a/packages/daisyturn/src/process/store/__tests__/createStoreClient.test.ts
+++ b/packages/daisyturn/src/process/store/__tests__/createStoreClient.test.ts
@@ -38,7 +38,7 @@
 
     it("reports Unknown if the service does not answer until the deadline", async () => {
         const { clock, faulty, client } = createSetup();
-        faulty.setStandingFault(TableFaultKind.BreakBeforeCommit);
+        faulty.setDefaultFault(TableFaultKind.BreakBeforeCommit);
         const answer = client.commit(createRow, StorePriority.Other, 10_000);
         await clock.advance(10_000);
         assert.equal((await answer).outcome, TransactionOutcome.Unknown);
--- a/packages/daisyturn/src/process/store/__tests__/interleavings.test.ts
+++ b/packages/daisyturn/src/process/store/__tests__/interleavings.test.ts
@@ -33,7 +33,7 @@
 /** An attempt that must not be repeated is settled by reading the rows, if it has committed by then. */
 const ifCommittedAtOnce = ({ act, faults }: Interleaving) =>
     act === OtherWriterAction.None
-    && faults.find(fault => fault !== TableFaultKind.Down) === TableFaultKind.BreakAfterCommit;
+    && faults.find(fault => fault !== TableFaultKind.ConnectionRefused) === TableFaultKind.BreakAfterCommit;
 const unlessOverwritten = ({ act }: Interleaving) =>
     act === OtherWriterAction.None || act === OtherWriterAction.OverwriteB;
 
