--- a/packages/daisyturn/src/__fixtures__/fakePeerNetwork.ts
+++ b/packages/daisyturn/src/__fixtures__/fakePeerNetwork.ts
@@ -8,41 +8,41 @@
     type ProcessIdentity,
 } from "../process/peers/index.js";
 
-/** What happens to messages from one process to another. */
+/** Faults of the messages from one process to another. */
 interface Route {
     cut: boolean;
-    /** Milliseconds from sending to arrival. */
+    /** Delivery delay in milliseconds. */
     delay: number;
     answersToLose: number;
-    /** While set, answers wait here and leave in reverse order once two are held. */
-    heldAnswers?: (() => void)[];
+    /** While set, answers are queued here until there are two, which are then sent in reverse order. */
+    queuedAnswers?: (() => void)[];
 }
 
-/** Several peer networks joined in memory. Messages pass by value, through JSON. */
+/** Peer networks connected in memory. Messages are copied through JSON. */
 export interface FakePeerNetworks {
-    /** Adds a process; one with the same process id is replaced, as by a restart. */
+    /** Adds a process. Replaces one with the same process id, as in a restart. */
     join(identity: ProcessIdentity): DialingPeerNetwork;
-    /** Ends a process: requests to it fail at once with NotRun, as on a refused connection. */
+    /** Removes a process. Requests to it fail at once with NotRun, as if the connection was refused. */
     remove(processId: string): void;
-    /** Loses all messages from one process to another, silently. */
+    /** Silently drops all messages from one process to another. */
     cut(from: string, to: string): void;
     cutBoth(one: string, other: string): void;
-    /** Cuts a process off from all others that have joined, both ways. */
+    /** Drops all messages between a process and all others, in both directions. */
     isolate(processId: string): void;
-    /** Ends the cuts between two processes, both ways. */
+    /** Restores the connection between two processes in both directions. */
     heal(one: string, other: string): void;
     healAll(): void;
-    /** Messages from one process to another arrive this many milliseconds of the clock later. */
+    /** Delays messages from one process to another, by the clock. */
     delay(from: string, to: string, milliseconds: number): void;
-    /** Loses the next answers that `from` gives to `to`, after the handler has run. */
+    /** Drops the next answers from `from` to `to`, after the handler has run. */
     loseAnswers(from: string, to: string, count: number): void;
-    /** Delivers the next two answers that `from` gives to `to` in reverse order. */
-    crossAnswers(from: string, to: string): void;
-    /** Messages handed to the wire so far, by sender, with their JSON length. */
+    /** Delivers the next two answers from `from` to `to` in reverse order. */
+    reorderAnswers(from: string, to: string): void;
+    /** All messages sent so far, in order, whether delivered or not. */
     readonly sent: readonly SentMessage[];
 }
 
-/** A message that was handed to the wire. */
+/** A message that was sent, whether delivered or not. */
 export interface SentMessage {
     readonly from: string;
     readonly to: string;
@@ -50,7 +50,7 @@
     readonly parameters: JsonObject;
 }
 
-/** The identity of a process as tests need it: `p1` in VM `vm-p1`, at the address `p1:1`. */
+/** Creates the identity of a process for tests, such as `p1` on VM `vm-p1` at the address `p1:1`. */
 export function createFakeIdentity(processId: string, incarnation = `${processId}-1`): ProcessIdentity {
     return {
         processId,
@@ -61,10 +61,10 @@
     };
 }
 
-/** Milliseconds between two tries to connect to an address that can't be reached. */
+/** Milliseconds between two attempts to connect to an address. */
 const reconnectInterval = 250;
 
-/** Joins networks in memory; `clock` decides when delayed messages arrive and deadlines pass. */
+/** Creates connected networks in memory. `clock` determines when delayed messages arrive and deadlines pass. */
 export function createFakePeerNetworks(clock: Clock): FakePeerNetworks {
     const members = new Map<string, FakePeerNetwork>();
     const routes = new Map<string, Route>();
@@ -77,8 +77,8 @@
         return route;
     };
 
-    /** Waits for the way to be covered; false if the message was lost on it. */
-    const travel = async (from: string, to: string): Promise<boolean> => {
+    /** Waits until the message is delivered. Returns false if it was lost. */
+    const transmit = async (from: string, to: string): Promise<boolean> => {
         const route = routeOf(from, to);
         if (route.cut) {
             return false;
@@ -89,24 +89,24 @@
         return !route.cut;
     };
 
-    const travelBack = async (from: string, to: string): Promise<boolean> => {
+    const transmitAnswer = async (from: string, to: string): Promise<boolean> => {
         const route = routeOf(from, to);
         if (route.answersToLose > 0) {
             route.answersToLose -= 1;
             return false;
         }
-        const held = route.heldAnswers;
-        if (held) {
+        const queued = route.queuedAnswers;
+        if (queued) {
             await new Promise<void>(resolve => {
-                held.push(resolve);
-                if (held.length === 2) {
-                    route.heldAnswers = undefined;
+                queued.push(resolve);
+                if (queued.length === 2) {
+                    route.queuedAnswers = undefined;
                     resolve();
-                    setImmediate(held[0] ?? resolve);
+                    setImmediate(queued[0] ?? resolve);
                 }
             });
         }
-        return await travel(from, to);
+        return await transmit(from, to);
     };
 
     class FakePeerNetwork extends DialingPeerNetwork {
@@ -144,11 +144,11 @@
         ): Promise<Result<JsonObject, Failure>> {
             const { processId } = target.self;
             const message = this.record(processId, method, parameters);
-            if (!await travel(this.self.processId, processId) || !target.isJoined()) {
+            if (!await transmit(this.self.processId, processId) || !target.isJoined()) {
                 return await new Promise(() => undefined);
             }
             const answer = await target.answer(this.self, method, message);
-            if (!await travelBack(processId, this.self.processId)) {
+            if (!await transmitAnswer(processId, this.self.processId)) {
                 return await new Promise(() => undefined);
             }
             return answer;
@@ -177,7 +177,7 @@
                 return;
             }
             const message = this.record(processId, method, parameters);
-            void travel(this.self.processId, processId).then(async arrived => {
+            void transmit(this.self.processId, processId).then(async arrived => {
                 if (arrived && target.isJoined()) {
                     await target.answer(this.self, method, message);
                 }
@@ -203,7 +203,7 @@
             this.helloListeners.push(listener);
         }
 
-        /** Says hello to whoever stands at the address, again whenever another incarnation does. */
+        /** Exchanges hellos with the process at the address, and again whenever its incarnation changes. */
         private async keepConnected(address: string): Promise<void> {
             let known: string | undefined;
             while (this.addresses.has(address) && this.isJoined()) {
@@ -218,9 +218,9 @@
         }
 
         private reaches(peer: FakePeerNetwork): boolean {
-            const there = routeOf(this.self.processId, peer.self.processId);
-            const back = routeOf(peer.self.processId, this.self.processId);
-            return !there.cut && !back.cut;
+            const outbound = routeOf(this.self.processId, peer.self.processId);
+            const inbound = routeOf(peer.self.processId, this.self.processId);
+            return !outbound.cut && !inbound.cut;
         }
 
         private isJoined(): boolean {
@@ -262,8 +262,8 @@
         loseAnswers: (from, to, count) => {
             routeOf(from, to).answersToLose = count;
         },
-        crossAnswers: (from, to) => {
-            routeOf(from, to).heldAnswers = [];
+        reorderAnswers: (from, to) => {
+            routeOf(from, to).queuedAnswers = [];
         },
     };
 }
--- a/packages/daisyturn/src/connection/operator/__tests__/createOperatorServer.test.ts
+++ b/packages/daisyturn/src/connection/operator/__tests__/createOperatorServer.test.ts
@@ -183,7 +183,7 @@
     });
 
     it("reports a change without a write id in an outage as not run, and one with it as may have run", async () => {
-        cell.store.setStandingFault(TableFaultKind.Down);
+        cell.store.setDefaultFault(TableFaultKind.ConnectionRefused);
         const fresh = await call("north", "PUT", "/v1/items/profile/p", { ...createProfile("north", "p") });
         assert.deepEqual([fresh.status, fresh.body.error?.verdict], [503, "not_run"]);
         const named = await publish("north", "w-1", put(createProfile("north", "p")));
--- a/packages/daisyturn/src/ports/http/__fixtures__/startRawTarget.ts
+++ b/packages/daisyturn/src/ports/http/__fixtures__/startRawTarget.ts
@@ -2,42 +2,41 @@
 import { type AddressInfo, createServer, type Socket } from "node:net";
 import type { TestContext } from "node:test";
 
-/** One request as its bytes came in. */
+/** One request as received. */
 export interface RawRequest {
-    /** Such as `POST /generate`. */
+    /** Request line without the HTTP version, such as `POST /generate`. */
     readonly line: string;
     readonly body: string;
     readonly socket: Socket;
 }
 
-/** What a raw target does with a request. */
+/** Handles one request to a raw target. */
 export type RawScript = (request: RawRequest) => void;
 
-/** A TCP server that speaks HTTP only as far as a test tells it. */
+/** A TCP server that parses requests only. The test writes the bytes of the answers. */
 export interface RawTarget {
     readonly url: string;
     readonly requests: readonly RawRequest[];
-    /** Resolves with the first request, or that of another number, past or future, whose line starts so. */
+    /** Resolves with the `number`th request (from 1), past or future, whose line starts with `lineStart`. */
     received(lineStart: string, number?: number): Promise<RawRequest>;
 }
 
-/** Settings of a raw target. */
 export interface RawTargetOptions {
     readonly onRequest?: RawScript;
-    /** Called for each connection before anything is read. */
+    /** Called for each connection before any data is read. */
     readonly onConnection?: (socket: Socket) => void;
 }
 
-/** Starts a raw target that ends with the test. */
+/** Starts a raw target that is stopped after the test. */
 export async function startRawTarget(test: TestContext, options: RawTargetOptions): Promise<RawTarget> {
     const requests: RawRequest[] = [];
     const sockets = new Set<Socket>();
-    let wakeWaiters: (() => void)[] = [];
+    let waiters: (() => void)[] = [];
 
-    const take = (request: RawRequest) => {
+    const addRequest = (request: RawRequest) => {
         requests.push(request);
-        const woken = wakeWaiters;
-        wakeWaiters = [];
+        const woken = waiters;
+        waiters = [];
         woken.forEach(wake => wake());
         options.onRequest?.(request);
     };
@@ -47,7 +46,7 @@
         socket.on("error", () => undefined);
         socket.on("close", () => sockets.delete(socket));
         options.onConnection?.(socket);
-        readRequests(socket, take);
+        readRequests(socket, addRequest);
     });
     server.listen(0, "127.0.0.1");
     await once(server, "listening");
@@ -62,13 +61,13 @@
             if (request) {
                 return request;
             }
-            await new Promise<void>(resolve => wakeWaiters.push(resolve));
+            await new Promise<void>(resolve => waiters.push(resolve));
         }
     };
     return { url: `http://127.0.0.1:${(server.address() as AddressInfo).port}`, requests, received };
 }
 
-function readRequests(socket: Socket, take: (request: RawRequest) => void): void {
+function readRequests(socket: Socket, onRequest: (request: RawRequest) => void): void {
     let text = "";
     socket.setEncoding("latin1");
     socket.on("data", (chunk: string) => {
@@ -82,12 +81,12 @@
             const line = text.slice(0, text.indexOf(" HTTP/1.1"));
             const body = Buffer.from(text.slice(headEnd + 4, end), "latin1").toString("utf8");
             text = text.slice(end);
-            take({ line, body, socket });
+            onRequest({ line, body, socket });
         }
     });
 }
 
-/** Writes an answer with its length. */
+/** Writes an answer with a content-length. */
 export function writeAnswer(
     socket: Socket,
     status: number,
@@ -98,7 +97,7 @@
     socket.write(`HTTP/1.1 ${status} X\r\n${lines}content-length: ${Buffer.byteLength(body)}\r\n\r\n${body}`);
 }
 
-/** Writes the head of an answer in chunks. */
+/** Writes the head of a chunked answer. */
 export function writeChunkedHead(socket: Socket, headers = ""): void {
     socket.write(`HTTP/1.1 200 OK\r\n${headers}transfer-encoding: chunked\r\n\r\n`);
 }
@@ -110,12 +109,12 @@
     socket.write("\r\n");
 }
 
-/** Writes the mark after the last chunk. */
+/** Writes the last chunk, which ends the answer. */
 export function writeChunkedEnd(socket: Socket): void {
     socket.write("0\r\n\r\n");
 }
 
-/** An address at which nothing listens. */
+/** Returns the URL of a port at which nothing listens. */
 export async function findClosedUrl(): Promise<string> {
     const server = createServer();
     server.listen(0, "127.0.0.1");
--- a/packages/daisyturn/src/ports/http/createHttpPlainService.ts
+++ b/packages/daisyturn/src/ports/http/createHttpPlainService.ts
@@ -2,7 +2,7 @@
 import Result from "true-myth/result";
 import { PlainService, type ServiceAnswer, type ServiceCall } from "../plainService.js";
 import { createOperation } from "./operation.js";
-import { parseRefusal, readRefusal } from "./refusal.js";
+import { parseErrorAnswer, parseRefusal } from "./refusal.js";
 import {
     createTargetHttpClient,
     type TargetHttpOptions,
@@ -10,22 +10,21 @@
     type WholeAnswer,
 } from "./targetHttpClient.js";
 
-/** Header that carries the call's id; the service repeats it in its answer. */
+/** Header that carries the call's id. The service echoes it in its answer. */
 export const callIdHeader = "x-call-id";
-/** Header that carries the call's deadline: wall-clock milliseconds. */
+/** Header that carries the call's deadline as wall-clock time in milliseconds. */
 export const deadlineHeader = "x-deadline";
 
-/** Most bytes of an answer. */
 const defaultMaxAnswerBytes = 8_388_608;
 const refusedStatus = 503;
 
-/** How one plain service is reached. */
+/** Options of the adapter to one plain service. */
 export interface HttpPlainServiceOptions extends TargetHttpOptions {
     readonly targetId: string;
     readonly maxAnswerBytes?: number;
 }
 
-/** Creates the adapter to one plain service that speaks HTTP. */
+/** Creates the HTTP adapter to one plain service. */
 export function createHttpPlainService(options: HttpPlainServiceOptions): PlainService {
     const { clock } = options;
     const client = createTargetHttpClient(options);
@@ -37,7 +36,7 @@
         override async invoke(call: ServiceCall, signal: AbortSignal): Promise<Result<ServiceAnswer, Failure>> {
             const deadline = clock.monotonicNow() + call.deadline - clock.wallNow();
             if (signal.aborted || deadline <= clock.monotonicNow()) {
-                return Result.err(refuseUnsent(signal));
+                return Result.err(createUnsentFailure(signal));
             }
             const operation = createOperation({ clock, deadline, signal });
             const answer = await client.exchange(toRequest(call), operation, maxAnswerBytes);
@@ -60,13 +59,13 @@
     };
 }
 
-/** Any status is an answer, except the service's own statement that the call did not run. */
+/** Returns an answer of any status, unless it is a refusal, which states that the call did not run. */
 function readAnswer(call: ServiceCall, answer: WholeAnswer): Result<ServiceAnswer, Failure> {
     if (answer.headers[callIdHeader] !== call.callId) {
         return Result.err(mayHaveRun(FailureReason.TargetFailed, "The answer belongs to another call."));
     }
     if (answer.status === refusedStatus && parseRefusal(answer.body)) {
-        return Result.err(readRefusal(answer.status, answer.body));
+        return Result.err(parseErrorAnswer(answer.status, answer.body));
     }
     return Result.ok({
         status: answer.status,
@@ -75,7 +74,7 @@
     });
 }
 
-function refuseUnsent(signal: AbortSignal): Failure {
+function createUnsentFailure(signal: AbortSignal): Failure {
     return signal.aborted
         ? notRun(FailureReason.Cancelled, "Cancelled before the call was sent.")
         : notRun(FailureReason.DeadlinePassed, "The deadline passed before the call was sent.");
--- a/packages/daisyturn/src/process/orders/steps/chooseRequests.ts
+++ b/packages/daisyturn/src/process/orders/steps/chooseRequests.ts
@@ -1,39 +1,39 @@
 import { OrderKind } from "../../../ports/engine.js";
 import { type OrderRequest, OrderRequestState } from "../rows/orderRows.js";
 
-/** What the controller is already at. */
-export interface ControllerLoad {
-    /** Engines that have a task. */
+/** Which engines are busy and how many more requests the controller may start. */
+export interface ControllerCapacity {
+    /** Engines on which the controller is already working. */
     readonly busyEngines: ReadonlySet<string>;
-    /** Requests that may begin now. */
+    /** Requests that may start now. */
     readonly freeChanges: number;
-    /** Loads of weights among them. */
+    /** Loads of weights that may start now; they count as requests too. */
     readonly freeLoads: number;
 }
 
-/** How much a partner has had of the loads, and its weight in sharing. */
-export interface LoadLedger {
-    /** Loads begun for the partner (undefined: for the role planner). */
-    begun(partner: string | undefined): number;
+/** How many loads each partner has had, and its weight in sharing them. */
+export interface LoadShares {
+    /** Number of loads started for the partner (undefined: for the role planner). */
+    started(partner: string | undefined): number;
     weight(partner: string | undefined): number;
 }
 
 /**
- * Chooses the requests that begin now, in the order in which the store took them; but of the loads that wait for the
- * rate-limited weight store, first one of the partner that has had least for its weight.
- * @param requests in the order in which the store took them
+ * Chooses the requests to start now, in the order in which the store committed them. Among the loads, which share the
+ * rate-limited weight store, the partner with the fewest started loads in relation to its weight comes first.
+ * @param requests in the order in which the store committed them
  */
 export function chooseRequests(
     requests: readonly OrderRequest[],
-    load: ControllerLoad,
-    ledger: LoadLedger,
+    capacity: ControllerCapacity,
+    shares: LoadShares,
 ): readonly OrderRequest[] {
     const chosen: OrderRequest[] = [];
     let waiting = requests.filter(one =>
-        one.state === OrderRequestState.Requested && !load.busyEngines.has(one.engineId)
+        one.state === OrderRequestState.Requested && !capacity.busyEngines.has(one.engineId)
     );
-    while (chosen.length < load.freeChanges) {
-        const next = chooseNext(waiting, load.freeLoads - chosen.filter(isLoad).length, chosen, ledger);
+    while (chosen.length < capacity.freeChanges) {
+        const next = chooseNext(waiting, capacity.freeLoads - chosen.filter(isLoad).length, chosen, shares);
         if (!next) {
             break;
         }
@@ -43,7 +43,7 @@
     return chosen;
 }
 
-/** Whether a request needs the weight store. */
+/** Whether a request loads weights from the weight store. */
 export function isLoad(request: OrderRequest): boolean {
     return request.kind !== OrderKind.ChangeRole;
 }
@@ -52,15 +52,15 @@
     waiting: readonly OrderRequest[],
     freeLoads: number,
     chosen: readonly OrderRequest[],
-    ledger: LoadLedger,
+    shares: LoadShares,
 ): OrderRequest | undefined {
-    const had = (partner: string | undefined) => {
+    const computeShare = (partner: string | undefined) => {
         const now = chosen.filter(one => isLoad(one) && one.partner === partner).length;
-        return (ledger.begun(partner) + now) / ledger.weight(partner);
+        return (shares.started(partner) + now) / shares.weight(partner);
     };
     const loads = freeLoads > 0 ? waiting.filter(isLoad) : [];
     const fairest = loads.reduce<OrderRequest | undefined>(
-        (best, one) => best && had(best.partner) <= had(one.partner) ? best : one,
+        (best, one) => best && computeShare(best.partner) <= computeShare(one.partner) ? best : one,
         undefined,
     );
     return waiting.find(one => one === fairest || !isLoad(one));
--- a/packages/daisyturn/src/process/store/__tests__/outages.test.ts
+++ b/packages/daisyturn/src/process/store/__tests__/outages.test.ts
@@ -10,7 +10,7 @@
 /** Creates a setup whose store has not answered until the breaker opened. One transaction is still pending. */
 async function createOutage(fault: TableFaultKind) {
     const setup = createStoreSetup();
-    setup.faulty.setStandingFault(fault);
+    setup.faulty.setDefaultFault(fault);
     const stuck = setup.client.commit(createRows("stuck", ["stuck"]), StorePriority.Claim, 1_000_000);
     await setup.clock.advance(20_000);
     assert.equal(setup.client.isAvailable(), false);
@@ -20,36 +20,38 @@
 describe("a store client during outages", () => {
     it("does not open its breaker if the store is unresponsive for a short time", async () => {
         const { clock, faulty, client, eventLog } = createStoreSetup();
-        faulty.setStandingFault(TableFaultKind.BreakBeforeCommit);
+        faulty.setDefaultFault(TableFaultKind.BreakBeforeCommit);
         const answer = client.commit(createRows("w1", ["a"]), StorePriority.Claim, 60_000);
         await clock.advance(2_500);
-        faulty.setStandingFault(TableFaultKind.None);
+        faulty.setDefaultFault(TableFaultKind.None);
         await clock.advance(2_000);
         assert.equal((await answer).outcome, TransactionOutcome.Committed);
         assert.equal(eventLog.of(EventKind.StoreUnavailable).length, 0);
     });
 
-    for (const fault of [TableFaultKind.Down, TableFaultKind.LoseAnswer, TableFaultKind.BreakBeforeCommit]) {
+    for (
+        const fault of [TableFaultKind.ConnectionRefused, TableFaultKind.LoseAnswer, TableFaultKind.BreakBeforeCommit]
+    ) {
         it(`rejects calls immediately while the store is down (${fault}), and resumes once it answers`, async () => {
             const { clock, faulty, client, eventLog, stuck } = await createOutage(fault);
             const callsBefore = faulty.callCount();
             const rejected = await client.commit(createRows("w2", ["b"]), StorePriority.Lease, 1_000_000);
             assert.deepEqual(rejected, { outcome: TransactionOutcome.Rejected, cause: RejectionCause.NotSent });
             assert.equal(faulty.callCount(), callsBefore);
-            faulty.setStandingFault(TableFaultKind.None);
+            faulty.setDefaultFault(TableFaultKind.None);
             await clock.advance(9_000);
             assert.equal(client.isAvailable(), true);
             assert.equal(eventLog.of(EventKind.StoreUnavailable).length, 1);
             assert.equal(eventLog.of(EventKind.StoreAvailable).length, 1);
             const { outcome } = await stuck;
-            const wasNeverSent = fault === TableFaultKind.Down;
+            const wasNeverSent = fault === TableFaultKind.ConnectionRefused;
             assert.equal(outcome, wasNeverSent ? TransactionOutcome.Rejected : TransactionOutcome.Committed);
         });
     }
 
     it("rejects new reads immediately with the time of the next probe, and lets a pending read wait", async () => {
         const { clock, faulty, client } = createStoreSetup();
-        faulty.setStandingFault(TableFaultKind.LoseAnswer);
+        faulty.setDefaultFault(TableFaultKind.LoseAnswer);
         const underWay = client.read(["a"], StorePriority.Other, 1_000_000);
         await clock.advance(20_000);
         const rejected = await client.read(["a"], StorePriority.Other, 1_000_000);
@@ -57,7 +59,7 @@
         assert.equal(rejected.error.reason, FailureReason.StoreUnavailable);
         assert.ok((rejected.error.retryAt ?? 0) > clock.wallNow());
         assert.ok((rejected.error.retryAt ?? 0) <= clock.wallNow() + 5_000);
-        faulty.setStandingFault(TableFaultKind.None);
+        faulty.setDefaultFault(TableFaultKind.None);
         await clock.advance(13_000);
         assert.ok((await underWay).isOk);
     });
@@ -65,14 +67,14 @@
     it("settles a marked transaction even if the store goes down before the abort transaction", async () => {
         const { clock, inner, faulty, client } = createStoreSetup();
         faulty.script(TableFaultKind.BreakBeforeCommit, TableFaultKind.None);
-        faulty.setStandingFault(TableFaultKind.Down);
+        faulty.setDefaultFault(TableFaultKind.ConnectionRefused);
         const transaction = addWriteMarker(createRows("w1", ["a"]), 0);
         const answer = client.commit(transaction, StorePriority.Claim, 1_000_000);
         await clock.advance(5);
         await inner.transact(createRows("other", ["a"]), 0);
         await clock.advance(20_000);
         assert.equal(client.isAvailable(), false);
-        faulty.setStandingFault(TableFaultKind.None);
+        faulty.setDefaultFault(TableFaultKind.None);
         await clock.advance(6_000);
         const { outcome, cause } = await answer;
         assert.deepEqual({ outcome, cause }, {
@@ -82,7 +84,7 @@
     });
 
     it("probes a store that is down for an hour rarely and with one call at a time", async () => {
-        const { clock, faulty } = await createOutage(TableFaultKind.Down);
+        const { clock, faulty } = await createOutage(TableFaultKind.ConnectionRefused);
         const callsBefore = faulty.callCount();
         await clock.advance(3_600_000);
         const probes = faulty.callCount() - callsBefore;
@@ -91,7 +93,7 @@
 
     it("resumes the pending calls at the steady rate after an outage, leases first", async () => {
         const { clock, faulty, client } = createStoreSetup();
-        faulty.setStandingFault(TableFaultKind.LoseAnswer);
+        faulty.setDefaultFault(TableFaultKind.LoseAnswer);
         const outcomes: string[] = [];
         for (let count = 0; count < 200; count++) {
             // All transactions write the same row, so that none can be grouped.
@@ -104,7 +106,7 @@
         const countSent = () => faulty.transactions.filter(({ writes }) => writes.length > 0).length;
         const sentBefore = countSent();
         outcomes.length = 0;
-        faulty.setStandingFault(TableFaultKind.None);
+        faulty.setDefaultFault(TableFaultKind.None);
         for (let step = 0; step < 10_000 && !client.isAvailable(); step++) {
             await clock.advance(1);
         }
@@ -118,7 +120,7 @@
 
     it("waits for a slow store instead of repeating calls", async () => {
         const { clock, faulty, client, eventLog } = createStoreSetup();
-        faulty.setStandingFault({ kind: TableFaultKind.Slow, delayMilliseconds: 3_000 });
+        faulty.setDefaultFault({ kind: TableFaultKind.Delayed, delayMilliseconds: 3_000 });
         const first = client.commit(createRows("w0", ["r0"]), StorePriority.Claim, 60_000);
         await clock.advance(30_000);
         assert.equal((await first).outcome, TransactionOutcome.Committed);
@@ -134,11 +136,11 @@
 
     it("keeps reads available while only writes are unanswered", async () => {
         const { clock, faulty, client } = createStoreSetup();
-        faulty.setStandingFault(TableFaultKind.BreakBeforeCommit);
+        faulty.setDefaultFault(TableFaultKind.BreakBeforeCommit);
         void client.commit(createRows("w1", ["a"]), StorePriority.Claim, 1_000_000);
         await clock.advance(20_000);
         assert.equal(client.isAvailable(), false);
-        faulty.setStandingFault(TableFaultKind.None);
+        faulty.setDefaultFault(TableFaultKind.None);
         assert.ok((await client.read(["a"], StorePriority.Other, 1_000_000)).isOk);
     });
 });
