--- a/packages/daisyturn-standins/src/fleet/__tests__/launchFleet.test.ts
+++ b/packages/daisyturn-standins/src/fleet/__tests__/launchFleet.test.ts
@@ -6,7 +6,7 @@
 import { createFleetPlan } from "../createFleetPlan.js";
 import { launchFleet } from "../launchFleet.js";
 
-/** Ends at once as the second entry process; as any other, it listens half a second later and leaves its number. */
+/** Exits at once as entry-2. As any other entry process, it writes its process number and listens 500 ms later. */
 const entryProgram = `
 import { writeFileSync } from "node:fs";
 import { join } from "node:path";
@@ -28,7 +28,7 @@
     }
 }
 
-test("a program that starts after another has failed to is ended too", async () => {
+test("if one program fails to start, a program that starts later is ended too", async () => {
     const folder = mkdtempSync(path.join(tmpdir(), "daisyturn-launch-"));
     const script = path.join(folder, "entryProgram.mjs");
     writeFileSync(script, entryProgram);
--- a/packages/daisyturn-standins/src/fleet/__tests__/resumeAfterKill.test.ts
+++ b/packages/daisyturn-standins/src/fleet/__tests__/resumeAfterKill.test.ts
@@ -36,7 +36,7 @@
 
 const headers = { authorization: `Bearer ${createCallerKey(partner)}`, "content-type": "application/json" };
 
-test("a caller whose entry process is killed gets the rest of its answer, byte for byte, at another one", async () => {
+test("after its entry process is killed, a caller resumes the answer at another one without a missing byte", async () => {
     const fleet = await launchFleet(plan);
     try {
         await publishItems(fleet);
@@ -46,7 +46,7 @@
             headers: { ...headers, "x-resume-token": begun.token, "last-event-id": String(begun.offset) },
         });
         const rest = createEventStreamText();
-        rest.take(await resumed.body.text());
+        rest.append(await resumed.body.text());
         const whole = expectedAnswer({ model: ModelName.Large, prompt }, outputTokens);
         assert.equal(begun.text + rest.result().text, whole);
         assert.ok(rest.result().ended);
@@ -62,13 +62,13 @@
 }
 
 async function beginAndKill(fleet: Fleet) {
-    const answer = await askUntilEnginesAreKnown(`${fleet.entries[0]?.callerUrl}/v1/completions`);
+    const answer = await requestUntilEnginesAreKnown(`${fleet.entries[0]?.callerUrl}/v1/completions`);
     const collector = createEventStreamText();
     const decoder = new TextDecoder();
     let isKilled = false;
     try {
         for await (const piece of answer.body) {
-            collector.take(decoder.decode(piece as Uint8Array, { stream: true }));
+            collector.append(decoder.decode(piece as Uint8Array, { stream: true }));
             if (!isKilled && collector.result().offset >= tokensBeforeKill) {
                 isKilled = true;
                 await fleet.entries[0]?.program.kill();
@@ -83,8 +83,8 @@
     return { text, offset, token: String(answer.headers["x-resume-token"]) };
 }
 
-/** A process that has just started has no report of any engine yet, and refuses. */
-async function askUntilEnginesAreKnown(url: string) {
+/** Repeats the request until it is accepted: a new process refuses until it has received an engine's load report. */
+async function requestUntilEnginesAreKnown(url: string) {
     const body = JSON.stringify({ model: ServiceName.Valuation, prompt, max_tokens: outputTokens, stream: true });
     for (;;) {
         const answer = await request(url, { method: "POST", headers, body });
--- a/packages/daisyturn-standins/src/fleet/childProgram.ts
+++ b/packages/daisyturn-standins/src/fleet/childProgram.ts
@@ -2,30 +2,33 @@
 import { once } from "node:events";
 import { createInterface } from "node:readline";
 
-/** How long a program may take until it says that it listens. */
+/** Time from the start of a program until it must have printed its `listening` line; then it is killed. */
 const startLimitMilliseconds = 30_000;
 const stopLimitMilliseconds = 30_000;
 
-/** A program of this repository running as a process of its own. */
+/** A program of this repository that runs in a separate process. */
 export interface ChildProgram {
     readonly name: string;
     readonly processNumber: number;
-    /** `key=value` words of the line on which the program said that it listens. */
+    /** The `key=value` words of the program's `listening` line. */
     readonly words: ReadonlyMap<string, string>;
     hasExited(): boolean;
     /**
-     * Asks the program to stop (SIGTERM), ends it by SIGKILL if it does not within half a minute, and resolves with its
-     * exit code; undefined if a signal ended it.
+     * Sends SIGTERM, and SIGKILL if the program has not exited after 30 s. Resolves with the exit code, or with
+     * undefined if a signal ended the program.
      */
     stop(): Promise<number | undefined>;
-    /** Ends it at once (SIGKILL). */
+    /** Ends the program at once (SIGKILL). */
     kill(): Promise<void>;
-    /** Stops its execution (SIGSTOP) until `resume`. */
+    /** Suspends the program (SIGSTOP) until `resume` is called. */
     pause(): void;
     resume(): void;
 }
 
-/** Starts `node SCRIPT ARGUMENTS` and resolves once it has printed a line starting with `listening`. */
+/**
+ * Starts `node SCRIPT ARGUMENTS` and resolves once it has printed a line that starts with `listening`. Rejects if the
+ * program exits before that.
+ */
 export async function startChildProgram(
     name: string,
     script: string,
@@ -36,7 +39,8 @@
         stdio: ["ignore", "pipe", "pipe"],
         env: { ...process.env, ...environment },
     });
-    // Not inherited: whoever waits for the end of this process's errors would wait for the program's end too.
+    // Standard error is piped, not inherited: with an inherited descriptor, a reader of this process's standard error
+    // would see its end only after the program has exited too.
     child.stderr?.pipe(process.stderr, { end: false });
     const exit = once(child, "exit").then(() => child.exitCode ?? undefined);
     const words = await readListeningLine(name, child, exit);
--- a/packages/daisyturn-standins/src/fleet/createBalancer.ts
+++ b/packages/daisyturn-standins/src/fleet/createBalancer.ts
@@ -2,11 +2,11 @@
 import { request } from "undici";
 import type { Fleet } from "./launchFleet.js";
 
-/** Stands in for the platform's balancer: knows which entry processes say that they are ready. */
+/** Stand-in for the platform's load balancer: polls `/readyz` of the entry processes. */
 export interface Balancer {
-    /** Addresses for callers of the entry processes that were ready when last asked. */
+    /** Caller addresses of the entry processes that were ready at the last poll. */
     readyUrls(): readonly string[];
-    /** Resolves once `count` entry processes are ready; rejects after half a minute. */
+    /** Resolves once `count` entry processes are ready; rejects after 30 s. */
     waitForReady(count: number): Promise<void>;
     stop(): Promise<void>;
 }
@@ -16,7 +16,7 @@
 const waitLimitMilliseconds = 30_000;
 const okStatus = 200;
 
-/** Starts polling the entry processes of a fleet, restarted ones included. */
+/** Starts to poll the entry processes of a fleet, including those restarted later. */
 export function createBalancer(fleet: Fleet): Balancer {
     const stopper = new AbortController();
     let ready: readonly string[] = [];
--- a/packages/daisyturn-standins/src/fleet/createFleetPlan.ts
+++ b/packages/daisyturn-standins/src/fleet/createFleetPlan.ts
@@ -1,7 +1,7 @@
 import type { FleetPlan } from "./launchFleet.js";
 import { ModelName, PartnerName } from "./partnerConfiguration.js";
 
-/** A small fleet for both partners over three availability zones; `changes` replaces parts of it. */
+/** Creates the plan of a small fleet for both partners in three availability zones; `changes` override its fields. */
 export function createFleetPlan(changes: Partial<FleetPlan> = {}): FleetPlan {
     const availabilityZones = ["zone-a", "zone-b", "zone-c"];
     const findZone = (index: number) => availabilityZones[index % availabilityZones.length] ?? "zone-a";
@@ -16,7 +16,7 @@
             availabilityZone: findZone(index),
             role: "mixed",
             models: [ModelName.Large, ModelName.Small],
-            // One engine of the fleet does not look at fencing numbers.
+            // The last engine does not check fencing numbers.
             checksFencing: index !== engineCount - 1,
         })),
         services: Array.from({ length: serviceCount }, (unused, index) => ({
--- a/packages/daisyturn-standins/src/fleet/launchFleet.ts
+++ b/packages/daisyturn-standins/src/fleet/launchFleet.ts
@@ -8,7 +8,6 @@
 import { type ChildProgram, startChildProgram } from "./childProgram.js";
 import { startTogether } from "./startTogether.js";
 
-/** An engine of the fleet. */
 export interface EnginePlan {
     readonly id: string;
     readonly availabilityZone: string;
@@ -17,28 +16,28 @@
     readonly checksFencing: boolean;
 }
 
-/** A plain service instance of the fleet. */
+/** An instance of the plain service. */
 export interface ServicePlan {
     readonly id: string;
     readonly availabilityZone: string;
 }
 
-/** What to start. */
+/** The processes to start and their settings. */
 export interface FleetPlan {
     readonly engines: readonly EnginePlan[];
     readonly services: readonly ServicePlan[];
     readonly entryCount: number;
     readonly availabilityZones: readonly string[];
     readonly partners: readonly string[];
-    /** Words added to each engine's command line. */
+    /** Arguments appended to each engine's command line. */
     readonly engineArguments?: readonly string[];
-    /** Script of the entry process and words before `serve`; the daemon's own where absent. */
+    /** Script of the entry process, and its arguments before `serve`. Default: the daemon's main script. */
     readonly entryProgram?: readonly string[];
-    /** Parts of the entry settings that differ from the defaults, by section. */
+    /** Settings that override the defaults of the entry processes, by section. */
     readonly entrySettings?: Readonly<Record<string, object>>;
 }
 
-/** An entry process and where it listens. */
+/** A running entry process and its addresses. */
 export interface EntryProgram {
     readonly processId: string;
     readonly callerUrl: string;
@@ -48,25 +47,25 @@
     readonly program: ChildProgram;
 }
 
-/** A target and where it listens. */
+/** A running target, or the platform, and its address. */
 export interface TargetProgram {
     readonly id: string;
     readonly url: string;
     readonly program: ChildProgram;
 }
 
-/** Everything that was started. */
+/** A running fleet. */
 export interface Fleet {
     readonly folder: string;
     readonly platform: TargetProgram;
     readonly engines: readonly TargetProgram[];
     readonly services: readonly TargetProgram[];
     readonly entries: readonly EntryProgram[];
-    /** Key of the partner's only operator. */
+    /** Returns the key of the partner's only operator. */
     operatorKey(partner: string): string;
-    /** Starts an entry process anew under the settings of an ended one. */
+    /** Starts a new entry process with the settings file of the one at `index`, which must have exited. */
     restartEntry(index: number): Promise<EntryProgram>;
-    /** Stops entries first, then targets, then the platform; resolves with the entries' exit codes. */
+    /** Stops the entry processes, then the targets, then the platform. Resolves with the entry processes' exit codes. */
     stop(): Promise<readonly (number | undefined)[]>;
 }
 
@@ -81,7 +80,7 @@
 const peerSecret = "stand-in peer secret";
 const resumeSecret = "stand-in resumption secret";
 
-/** Starts a whole fleet of separate processes on loopback. Whatever was started is ended if a start fails. */
+/** Starts a fleet of separate processes on loopback. If one start fails, kills all processes that were started. */
 export async function launchFleet(plan: FleetPlan): Promise<Fleet> {
     const folder = mkdtempSync(path.join(tmpdir(), "daisyturn-fleet-"));
     const started: ChildProgram[] = [];
@@ -116,7 +115,7 @@
     const restartEntry = async (index: number) => {
         const old = entries[index];
         if (!old) {
-            throw new Error(`no entry ${index}`);
+            throw new Error(`no entry process has index ${index}`);
         }
         const entry = await startEntry(entryProgram, old, started);
         entries[index] = entry;
@@ -133,7 +132,6 @@
     return { folder, platform, engines, services, entries, operatorKey: createOperatorKey, restartEntry, stop };
 }
 
-/** The operator's key of a partner in a fleet of stand-ins. */
 function createOperatorKey(partner: string): string {
     return `operator-key-of-${partner}`;
 }
@@ -194,26 +192,29 @@
 }
 
 async function writeEntrySettings(plan: FleetPlan, folder: string, platformUrl: string): Promise<EntrySettingsFile[]> {
-    const peerPlaces = await Promise.all(Array.from({ length: plan.entryCount }, findPeerPlace));
-    const seeds = peerPlaces.map(({ host, port }) => `${host}:${port}`);
-    return peerPlaces.map((peerPlace, index) => {
+    const peerListenAddresses = await Promise.all(Array.from({ length: plan.entryCount }, findPeerListenAddress));
+    const seeds = peerListenAddresses.map(({ host, port }) => `${host}:${port}`);
+    return peerListenAddresses.map((peerListenAddress, index) => {
         const processId = `entry-${index + 1}`;
         const logFile = path.join(folder, `${processId}.log`);
         const settingsFile = path.join(folder, `${processId}.yaml`);
         const zone = plan.availabilityZones[index % plan.availabilityZones.length] ?? "zone-1";
-        const settings = createEntrySettings({ plan, processId, zone, peerPlace, seeds, platformUrl, logFile });
+        const settings = createEntrySettings({ plan, processId, zone, peerListenAddress, seeds, platformUrl, logFile });
         writeFileSync(settingsFile, stringify(settings));
         return { settingsFile, processId, logFile };
     });
 }
 
-interface PeerPlace {
+interface PeerListenAddress {
     readonly host: string;
     readonly port: number;
 }
 
-/** Peers must know each other's ports before any of them starts; at a host of its own, a port stays free until then. */
-async function findPeerPlace(): Promise<PeerPlace> {
+/**
+ * Finds a free address for the peer listener. The addresses are the seeds in every settings file, so they must be known
+ * before any process starts. Each process has its own loopback host, so that the port stays free until then.
+ */
+async function findPeerListenAddress(): Promise<PeerListenAddress> {
     const host = allocateLoopbackHost();
     return { host, port: await findFreePort(host) };
 }
@@ -222,7 +223,7 @@
     readonly plan: FleetPlan;
     readonly processId: string;
     readonly zone: string;
-    readonly peerPlace: PeerPlace;
+    readonly peerListenAddress: PeerListenAddress;
     readonly seeds: readonly string[];
     readonly platformUrl: string;
     readonly logFile: string;
@@ -239,7 +240,7 @@
             drainMilliseconds: 20_000,
         },
         peers: {
-            listen: input.peerPlace,
+            listen: input.peerListenAddress,
             seeds: input.seeds,
             secret: { environment: "DAISYTURN_PEER_SECRET" },
         },
--- a/packages/daisyturn-standins/src/fleet/operatorClient.ts
+++ b/packages/daisyturn-standins/src/fleet/operatorClient.ts
@@ -2,10 +2,9 @@
 import { randomUUID } from "node:crypto";
 import { request } from "undici";
 
-/** How long one call of an operator may take. */
 const callLimitMilliseconds = 20_000;
 
-/** Publishes a change at one entry process; throws with the body's text if it is refused. */
+/** Publishes a change through one entry process. Throws an error with the status and the body if it is refused. */
 export async function publishChange(
     operatorUrl: string,
     key: string,
--- a/packages/daisyturn-standins/src/fleet/partnerConfiguration.ts
+++ b/packages/daisyturn-standins/src/fleet/partnerConfiguration.ts
@@ -13,7 +13,7 @@
 import { hashText } from "daisyturn-utils";
 import type { EnginePlan, Fleet, ServicePlan } from "./launchFleet.js";
 
-/** The two partners of the stand-in fleet. */
+/** Partners of the stand-in fleet. */
 export enum PartnerName {
     Nyamata = "nyamata",
     Jizdenka = "jizdenka",
@@ -35,18 +35,18 @@
     Small = "small",
 }
 
-/** Key of the partner's only caller account. */
+/** Returns the key of the partner's only client account. */
 export function createCallerKey(partner: PartnerName): string {
     return `caller-key-of-${partner}`;
 }
 
-/** Everything that one partner publishes besides targets; `limits` replace those of its profiles. */
+/** Creates all items of a partner except its targets; `limits` override those of its profiles. */
 export function createPartnerItems(partner: PartnerName, limits: Partial<Profile> = {}): ConfigurationItem[] {
     const items = partner === PartnerName.Nyamata ? createNyamataItems(limits) : createJizdenkaItems(limits);
     return [...items, createAccount(partner, items)];
 }
 
-/** Registration of every target of the fleet. */
+/** Creates an item for each target of the fleet. */
 export function createTargetItems(
     partner: PartnerName,
     enginePlans: readonly EnginePlan[],
@@ -76,12 +76,12 @@
     return [...engines, ...services];
 }
 
-/** Turns items into the steps of a change that writes them. */
+/** Creates a change that puts all of the items. */
 export function putItems(items: readonly ConfigurationItem[]): PutItem[] {
     return items.map(item => ({ action: ChangeAction.Put, item }));
 }
 
-/** Builds a profile from what tells it from the others. */
+/** Creates a profile with default limits; `limits` override them. */
 export function createProfile(
     partner: PartnerName,
     name: string,
--- a/packages/daisyturn-standins/src/fleet/publishFleet.ts
+++ b/packages/daisyturn-standins/src/fleet/publishFleet.ts
@@ -3,7 +3,7 @@
 import { publishChange } from "./operatorClient.js";
 import { createPartnerItems, createTargetItems, PartnerName, putItems } from "./partnerConfiguration.js";
 
-/** Publishes the targets and each partner's items at the first entry process; the answers in order. */
+/** Publishes the targets and each partner's items through the first entry process. Returns one answer per partner. */
 export async function publishFleet(fleet: Fleet, plan: FleetPlan): Promise<ChangeAnswer[]> {
     const [first] = fleet.entries;
     const answers: ChangeAnswer[] = [];
--- a/packages/daisyturn-standins/src/fleet/startTogether.ts
+++ b/packages/daisyturn-standins/src/fleet/startTogether.ts
@@ -1,6 +1,6 @@
 /**
- * Waits until all of these have started. If one has failed, throws its error, but only once all others have started or
- * failed too: a program that starts after its launcher has given up would run on unseen.
+ * Waits until all starts have settled, then returns their results or throws the error of the first that failed in the
+ * order of the list. It does not throw earlier, because the launcher could not end a program that starts later.
  */
 export async function startTogether<Started>(starts: readonly Promise<Started>[]): Promise<Started[]> {
     const settled = await Promise.allSettled(starts);
--- a/packages/daisyturn-standins/src/load/callerClient.ts
+++ b/packages/daisyturn-standins/src/load/callerClient.ts
@@ -163,7 +163,7 @@
     let longestGap = 0;
     const decoder = new TextDecoder();
     for await (const piece of answer.body) {
-        if (!collector.take(decoder.decode(piece as Uint8Array, { stream: true }))) {
+        if (!collector.append(decoder.decode(piece as Uint8Array, { stream: true }))) {
             continue;
         }
         const now = performance.now();
--- a/packages/daisyturn-standins/src/load/eventStreamText.ts
+++ b/packages/daisyturn-standins/src/load/eventStreamText.ts
@@ -1,19 +1,19 @@
-/** What was read of a streamed completion. */
+/** The part of a streamed completion that was received so far. */
 export interface StreamedText {
-    /** Text of the tokens received. */
+    /** Text of the tokens received so far. */
     readonly text: string;
-    /** Tokens received, as told by the last event's id. */
+    /** Number of tokens received, from the id of the last event. */
     readonly offset: number;
-    /** Whether the mark of the end was seen. */
+    /** Whether the `[DONE]` event was received. */
     readonly ended: boolean;
-    /** Error object that the stream ended with, as JSON. */
+    /** Error object of the stream, as JSON. */
     readonly errorText?: string;
 }
 
-/** Collects the text of a completion from server-sent events as they arrive in pieces. */
+/** Collects the text of a completion from chunks of a server-sent event stream. */
 export interface EventStreamText {
-    /** Takes a piece; returns whether it brought text. */
-    take(piece: string): boolean;
+    /** Parses a chunk of the stream; returns whether it contained text. */
+    append(piece: string): boolean;
     result(): StreamedText;
 }
 
@@ -24,7 +24,6 @@
 
 const doneData = "[DONE]";
 
-/** Creates a collector. */
 export function createEventStreamText(): EventStreamText {
     let rest = "";
     let text = "";
@@ -32,7 +31,7 @@
     let ended = false;
     let errorText: string | undefined;
 
-    const takeData = (data: string) => {
+    const appendData = (data: string) => {
         if (data === doneData) {
             ended = true;
             return false;
@@ -47,19 +46,19 @@
         return piece !== "";
     };
 
-    const takeLine = (line: string) => {
+    const appendLine = (line: string) => {
         if (line.startsWith("id: ")) {
             offset = Number(line.slice("id: ".length));
             return false;
         }
-        return line.startsWith("data: ") && takeData(line.slice("data: ".length));
+        return line.startsWith("data: ") && appendData(line.slice("data: ".length));
     };
 
-    const take = (piece: string) => {
+    const append = (piece: string) => {
         const lines = (rest + piece).split("\n");
         rest = lines.pop() ?? "";
-        return lines.filter(takeLine).length > 0;
+        return lines.filter(appendLine).length > 0;
     };
 
-    return { take, result: () => ({ text, offset, ended, errorText }) };
+    return { append, result: () => ({ text, offset, ended, errorText }) };
 }
