--- a/packages/daisyturn-standins/src/platform/__tests__/createPlatformServer.test.ts
+++ b/packages/daisyturn-standins/src/platform/__tests__/createPlatformServer.test.ts
@@ -40,7 +40,7 @@
 }
 
 describe("createPlatformServer", () => {
-    it("carries transactions, conflicts, deletes, reads and lists over HTTP", async () => {
+    it("serves transactions, conflicts, deletes, reads and lists over HTTP", async () => {
         await withTables({}, async tables => {
             const first = await tables.transact(createRowOnce("a/1", "w1"), soon());
             assert.deepEqual(first, { outcome: TransactionOutcome.Committed, version: 1 });
@@ -57,7 +57,7 @@
         });
     });
 
-    it("tells a refused connection (not sent) from an answer lost after the commit (unknown)", async () => {
+    it("reports a refused connection as not sent, and an answer lost after the commit as unknown", async () => {
         await withTables({ faults: { loseAnswers: 1 } }, async (tables, server) => {
             const lost = await tables.transact(createRowOnce("a", "w1"), soon());
             assert.equal(lost.outcome, TransactionOutcome.Unknown);
@@ -71,7 +71,7 @@
     });
 
     for (const down of [OutageKind.Hang, OutageKind.Reset, OutageKind.ErrorPage]) {
-        it(`leaves a transaction unknown while the platform is down (${down})`, async () => {
+        it(`reports the outcome of a transaction as unknown during an outage (${down})`, async () => {
             await withTables({ faults: { down } }, async tables => {
                 const answer = await tables.transact(createRowOnce("a", "w1"), clock.monotonicNow() + 100);
                 assert.equal(answer.outcome, TransactionOutcome.Unknown);
@@ -79,7 +79,7 @@
         });
     }
 
-    it("throttles writes over the rate", async () => {
+    it("throttles writes above the configured rate", async () => {
         await withTables({ faults: { writesPerSecond: 0.001 } }, async tables => {
             const first = await tables.transact(createRowOnce("a", "w1"), soon());
             assert.equal(first.outcome, TransactionOutcome.Committed);
@@ -88,7 +88,7 @@
         });
     });
 
-    it("keeps objects, limits weight grants and shows the list of VMs late", async () => {
+    it("stores objects, limits weight grants and delays changes of the list of VMs", async () => {
         const live = { vmId: "vm-1", address: "10.0.0.1", availabilityZone: "a", state: VmState.Live };
         const server = await createPlatformServer({
             vms: [live],
--- a/packages/daisyturn-standins/src/platform/controlRoutes.ts
+++ b/packages/daisyturn-standins/src/platform/controlRoutes.ts
@@ -6,19 +6,19 @@
 import { platformFaultsSchema } from "./platformFaults.js";
 import type { PlatformState } from "./platformState.js";
 
-/** Paths that set the stand-in itself; they answer also while the platform is down. */
+/** Paths that control the stand-in itself. They work also during a simulated outage. */
 export enum ControlPath {
     /** POST: changes the faults. */
     Faults = "/control/faults",
-    /** POST: puts an entry into the list of VMs. */
+    /** POST: adds an entry to the list of VMs, or replaces the one with the same id. */
     Vms = "/control/vms",
-    /** POST: takes an entry, named by `vmId`, out of the list of VMs. */
+    /** POST: removes the entry with the given `vmId` from the list of VMs. */
     RemoveVm = "/control/vms/remove",
-    /** GET: calls so far. */
+    /** GET: counts of the calls since the start. */
     Counts = "/control/counts",
 }
 
-/** An entry of the list of VMs, as the control path and the program's file give it. */
+/** An entry of the list of VMs, as in requests to {@link ControlPath.Vms} and in the file given by `--vms`. */
 export const vmEntrySchema = z.object({
     vmId: z.string(),
     address: z.string(),
@@ -28,7 +28,7 @@
 
 const vmNameSchema = z.object({ vmId: z.string() });
 
-/** Answers requests that set the stand-in; false for any other path. */
+/** Handles requests to the control paths; returns false for any other path. */
 export function handleControl(state: PlatformState, path: string, body: string, response: ServerResponse): boolean {
     switch (path) {
         case ControlPath.Faults:
--- a/packages/daisyturn-standins/src/platform/createPlatformServer.ts
+++ b/packages/daisyturn-standins/src/platform/createPlatformServer.ts
@@ -10,14 +10,14 @@
 import { handleResource } from "./resourceRoutes.js";
 import { handleTable } from "./tableRoutes.js";
 
-/** What the platform's stand-in starts with. */
+/** Options of the platform's stand-in. */
 export interface PlatformServerOptions {
-    /** TCP port on the loopback address; 0 or none takes a free one. */
+    /** TCP port on the loopback address. Default: 0, which selects a free port. */
     readonly port?: number;
     readonly vms?: readonly VmEntry[];
     readonly faults?: Partial<PlatformFaults>;
     readonly clock?: Clock;
-    /** Seed of the choice of requests that go wrong. */
+    /** Seed of the random choice of the requests that fail. */
     readonly seed?: number;
 }
 
@@ -26,7 +26,7 @@
     setFaults(faults: Partial<PlatformFaults>): void;
     registerVm(entry: VmEntry): void;
     removeVm(vmId: string): void;
-    /** Calls so far. */
+    /** Counts of the calls since the start. */
     counts(): PlatformState["counts"];
 }
 
@@ -70,7 +70,7 @@
     };
 }
 
-/** True if the outage has dealt with the request. */
+/** Returns true if there is an outage, which then decides how the request ends. */
 function failByOutage(down: OutageKind, response: ServerResponse): boolean {
     switch (down) {
         case OutageKind.None:
--- a/packages/daisyturn-standins/src/platform/laggingVmList.ts
+++ b/packages/daisyturn-standins/src/platform/laggingVmList.ts
@@ -1,13 +1,13 @@
 import type { VmEntry, VmListing } from "daisyturn";
 import type { Clock } from "daisyturn-utils";
 
-/** The list of VMs as the stand-in keeps it: changed at once, shown late. */
+/** A list of VMs whose changes become visible only after a lag. */
 export interface LaggingVmList {
-    /** Puts an entry in place of the one with the same id. */
+    /** Adds an entry, or replaces the one with the same id. */
     register(entry: VmEntry): void;
-    /** Takes an entry out: the VM is gone. */
+    /** Removes the entry of a VM that no longer exists. */
     remove(vmId: string): void;
-    /** The list as it stood `vmLagMilliseconds` ago. */
+    /** Returns the list as it was `vmLagMilliseconds` ago. */
     show(): VmListing;
 }
 
@@ -16,7 +16,7 @@
     readonly entries: readonly VmEntry[];
 }
 
-/** Creates the list. What it starts with is shown at once. */
+/** Creates the list. The initial entries are visible at once. */
 export function createLaggingVmList(
     clock: Clock,
     initial: readonly VmEntry[],
--- a/packages/daisyturn-standins/src/platform/platformFaults.ts
+++ b/packages/daisyturn-standins/src/platform/platformFaults.ts
@@ -1,42 +1,42 @@
 import { z } from "zod";
 
-/** How the platform's services fail while they are down. */
+/** How the platform's services fail during an outage. */
 export enum OutageKind {
     None = "none",
-    /** Each connection breaks once its request has been read. */
+    /** The connection is closed after the request has been read; the request does not run. */
     Reset = "reset",
-    /** No request is answered; none runs. */
+    /** No request runs and none is answered. */
     Hang = "hang",
-    /** Every request is answered with status 503 and no statement of an outcome. */
+    /** Each request is answered with status 503 and a body that does not state the outcome. */
     ErrorPage = "error_page",
 }
 
-/** What a write counts against the write rate. */
+/** The unit of the write rate. */
 export enum WriteUnit {
     Transaction = "transaction",
     Row = "row",
 }
 
-/** Faults of the platform's stand-in and the rates it keeps to. */
+/** Faults and rate limits of the platform's stand-in. */
 export interface PlatformFaults {
     readonly down: OutageKind;
-    /** Added to each request before it runs. */
+    /** Delay before each request runs. */
     readonly slowMilliseconds: number;
-    /** Part of the transactions, from 0 to 1, that commit but whose connection breaks before the answer. */
+    /** Fraction of the transactions, from 0 to 1, that commit but whose connection is closed before the answer. */
     readonly loseAnswers: number;
-    /** Part of the transactions, from 0 to 1, whose connection breaks at once and which commit later. */
+    /** Fraction of the transactions, from 0 to 1, whose connection is closed at once and which commit later. */
     readonly commitLate: number;
-    /** How much later those commit. */
+    /** Delay of the commits that `commitLate` selects. */
     readonly commitLateMilliseconds: number;
     readonly writesPerSecond: number;
     readonly writeUnit: WriteUnit;
     readonly readsPerSecond: number;
     readonly weightGrantsPerSecond: number;
-    /** How far the list of VMs lags. */
+    /** Time until a change of the list of VMs becomes visible. */
     readonly vmLagMilliseconds: number;
 }
 
-/** A platform in good order at the size that its users name. */
+/** No faults, and the rate limits and the lag that users of the platform state. */
 export const defaultPlatformFaults: PlatformFaults = {
     down: OutageKind.None,
     slowMilliseconds: 0,
@@ -53,7 +53,7 @@
 const fraction = z.number().min(0).max(1);
 const amount = z.number().nonnegative();
 
-/** Checks a change of the faults; what it leaves out stays as it is. */
+/** Schema of a change of the faults. Fields that are left out stay unchanged. */
 export const platformFaultsSchema = z.strictObject({
     down: z.enum(OutageKind),
     slowMilliseconds: amount,
--- a/packages/daisyturn-standins/src/platform/platformState.ts
+++ b/packages/daisyturn-standins/src/platform/platformState.ts
@@ -4,15 +4,14 @@
 import { defaultPlatformFaults, type PlatformFaults } from "./platformFaults.js";
 import { createRateLimit } from "./rateLimit.js";
 
-/** What the platform's stand-in holds. */
+/** State of the platform's stand-in. */
 export type PlatformState = ReturnType<typeof createPlatformState>;
 
-/** What it starts with. */
 export interface PlatformStateOptions {
     readonly clock: Clock;
     readonly vms: readonly VmEntry[];
     readonly faults: Partial<PlatformFaults>;
-    /** Seed of the choice of requests that go wrong. */
+    /** Seed of the random choice of the requests that fail. */
     readonly seed: number;
 }
 
@@ -28,7 +27,7 @@
         writeLimit: createRateLimit(clock, () => current.writesPerSecond),
         readLimit: createRateLimit(clock, () => current.readsPerSecond),
         weightGrantLimit: createRateLimit(clock, () => current.weightGrantsPerSecond),
-        /** Calls so far. */
+        /** Counts of the calls since the start. */
         counts: { requests: 0, transactions: 0, committed: 0, rowsWritten: 0, reads: 0, throttled: 0, weightGrants: 0 },
         faults: () => current,
         setFaults: (change: Partial<PlatformFaults>) => {
--- a/packages/daisyturn-standins/src/platform/rateLimit.ts
+++ b/packages/daisyturn-standins/src/platform/rateLimit.ts
@@ -1,30 +1,30 @@
 import type { Clock } from "daisyturn-utils";
 
-/** Lets through so many units a second, with a second's worth saved up at most. */
+/** A token bucket: its capacity is the units of one second, and at least one unit. */
 export interface RateLimit {
-    /** Takes units if there are as many; otherwise takes none. */
-    tryTake(units: number): boolean;
-    /** Wall-clock time at which one unit will be there. */
+    /** Consumes the units if all of them are available; otherwise consumes none. */
+    tryAcquire(units: number): boolean;
+    /** Wall-clock time at which one unit is available. */
     nextUnitAt(): number;
 }
 
 const millisecondsPerSecond = 1_000;
 
-/** Creates a limit whose rate may change between calls. */
+/** Creates a rate limit; the rate may change between calls. */
 export function createRateLimit(clock: Clock, unitsPerSecond: () => number): RateLimit {
-    const mostUnits = () => Math.max(1, unitsPerSecond());
-    let units = mostUnits();
+    const maxUnits = () => Math.max(1, unitsPerSecond());
+    let units = maxUnits();
     let refilledAt = clock.monotonicNow();
 
     const refill = () => {
         const now = clock.monotonicNow();
         const rate = unitsPerSecond();
-        units = Math.min(mostUnits(), units + (now - refilledAt) * rate / millisecondsPerSecond);
+        units = Math.min(maxUnits(), units + (now - refilledAt) * rate / millisecondsPerSecond);
         refilledAt = now;
     };
 
     return {
-        tryTake: wanted => {
+        tryAcquire: wanted => {
             refill();
             if (units < wanted) {
                 return false;
--- a/packages/daisyturn-standins/src/platform/resourceRoutes.ts
+++ b/packages/daisyturn-standins/src/platform/resourceRoutes.ts
@@ -8,7 +8,7 @@
 const grantRequestSchema = z.object({ artifact: z.string() });
 const grantValidMilliseconds = 60_000;
 
-/** Answers requests to the object store, the weight store and the list of VMs; false for any other path. */
+/** Handles requests to the object store, the weight store and the list of VMs; returns false for any other path. */
 export function handleResource(
     state: PlatformState,
     method: string | undefined,
@@ -54,7 +54,7 @@
     response: ServerResponse,
 ): void {
     const { artifact } = grantRequestSchema.parse(JSON.parse(body));
-    if (!weightGrantLimit.tryTake(1)) {
+    if (!weightGrantLimit.tryAcquire(1)) {
         answerJson(response, HttpStatus.TooManyRequests, { retryAt: weightGrantLimit.nextUnitAt() });
         return;
     }
--- a/packages/daisyturn-standins/src/platform/tableRoutes.ts
+++ b/packages/daisyturn-standins/src/platform/tableRoutes.ts
@@ -26,10 +26,10 @@
 const listSchema = z.object({ prefix: z.string(), limit: z.number(), afterKey: z.string().optional() });
 
 const throttledAnswer: TransactionAnswer = { outcome: TransactionOutcome.Rejected, cause: RejectionCause.Throttled };
-/** The stand-in's table service stands in memory and knows no deadline. */
+/** The table service of the stand-in runs in memory, so its calls need no deadline. */
 const noDeadline = Number.POSITIVE_INFINITY;
 
-/** Answers requests to the table service; false for any other path. */
+/** Handles requests to the table service; returns false for any other path. */
 export async function handleTable(
     state: PlatformState,
     path: string,
@@ -64,7 +64,7 @@
     const { counts, faults, random, clock } = state;
     counts.transactions += 1;
     const units = faults().writeUnit === WriteUnit.Row ? transaction.writes.length : 1;
-    if (!state.writeLimit.tryTake(units)) {
+    if (!state.writeLimit.tryAcquire(units)) {
         counts.throttled += 1;
         answerJson(response, HttpStatus.TooManyRequests, throttledAnswer);
         return;
@@ -98,7 +98,7 @@
     readRows: () => Promise<Result<readonly Row[], Failure>>,
 ): Promise<void> {
     counts.reads += 1;
-    if (!readLimit.tryTake(1)) {
+    if (!readLimit.tryAcquire(1)) {
         counts.throttled += 1;
         answerJson(response, HttpStatus.TooManyRequests, {});
         return;
@@ -106,7 +106,7 @@
     answerJson(response, HttpStatus.Ok, { rows: (await readRows()).unwrapOr([]) });
 }
 
-/** A write without a value deletes; JSON leaves the field out. */
+/** A write whose value is undefined deletes the row. JSON omits such a field, so it is added here. */
 function parseTransaction(body: string): Transaction {
     const transaction = transactionSchema.parse(JSON.parse(body));
     const writes = transaction.writes.map(write => ({ ...write, value: write.value }));
--- a/packages/daisyturn-standins/src/service/__tests__/createServiceServer.test.ts
+++ b/packages/daisyturn-standins/src/service/__tests__/createServiceServer.test.ts
@@ -27,7 +27,7 @@
 }
 
 describe("createServiceServer", () => {
-    it("runs a call once and shows it", async test => {
+    it("runs a call once and lists it under /executions", async test => {
         const { server, invoke } = await startServiceRig(test);
         const answer = await invoke("call-1");
         assert.equal(answer.isOk && answer.value.body, JSON.stringify({ confirmation: "desk-1-1", quote: "q-17" }));
@@ -43,7 +43,7 @@
         { kind: ServiceFaultKind.Refuse, verdict: ExecutionVerdict.NotRun, executions: 0 },
     ];
     for (const { kind, verdict, executions } of faults) {
-        it(`gives ${verdict} after the fault ${kind}`, async test => {
+        it(`reports the verdict ${verdict} after the fault ${kind}`, async test => {
             const { server, invoke } = await startServiceRig(test);
             server.setFaults({ kind, count: 1 });
             const answer = await invoke("call-1");
--- a/packages/daisyturn-standins/src/service/answerServiceCall.ts
+++ b/packages/daisyturn-standins/src/service/answerServiceCall.ts
@@ -1,6 +1,6 @@
 /**
- * What the stand-in answers. Calls that must not run twice name the execution, so that two executions of one call give
- * different answers; the others depend on the request alone.
+ * Creates the answer to a call. The answers to `confirm` and `issue`, which must not run twice, contain the number of
+ * the execution, so that two executions of one call give different answers. Other answers depend on the request alone.
  */
 export function answerServiceCall(serviceId: string, execution: number, url: URL, body: string): object {
     const [, call = "", ...rest] = url.pathname.split("/");
--- a/packages/daisyturn-standins/src/service/createServiceServer.ts
+++ b/packages/daisyturn-standins/src/service/createServiceServer.ts
@@ -7,7 +7,7 @@
 import { answerServiceCall } from "./answerServiceCall.js";
 import { countExecutions, type Execution } from "./executions.js";
 
-/** Where a call is made to fail. */
+/** The point at which a call fails. */
 export enum ServiceFaultKind {
     None = "none",
     /** The connection is reset before the call runs. */
@@ -16,22 +16,21 @@
     ResetAfter = "reset_after",
     /** The call runs, and the connection is reset after half of the answer. */
     ResetDuring = "reset_during",
-    /** The call is refused as not run. */
+    /** The call does not run, and the answer says so. */
     Refuse = "refuse",
     /** The call runs and gets no answer. */
     Hang = "hang",
 }
 
-/** Fault settings, also taken by `POST /faults`. */
+/** Schema of the faults; also the body of `POST /faults`. */
 export const serviceFaultsSchema = z.object({
     kind: z.enum(ServiceFaultKind).default(ServiceFaultKind.None),
-    /** Calls that it applies to; afterwards calls are answered again. */
+    /** Number of calls that fail; later calls are answered. */
     count: z.number().int().nonnegative().default(Number.MAX_SAFE_INTEGER),
-    /** Milliseconds before the call runs. */
+    /** Delay before each call runs. */
     delayMilliseconds: z.number().nonnegative().default(0),
 });
 
-/** Settings of one plain service stand-in. */
 export interface ServiceOptions {
     readonly id: string;
     readonly host?: string;
@@ -45,7 +44,7 @@
     setFaults(faults: z.input<typeof serviceFaultsSchema>): void;
 }
 
-/** Starts a plain service: quote confirmation, ticket issue and reprint, lookup. Every call that runs is recorded. */
+/** Starts a plain service: quote confirmation, ticket issue and reprint, lookup. It records each call that runs. */
 export async function createServiceServer(
     options: ServiceOptions,
     clock: Clock = new SystemClock(),
@@ -58,7 +57,7 @@
         faults = serviceFaultsSchema.parse(next);
     };
 
-    const takeFault = (): ServiceFaultKind => {
+    const consumeFault = (): ServiceFaultKind => {
         if (faults.kind === ServiceFaultKind.None || faults.count === 0) {
             return ServiceFaultKind.None;
         }
@@ -70,7 +69,7 @@
         const body = await readBody(request);
         const callId = String(request.headers[callIdHeader] ?? "");
         const headers = { [callIdHeader]: callId };
-        const fault = takeFault();
+        const fault = consumeFault();
         await clock.sleepUntil(clock.monotonicNow() + faults.delayMilliseconds, stopper.signal);
         if (fault === ServiceFaultKind.ResetBefore) {
             request.socket.resetAndDestroy();
--- a/packages/daisyturn-standins/src/service/executions.ts
+++ b/packages/daisyturn-standins/src/service/executions.ts
@@ -1,4 +1,4 @@
-/** One call that was carried out. */
+/** A call that ran. */
 export interface Execution {
     readonly callId: string;
     readonly idempotencyKey?: string;
@@ -7,7 +7,7 @@
     readonly body: string;
 }
 
-/** How often calls ran, by what a test may know of them. More than 1 under a call id or key is a fault. */
+/** How often calls ran. More than 1 for a call id or an idempotency key is a fault. */
 export interface ExecutionCounts {
     readonly byCallId: Readonly<Record<string, number>>;
     readonly byIdempotencyKey: Readonly<Record<string, number>>;
@@ -15,7 +15,6 @@
     readonly byContent: Readonly<Record<string, number>>;
 }
 
-/** Counts the executions. */
 export function countExecutions(executions: readonly Execution[]): ExecutionCounts {
     return {
         byCallId: countBy(executions, execution => execution.callId),
@@ -26,10 +25,10 @@
 
 function countBy(
     executions: readonly Execution[],
-    nameOf: (execution: Execution) => string | undefined,
+    keyOf: (execution: Execution) => string | undefined,
 ): Readonly<Record<string, number>> {
     const counts = new Map<string, number>();
-    for (const name of executions.map(nameOf)) {
+    for (const name of executions.map(keyOf)) {
         if (name !== undefined) {
             counts.set(name, (counts.get(name) ?? 0) + 1);
         }
--- a/packages/daisyturn-standins/src/service/runService.ts
+++ b/packages/daisyturn-standins/src/service/runService.ts
@@ -3,7 +3,7 @@
 import { runUntilTerminated } from "../runUntilTerminated.js";
 import { createServiceServer } from "./createServiceServer.js";
 
-/** Runs one plain service stand-in as a process of its own. */
+// Runs one plain service stand-in as a separate process.
 const flags = await yargs(hideBin(process.argv))
     .option("id", { type: "string", demandOption: true })
     .option("port", { type: "number", default: 0 })
