--- a/packages/daisyturn-standins/src/load/callerClient.ts
+++ b/packages/daisyturn-standins/src/load/callerClient.ts
@@ -6,37 +6,37 @@
 /** How a caller's request ended. */
 export enum CallOutcome {
     Answered = "answered",
-    /** Refused and not run. */
+    /** Refused with the verdict that the request did not run. */
     Refused = "refused",
-    /** Told that it may have run. */
+    /** Failed with the verdict that the request may have run. */
     Unknown = "unknown",
-    /** No final word at all. */
+    /** No final answer: the connection failed, or the stream ended early. */
     Lost = "lost",
 }
 
-/** What the caller saw of one request. */
+/** Outcome and times of one request, as seen by the caller. */
 export interface CallRecord {
     readonly outcome: CallOutcome;
     readonly text: string;
     readonly reason?: string;
-    /** Times that the caller went to another entry process. */
+    /** Number of times that the caller retried at the next entry process. */
     readonly moves: number;
     /** Monotonic times in milliseconds. */
     readonly startedAt: number;
     readonly firstTokenAt?: number;
     readonly endedAt: number;
-    /** Longest time between two arrivals of tokens, in milliseconds. */
+    /** Longest time between two successive arrivals of text, in milliseconds. */
     readonly longestGap: number;
 }
 
-/** A completion to ask for. */
+/** A request for a completion. */
 export interface CompletionCall {
     readonly service: string;
     readonly prompt: string;
     readonly maxTokens: number;
 }
 
-/** A call to a plain service. */
+/** A call of a plain service. */
 export interface PlainCall {
     readonly method: "GET" | "POST";
     /** Path with the service's name, such as `/services/quotes/confirm`. */
@@ -45,19 +45,18 @@
     readonly body?: string;
 }
 
-/** A caller of one partner, who knows several entry processes and moves on when one fails. */
+/** A caller of one partner. It retries at the next entry process if one fails. */
 export interface CallerClient {
     complete(call: CompletionCall): Promise<CallRecord>;
     invoke(call: PlainCall): Promise<CallRecord>;
     close(): Promise<void>;
 }
 
-/** Who calls and where. */
 export interface CallerClientOptions {
     readonly key: string;
-    /** Entry processes that may be used now; asked before each try. */
+    /** Returns the addresses of the usable entry processes. Called before each attempt. */
     readonly entryUrls: () => readonly string[];
-    /** Tries of one request over all entry processes. */
+    /** Maximum number of attempts of one request, over all entry processes. */
     readonly maximumTries?: number;
 }
 
@@ -67,7 +66,7 @@
     readonly reason?: string;
     readonly firstTokenAt?: number;
     readonly longestGap: number;
-    /** Milliseconds that the answer asks to wait before another try. */
+    /** Delay in milliseconds before the next attempt, from the `retry-after` header. */
     readonly retryAfter?: number;
 }
 
@@ -76,7 +75,7 @@
 const millisecondsPerSecond = 1000;
 const okStatus = 200;
 
-/** Creates a caller. Entry processes are taken in turn. */
+/** Creates a caller. It uses the entry processes in round-robin order. */
 export function createCallerClient(options: CallerClientOptions): CallerClient {
     const dispatcher = new Agent({ headersTimeout: answerLimitMilliseconds, bodyTimeout: answerLimitMilliseconds });
     const maximumTries = options.maximumTries ?? defaultMaximumTries;
@@ -145,7 +144,7 @@
     return { complete, invoke, close: () => dispatcher.close() };
 }
 
-/** A connection that fails gives no word about the request: the caller asks another entry process. */
+/** Converts an error of the connection to an attempt that is lost, which is retried at the next entry process. */
 async function guardConnection(attempt: () => Promise<Attempt>): Promise<Attempt> {
     try {
         return await attempt();
@@ -173,7 +172,7 @@
     }
     const { text, ended, errorText } = collector.result();
     if (errorText !== undefined) {
-        return { ...judgeError(errorText), text, firstTokenAt, longestGap };
+        return { ...classifyError(errorText), text, firstTokenAt, longestGap };
     }
     return { outcome: ended ? CallOutcome.Answered : CallOutcome.Lost, text, firstTokenAt, longestGap };
 }
@@ -182,10 +181,10 @@
     const text = await answer.body.text();
     const seconds = Number(answer.headers["retry-after"]);
     const retryAfter = Number.isFinite(seconds) ? seconds * millisecondsPerSecond : undefined;
-    return { ...judgeError(text), text: "", longestGap: 0, retryAfter };
+    return { ...classifyError(text), text: "", longestGap: 0, retryAfter };
 }
 
-function judgeError(text: string): Pick<Attempt, "outcome" | "reason"> {
+function classifyError(text: string): Pick<Attempt, "outcome" | "reason"> {
     const isNotRun = text.includes(`"verdict":"${ExecutionVerdict.NotRun}"`);
     return { outcome: isNotRun ? CallOutcome.Refused : CallOutcome.Unknown, reason: text };
 }
--- a/packages/daisyturn-standins/src/load/mixedLoad.ts
+++ b/packages/daisyturn-standins/src/load/mixedLoad.ts
@@ -3,7 +3,6 @@
 import { ModelName, PartnerName, ServiceName } from "../fleet/partnerConfiguration.js";
 import { type CallerClient, CallOutcome, type CallRecord } from "./callerClient.js";
 
-/** Kinds of request in the mix. */
 export enum RequestKind {
     Dossier = "dossier",
     QuickQuestion = "quick question",
@@ -12,18 +11,20 @@
     Ticket = "ticket",
 }
 
-/** One request of the mix and how it ended. */
+/** A request of the mixed load and its result. */
 export interface MixedRecord {
     readonly kind: RequestKind;
     readonly partner: PartnerName;
     readonly record: CallRecord;
-    /** Whether the whole answer is the one that the engine makes, byte for byte. Undefined for plain services. */
+    /**
+     * Whether the answer equals the engine's expected answer byte for byte. Undefined for plain services and for requests
+     * that were not answered.
+     */
     readonly answerMatches?: boolean;
-    /** Body of a call to a plain service; no two are equal. */
+    /** Body of a call to a plain service, unique within the load. */
     readonly callBody?: string;
 }
 
-/** A caller of each partner. */
 export type CallersByPartner = Readonly<Record<PartnerName, CallerClient>>;
 
 interface CompletionKind {
@@ -33,7 +34,7 @@
     readonly model: ModelName;
     readonly promptCharacters: number;
     readonly answerTokens: number;
-    /** Length of the part of the prompt that all requests of this kind share. */
+    /** Length of the prompt prefix that all requests of this kind share. */
     readonly sharedCharacters: number;
 }
 
@@ -70,7 +71,7 @@
 const plainShare = 0.35;
 const letters = "abcdefghijklmnoprstuvz ";
 
-/** Sends one request of the mix, chosen by the generator, and compares its answer. */
+/** Sends one randomly chosen request of the mix and compares its answer with the expected one. */
 export async function sendMixedRequest(
     callers: CallersByPartner,
     random: Random,
@@ -81,7 +82,7 @@
     }
     const chosen = completionKinds[random.integerBelow(completionKinds.length)] ?? completionKinds[0];
     if (!chosen) {
-        throw new Error("no kinds of completion");
+        throw new Error("the list of completion kinds is empty");
     }
     return sendCompletion(callers, chosen, random, number);
 }
@@ -118,7 +119,7 @@
     return { kind, partner, record, callBody };
 }
 
-/** A prompt whose beginning is shared by all of its kind, as a guide or a timetable is. */
+/** Creates a prompt with a prefix that all prompts of the kind share, such as a guide or a timetable. */
 function createPrompt(kind: CompletionKind, random: Random, number: number): string {
     const shared = `${kind.kind} guide `.repeat(Math.ceil(kind.sharedCharacters / kind.kind.length)).slice(
         0,
--- a/packages/daisyturn-standins/src/load/runMixedLoad.ts
+++ b/packages/daisyturn-standins/src/load/runMixedLoad.ts
@@ -3,23 +3,22 @@
 import { createCallerClient } from "./callerClient.js";
 import { type MixedRecord, sendMixedRequest } from "./mixedLoad.js";
 
-/** How much to send, and what to do meanwhile. */
 export interface MixedLoadOptions {
     readonly seed: number;
     readonly requestCount: number;
     readonly requestsPerSecond: number;
-    /** Entry processes that may be used now; asked before each try. */
+    /** Returns the addresses of the usable entry processes. Called before each attempt. */
     readonly entryUrls: () => readonly string[];
-    /** Tries of one request; 1 shows every error that a caller would see. */
+    /** Maximum number of attempts of one request. With 1, no error is hidden by a retry. */
     readonly maximumTries?: number;
-    /** Called after each request was sent; what it returns is waited for. */
+    /** Called after each request is sent. The load ends only after all returned promises have resolved. */
     readonly afterSending?: (number: number) => Promise<void> | undefined;
     readonly onEnded?: (record: MixedRecord) => void;
 }
 
 const millisecondsPerSecond = 1000;
 
-/** Sends the mix of both partners at an even rate and resolves with every record. */
+/** Sends the mixed load of both partners at a constant rate. Resolves with the records in the order of completion. */
 export async function runMixedLoad(options: MixedLoadOptions): Promise<MixedRecord[]> {
     const random = createSeededRandom(options.seed);
     const callers = {
@@ -30,14 +29,14 @@
     const running: (Promise<void> | undefined)[] = [];
     const startedAt = performance.now();
 
-    const keepRecord = (record: MixedRecord) => {
+    const addRecord = (record: MixedRecord) => {
         records.push(record);
         options.onEnded?.(record);
     };
 
     for (let number = 0; number < options.requestCount; number++) {
         await sleepUntil(startedAt + number * millisecondsPerSecond / options.requestsPerSecond);
-        running.push(sendMixedRequest(callers, random, number).then(keepRecord));
+        running.push(sendMixedRequest(callers, random, number).then(addRecord));
         running.push(options.afterSending?.(number));
     }
     await Promise.all(running);
--- a/packages/daisyturn-standins/src/load/runSoak.ts
+++ b/packages/daisyturn-standins/src/load/runSoak.ts
@@ -8,7 +8,7 @@
 import { runMixedLoad } from "./runMixedLoad.js";
 import { summarizeLoad } from "./summarizeLoad.js";
 
-// Many requests of both partners through three entry processes, every answer compared byte for byte:
+// Soak test: sends many requests of both partners through three entry processes and compares each answer byte for byte.
 // node packages/daisyturn-standins/dist/load/runSoak.js [--requests 10000] [--rate 120] [--seed 1]
 
 const flags = await yargs(hideBin(process.argv))
--- a/packages/daisyturn-standins/src/orders/measureTakeover.ts
+++ b/packages/daisyturn-standins/src/orders/measureTakeover.ts
@@ -14,13 +14,13 @@
 import { type ChildProgram, startChildProgram } from "../fleet/childProgram.js";
 import { formatSummary, summarise } from "../measure/summarise.js";
 
-// Measures how long the lease is without a new holder after the old one was killed, paused or stopped:
-// --seeds N --processes N. Prints one line for each way.
+// Measures the time until the lease has a new holder after the old holder is killed, paused or stopped:
+// [--seeds N] [--processes N]. Prints one line for each of these.
 const { values } = parseArgs({
     options: { seeds: { type: "string", default: "8" }, processes: { type: "string", default: "4" } },
 });
 
-/** How a holder ends. */
+/** How the holder of the lease is ended. */
 enum HolderEnd {
     Killed = "killed",
     Paused = "paused",
@@ -28,11 +28,11 @@
 }
 
 const here = path.dirname(fileURLToPath(import.meta.url));
-const lookMilliseconds = 10;
-/** Renewals fall at other moments of the lease in each run. */
-const shortestHoldMilliseconds = 2_000;
+const pollIntervalMilliseconds = 10;
+/** The hold time differs from run to run, so that the holder ends at different times after its last renewal. */
+const minHoldMilliseconds = 2_000;
 const holdSpreadMilliseconds = 1_500;
-const longestTakeoverMilliseconds = 60_000;
+const maxTakeoverMilliseconds = 60_000;
 
 const clock = new SystemClock();
 
@@ -42,21 +42,21 @@
     return row && parseFencingValue(row.value);
 }
 
-/** Resolves with the holder once it has a greater number than `above` and has not released the lease. */
+/** Resolves once there is a holder with a fencing number greater than `above` that has not released the lease. */
 async function awaitHolder(table: TableService, above: number): Promise<FencingValue> {
-    const limit = clock.monotonicNow() + longestTakeoverMilliseconds;
+    const limit = clock.monotonicNow() + maxTakeoverMilliseconds;
     while (clock.monotonicNow() < limit) {
         const holder = await readHolder(table);
         if (holder && holder.fencingNumber > above && !holder.released) {
             return holder;
         }
-        await delay(lookMilliseconds);
+        await delay(pollIntervalMilliseconds);
     }
-    throw new Error("nobody took the lease");
+    throw new Error("no process acquired the lease within 60 s");
 }
 
-function end(program: ChildProgram, way: HolderEnd): void {
-    switch (way) {
+function end(program: ChildProgram, holderEnd: HolderEnd): void {
+    switch (holderEnd) {
         case HolderEnd.Killed:
             void program.kill();
             break;
@@ -69,7 +69,7 @@
     }
 }
 
-async function measureOnce(way: HolderEnd, seed: number): Promise<number> {
+async function measureOnce(holderEnd: HolderEnd, seed: number): Promise<number> {
     const platform = await startChildProgram("platform", path.join(here, "../platform/runPlatform.js"), [
         "--port",
         "0",
@@ -91,10 +91,10 @@
     );
     try {
         const first = await awaitHolder(tableService, 0);
-        await delay(shortestHoldMilliseconds + (seed * 397) % holdSpreadMilliseconds);
+        await delay(minHoldMilliseconds + (seed * 397) % holdSpreadMilliseconds);
         const holder = programs.find(program => program.words.get("incarnation") === first.holder.incarnation)!;
         const endedAt = clock.monotonicNow();
-        end(holder, way);
+        end(holder, holderEnd);
         await awaitHolder(tableService, first.fencingNumber);
         return clock.monotonicNow() - endedAt;
     }
@@ -105,13 +105,13 @@
     }
 }
 
-for (const way of Object.values(HolderEnd)) {
-    const figures: number[] = [];
+for (const holderEnd of Object.values(HolderEnd)) {
+    const durations: number[] = [];
     for (let seed = 1; seed <= Number(values.seeds); seed++) {
-        figures.push(await measureOnce(way, seed));
+        durations.push(await measureOnce(holderEnd, seed));
     }
     const load = os.loadavg()[0]!.toFixed(1);
     process.stdout.write(
-        `${way}: median ${formatSummary(summarise(figures))} ms, n=${figures.length}, machine load ${load}\n`,
+        `${holderEnd}: median ${formatSummary(summarise(durations))} ms, n=${durations.length}, machine load ${load}\n`,
     );
 }
--- a/packages/daisyturn-standins/src/orders/runLeaseHolder.ts
+++ b/packages/daisyturn-standins/src/orders/runLeaseHolder.ts
@@ -3,7 +3,7 @@
 import { once } from "node:events";
 import { parseArgs } from "node:util";
 
-// Runs a process that does nothing but compete for one lease: --platform URL --id ID --seed N.
+// Runs a process that only competes for one lease: --platform URL --id ID --seed N.
 const { values } = parseArgs({
     options: {
         platform: { type: "string", default: "" },
--- a/packages/daisyturn-standins/src/peers/createMeasuredPeer.ts
+++ b/packages/daisyturn-standins/src/peers/createMeasuredPeer.ts
@@ -1,16 +1,15 @@
 import { createPeerNetwork, type ProcessIdentity } from "daisyturn";
 import { createHybridLogicalClock, createSeededRandom, type EventLog, hashText, SystemClock } from "daisyturn-utils";
 
-/** What {@link createMeasuredPeer} needs. */
 export interface MeasuredPeerOptions {
     readonly id: string;
-    /** Addresses, separated by commas. */
+    /** Peer addresses, separated by commas. */
     readonly seeds: string;
     readonly cell?: string;
     readonly eventLog: EventLog;
 }
 
-/** Creates the network of a process that is measured, on a free port of the loopback, with all that is its own. */
+/** Creates the peer network of a measured process on a free loopback port, with its identity, clock and random source. */
 export function createMeasuredPeer({ id, seeds, cell, eventLog }: MeasuredPeerOptions) {
     const clock = new SystemClock();
     const random = createSeededRandom(Number.parseInt(hashText(id).slice(0, 7), 16));
--- a/packages/daisyturn-standins/src/peers/launchPeers.ts
+++ b/packages/daisyturn-standins/src/peers/launchPeers.ts
@@ -5,7 +5,7 @@
 import { type ChildProgram, startChildProgram } from "../fleet/childProgram.js";
 import type { PeerReport } from "./peerReport.js";
 
-/** A process of its own with peers and membership only. */
+/** A separate process that runs only the peer network, membership and the service guard. */
 export interface PeerProgram {
     readonly id: string;
     readonly program: ChildProgram;
@@ -14,16 +14,16 @@
 
 const here = path.dirname(fileURLToPath(import.meta.url));
 const peerScript = path.join(here, "runPeer.js");
-const startsAtOnce = 8;
+const maxConcurrentStarts = 8;
 
-/** Starts processes of one cell; each but the first knows the address of the first only. */
+/** Starts the processes of one cell. The first has no seeds; each other process has the first as its only seed. */
 export async function launchPeers(count: number, heartbeatMilliseconds: number): Promise<readonly PeerProgram[]> {
-    // Cells measured at the same time on one machine must not take each other's processes in.
+    // A unique name, so that cells measured at the same time on one machine do not merge.
     const cell = randomUUID();
     const peers = [await startPeer(cell, "p1", "", heartbeatMilliseconds)];
     const seed = peers[0]?.program.words.get("peer") ?? "";
     while (peers.length < count) {
-        const size = Math.min(startsAtOnce, count - peers.length);
+        const size = Math.min(maxConcurrentStarts, count - peers.length);
         const names = Array.from({ length: size }, (...[, index]) => `p${peers.length + index + 1}`);
         const started = await Promise.allSettled(names.map(name => startPeer(cell, name, seed, heartbeatMilliseconds)));
         peers.push(...started.flatMap(result => result.status === "fulfilled" ? [result.value] : []));
--- a/packages/daisyturn-standins/src/peers/measurePeers.ts
+++ b/packages/daisyturn-standins/src/peers/measurePeers.ts
@@ -4,9 +4,9 @@
 import { launchPeers, type PeerProgram } from "./launchPeers.js";
 import type { PeerReport } from "./peerReport.js";
 
-// Measures what membership costs a process, by number of members, and prints the slopes:
+// Measures the cost of membership per process for several numbers of members, and prints the slopes:
 // [--members 3,9,30] [--seconds 20] [--heartbeat 1000]
-// A hundred processes with a heartbeat a second use up a machine of twelve cores; give them 5000.
+// With 100 processes, use --heartbeat 5000: at 1000, they use all of a machine with twelve cores.
 const { values } = parseArgs({
     options: {
         members: { type: "string", default: "3,9,30" },
@@ -17,10 +17,10 @@
 const heartbeatMilliseconds = Number(values.heartbeat);
 const measuredMilliseconds = Number(values.seconds) * 1_000;
 const formingLimitMilliseconds = 120_000;
-/** After the cell has formed, views still even out for a while. */
+/** Time until the members' views have converged after the cell has formed. */
 const settleMilliseconds = 10_000;
 
-/** Means over all processes of one cell. */
+/** Means over all processes of one cell, except `falseSuspicions`. */
 interface Cost {
     readonly members: number;
     readonly bytesSentPerSecond: number;
@@ -28,7 +28,7 @@
     readonly cpuPercent: number;
     readonly heapKilobytes: number;
     readonly residentMegabytes: number;
-    /** Suspicions and deaths recorded by all; there should be none. */
+    /** Total of the suspicions and deaths that the processes recorded; expected to be 0. */
     readonly falseSuspicions: number;
 }
 
@@ -38,14 +38,14 @@
     const deadline = performance.now() + formingLimitMilliseconds;
     while (performance.now() < deadline) {
         const reports = await readReports(peers);
-        const isWhole = (report: PeerReport) =>
+        const hasFormed = (report: PeerReport) =>
             report.members.filter(member => member.state === MemberState.Alive).length === peers.length - 1;
-        if (reports.every(isWhole)) {
+        if (reports.every(hasFormed)) {
             return;
         }
         await delay(1_000);
     }
-    throw new Error(`the cell of ${peers.length} has not formed`);
+    throw new Error(`the cell of ${peers.length} processes has not formed within 120 s`);
 }
 
 async function measureCell(members: number): Promise<Cost> {
@@ -86,7 +86,7 @@
     };
 }
 
-/** Least squares: what one more member costs. */
+/** Returns the cost of one more member, as the slope of a least-squares fit. */
 function fitSlope(costs: readonly Cost[], read: (cost: Cost) => number): number {
     const meanMembers = costs.reduce((sum, cost) => sum + cost.members, 0) / costs.length;
     const meanValue = costs.reduce((sum, cost) => sum + read(cost), 0) / costs.length;
--- a/packages/daisyturn-standins/src/peers/peerReport.ts
+++ b/packages/daisyturn-standins/src/peers/peerReport.ts
@@ -1,23 +1,23 @@
 import type { MemberState } from "daisyturn";
 
-/** What a measured process knows of one member. */
+/** A measured process's view of another member. */
 export interface ReportedMember {
     readonly processId: string;
     readonly state: MemberState;
 }
 
-/** What a measured process tells of itself. */
+/** Report of a measured process. */
 export interface PeerReport {
     readonly members: readonly ReportedMember[];
     readonly isInService: boolean;
-    /** What others took it for, without repeats. */
+    /** Distinct states that other members falsely assigned to this process. */
     readonly misjudgements: readonly string[];
-    /** Events that the membership has recorded, by kind. */
+    /** Number of events in the event log, by kind. */
     readonly eventCounts: Readonly<Record<string, number>>;
     readonly cpuMilliseconds: number;
     readonly messagesSent: number;
     readonly bytesSent: number;
-    /** After a collection of garbage. */
+    /** Heap in use after a garbage collection. */
     readonly heapBytes: number;
     readonly residentBytes: number;
 }
--- a/packages/daisyturn-standins/src/peers/runPeer.ts
+++ b/packages/daisyturn-standins/src/peers/runPeer.ts
@@ -10,7 +10,7 @@
 import { createMeasuredPeer } from "./createMeasuredPeer.js";
 import type { PeerReport } from "./peerReport.js";
 
-// Runs a process that has only peers, membership and the service guard, with store and VM list down:
+// Runs a process with only the peer network, membership and the service guard; the store and the VM list are down:
 // --id ID --cell NAME --seeds ADDRESS,... [--heartbeat MS]
 const { values } = parseArgs({
     options: {
@@ -47,8 +47,8 @@
     lastStoreAnswerAt: () => undefined,
     pauseLimitMilliseconds: 2 * Number(values.heartbeat),
 });
-const misjudgements = new Set<string>();
-membership.onFalselySuspected(misjudgement => misjudgements.add(misjudgement));
+const falseSuspicions = new Set<string>();
+membership.onFalselySuspected(suspicion => falseSuspicions.add(suspicion));
 
 function report(): PeerReport {
     collectGarbage();
@@ -60,7 +60,7 @@
     return {
         members: membership.others().map(({ identity, state }) => ({ processId: identity.processId, state })),
         isInService: guard.isInService(),
-        misjudgements: [...misjudgements],
+        misjudgements: [...falseSuspicions],
         eventCounts,
         cpuMilliseconds: (cpu.user + cpu.system) / 1_000,
         messagesSent: network.traffic.messagesSent,
