--- a/packages/daisyturn-standins/src/fleet/__tests__/resumeAfterKill.test.ts
+++ b/packages/daisyturn-standins/src/fleet/__tests__/resumeAfterKill.test.ts
@@ -36,7 +36,7 @@
 
 const headers = { authorization: `Bearer ${createCallerKey(partner)}`, "content-type": "application/json" };
 
-test("after its entry process is killed, a caller resumes the answer at another one without a missing byte", async () => {
+test("a caller of a killed entry process gets the rest of its answer, byte for byte, at another one", async () => {
     const fleet = await launchFleet(plan);
     try {
         await publishItems(fleet);
--- a/packages/daisyturn-standins/src/fleet/launchFleet.ts
+++ b/packages/daisyturn-standins/src/fleet/launchFleet.ts
@@ -65,7 +65,7 @@
     operatorKey(partner: string): string;
     /** Starts a new entry process with the settings file of the one at `index`, which must have exited. */
     restartEntry(index: number): Promise<EntryProgram>;
-    /** Stops the entry processes, then the targets, then the platform. Resolves with the entry processes' exit codes. */
+    /** Stops the entry processes, then the targets, then the platform. Resolves with the entries' exit codes. */
     stop(): Promise<readonly (number | undefined)[]>;
 }
 
--- a/packages/daisyturn-standins/src/httpAnswers.ts
+++ b/packages/daisyturn-standins/src/httpAnswers.ts
@@ -2,10 +2,9 @@
 import { ExecutionVerdict, FailureReason } from "daisyturn-utils";
 import type { IncomingMessage, ServerResponse } from "node:http";
 
-/** Largest request body that a stand-in takes, in bytes. */
 const maxRequestBytes = 16_777_216;
 
-/** Reads a request's body. Throws if it is cut or too large. */
+/** Reads a request's body. Throws if the body is incomplete or larger than 16 MiB. */
 export async function readBody(request: IncomingMessage): Promise<string> {
     const chunks: Buffer[] = [];
     let byteCount = 0;
@@ -19,7 +18,6 @@
     return Buffer.concat(chunks).toString("utf8");
 }
 
-/** Answers with one JSON object. */
 export function answerJson(
     response: ServerResponse,
     status: number,
@@ -31,7 +29,7 @@
     response.end(text);
 }
 
-/** Says that the request did not run and will not. */
+/** Answers with status 503 and the verdict that the request did not run and will not run. */
 export function refuseNotRun(
     response: ServerResponse,
     reason: FailureReason,
@@ -42,7 +40,7 @@
     answerJson(response, 503, refusal, headers);
 }
 
-/** Says that there is no such thing. */
+/** Answers with status 404. */
 export function answerNotFound(response: ServerResponse, message: string): void {
     const refusal: Refusal = { verdict: ExecutionVerdict.MayHaveRun, reason: FailureReason.NotFound, message };
     answerJson(response, 404, refusal);
--- a/packages/daisyturn-standins/src/httpListener.ts
+++ b/packages/daisyturn-standins/src/httpListener.ts
@@ -2,18 +2,18 @@
 import { createServer, type IncomingMessage, type ServerResponse } from "node:http";
 import type { AddressInfo } from "node:net";
 
-/** A listening stand-in. */
+/** A running HTTP server of a stand-in. */
 export interface StandInServer {
-    /** `http://address:port`. */
+    /** Base URL, as `http://address:port`. */
     readonly url: string;
-    /** Ends at once: open connections are closed. */
+    /** Stops the server at once and closes open connections. */
     close(): Promise<void>;
 }
 
-/** Answers one request; what it throws becomes status 500. */
+/** Handles one request. If it throws before the headers are sent, the answer has status 500. */
 export type RequestHandler = (request: IncomingMessage, response: ServerResponse, url: URL) => Promise<void> | void;
 
-/** Starts an HTTP server on an address of this machine. */
+/** Starts an HTTP server on a local address. */
 export async function listenHttp(host: string, port: number, handler: RequestHandler): Promise<StandInServer> {
     const server = createServer((request, response) => void handle(request, response, handler));
     server.listen(port, host);
@@ -29,7 +29,7 @@
 }
 
 async function handle(request: IncomingMessage, response: ServerResponse, handler: RequestHandler): Promise<void> {
-    // A connection that breaks is the client's affair; without a listener the error would end the process.
+    // Errors of the connection are ignored. Without a listener, such an error would end the process.
     response.on("error", () => undefined);
     try {
         await handler(request, response, new URL(request.url ?? "/", "http://stand-in"));
--- a/packages/daisyturn-standins/src/load/mixedLoad.ts
+++ b/packages/daisyturn-standins/src/load/mixedLoad.ts
@@ -17,8 +17,8 @@
     readonly partner: PartnerName;
     readonly record: CallRecord;
     /**
-     * Whether the answer equals the engine's expected answer byte for byte. Undefined for plain services and for requests
-     * that were not answered.
+     * Whether the answer equals the engine's expected answer, byte for byte. Undefined for plain services and for
+     * requests that were not answered.
      */
     readonly answerMatches?: boolean;
     /** Body of a call to a plain service, unique within the load. */
--- a/packages/daisyturn-standins/src/peers/createMeasuredPeer.ts
+++ b/packages/daisyturn-standins/src/peers/createMeasuredPeer.ts
@@ -9,7 +9,7 @@
     readonly eventLog: EventLog;
 }
 
-/** Creates the peer network of a measured process on a free loopback port, with its identity, clock and random source. */
+/** Creates the peer network of a measured process on a free loopback port, with its identity, clock and randomness. */
 export function createMeasuredPeer({ id, seeds, cell, eventLog }: MeasuredPeerOptions) {
     const clock = new SystemClock();
     const random = createSeededRandom(Number.parseInt(hashText(id).slice(0, 7), 16));
--- a/packages/daisyturn-standins/src/runUntilTerminated.ts
+++ b/packages/daisyturn-standins/src/runUntilTerminated.ts
@@ -1,7 +1,7 @@
 import { once } from "node:events";
 import type { StandInServer } from "./httpListener.js";
 
-/** Starts a stand-in, prints where it listens, and closes it on SIGTERM or SIGINT. */
+/** Starts a stand-in, prints its address, and closes it on SIGTERM or SIGINT. */
 export async function runUntilTerminated(start: () => Promise<StandInServer>): Promise<void> {
     const server = await start();
     process.stdout.write(`listening url=${server.url}\n`);
