--- a/packages/daisyturn/src/process/admission/accountLimits.ts
+++ b/packages/daisyturn/src/process/admission/accountLimits.ts
@@ -178,13 +178,11 @@
         refill(record, account, fraction, now);
         const wait = computeRateWait(record, account, fraction);
         if (wait > 0) {
-            return err(
-                notRun(FailureReason.RateLimited, "The account has reached its rate limit.", clock.wallNow() + wait),
-            );
+            return err(notRun(FailureReason.RateLimited, "The account is at its rate.", clock.wallNow() + wait));
         }
         if (!hasFreeSlot(record, account)) {
             const retryAt = clock.wallNow() + concurrencyRetryMilliseconds;
-            return err(notRun(FailureReason.RateLimited, "The account has reached its concurrency limit.", retryAt));
+            return err(notRun(FailureReason.RateLimited, "The account is at its concurrency.", retryAt));
         }
         record.cellBucket -= 1;
         record.ownBucket -= 1;
--- a/packages/daisyturn/src/process/admission/createAdmission.ts
+++ b/packages/daisyturn/src/process/admission/createAdmission.ts
@@ -108,7 +108,7 @@
         }
         if (!queue.hasCapacity(request)) {
             const retryAt = retryTimes.after(request.partner, delay, assessment.engineTime);
-            return err(notRun(FailureReason.Overloaded, "The queue limit of this partner is reached.", retryAt));
+            return err(notRun(FailureReason.Overloaded, "Too much of this partner's work waits already.", retryAt));
         }
         return waitInQueue(request, assessment.engineTime, latestStart, signal);
     };
@@ -155,7 +155,7 @@
                 signal.removeEventListener("abort", cancel);
                 resolve(result);
             };
-            const cancel = () => settle(err(notRun(FailureReason.Cancelled, "The caller closed the connection.")));
+            const cancel = () => settle(err(notRun(FailureReason.Cancelled, "The caller has gone.")));
             const waiting: WaitingRequest = {
                 request,
                 engineTime,
@@ -181,7 +181,7 @@
             if (wallNow > waiting.latestStart || waiting.enqueuedAt < oldest) {
                 const { request, engineTime } = waiting;
                 const retryAt = retryTimes.after(request.partner, 0, engineTime);
-                const message = "The request could not be started in time.";
+                const message = "Its turn did not come in time.";
                 refusals.get(waiting)?.(notRun(FailureReason.DeadlineUnreachable, message, retryAt));
             }
         }
@@ -228,7 +228,7 @@
             processQueue();
             await clock.sleepUntil(clock.monotonicNow() + queueIntervalMilliseconds, signal);
         }
-        const failure = notRun(FailureReason.OutOfService, "The process is stopping.");
+        const failure = notRun(FailureReason.OutOfService, "This process stops.");
         [...refusals.values()].forEach(refuse => refuse(failure));
     };
 
