--- a/packages/daisyturn-standins/src/engine/__fixtures__/engineRig.ts
+++ b/packages/daisyturn-standins/src/engine/__fixtures__/engineRig.ts
@@ -14,7 +14,7 @@
 import { createEngineServer, type EngineServer } from "../createEngineServer.js";
 import type { EngineOptions } from "../engineOptions.js";
 
-/** Engine stand-in with an adapter to it; both end with the test. */
+/** An engine stand-in and an HTTP adapter to it. Both are closed after the test. */
 export interface EngineRig {
     readonly server: EngineServer;
     readonly engine: Engine;
--- a/packages/daisyturn-standins/src/engine/__fixtures__/localRig.ts
+++ b/packages/daisyturn-standins/src/engine/__fixtures__/localRig.ts
@@ -11,7 +11,7 @@
 import { createLocalEngine, type LocalEngine, type LocalFleet } from "../createLocalEngine.js";
 import type { EngineOptions } from "../engineOptions.js";
 
-/** Engines without sockets under a fake clock; they end with the test. */
+/** In-process engines on a fake clock. They are ended after the test. */
 export interface LocalRig {
     readonly clock: FakeClock;
     addEngine(options?: Partial<EngineOptions>): LocalEngine;
@@ -28,7 +28,7 @@
     return { clock, addEngine };
 }
 
-/** A prompt of `promptTokens` tokens that asks for an answer of `answerTokens`. */
+/** Builds a prompt of `promptTokens` tokens whose answer has `answerTokens` tokens. */
 export function buildPrompt(name: string, promptTokens: number, answerTokens: number): string {
     return `<answer-tokens:${answerTokens}>`.padEnd(promptTokens * charactersPerToken, name);
 }
@@ -48,7 +48,7 @@
     };
 }
 
-/** Starts reading a stream; the array grows as events come. */
+/** Starts reading a stream. Events are appended to the returned array as they arrive. */
 export async function startStream(
     engine: LocalEngine,
     request: GenerateRequest,
@@ -58,11 +58,11 @@
     const stream = (await engine.generate(request, signal)).unwrapOrElse(failure => {
         throw new Error(`${failure.reason}: ${failure.message}`);
     });
-    void follow(stream, events);
+    void collectInto(stream, events);
     return events;
 }
 
-export async function follow(stream: AsyncIterable<StreamEvent>, events: StreamEvent[]): Promise<void> {
+export async function collectInto(stream: AsyncIterable<StreamEvent>, events: StreamEvent[]): Promise<void> {
     for await (const event of stream) {
         events.push(event);
     }
--- a/packages/daisyturn-standins/src/engine/__tests__/createEngineServer.test.ts
+++ b/packages/daisyturn-standins/src/engine/__tests__/createEngineServer.test.ts
@@ -28,7 +28,7 @@
         assert.equal(head + joinText(resumed), whole);
     });
 
-    it("refuses as not run a model that it does not have", async test => {
+    it("refuses as not run a request for a model that is not loaded", async test => {
         const { engine } = await startEngineRig(test);
         const refused = await engine.generate(buildRequest({ model: "other" }), test.signal);
         assert.equal(refused.isErr && refused.error.verdict, ExecutionVerdict.NotRun);
@@ -62,7 +62,7 @@
         }
     });
 
-    it("moves a KV cache between two engines over HTTP", async test => {
+    it("transfers a KV cache between two engines over HTTP", async test => {
         const prefill = await startEngineRig(test, { id: "engine-p", role: EngineRole.Prefill });
         const decode = await startEngineRig(test, { id: "engine-d", role: EngineRole.Decode });
         const request = buildRequest({ part: GeneratePart.Prefill });
@@ -73,7 +73,7 @@
         assert.equal(joinText(events), expectedAnswer(request, 100));
     });
 
-    it("cuts streams when it restarts and comes back at its address under a new incarnation", async test => {
+    it("cuts streams on a restart and starts a new incarnation at the same address", async test => {
         const { engine, server } = await startEngineRig(test, { speed: 1 });
         const stream = (await engine.generate(buildRequest(), test.signal)).unwrapOr([] as never);
         const before = server.incarnation();
@@ -89,7 +89,7 @@
         assert.equal(lost.isErr && lost.error.verdict, ExecutionVerdict.MayHaveRun);
     });
 
-    it("goes on with a stream whose connection was cut, and can lose an order's answer after its effect", async test => {
+    it("continues a stream after its connection is cut, and can drop the answer to an applied order", async test => {
         const { engine, server } = await startEngineRig(test);
         server.setFaults({ cutStreamsAfterTokens: [0], loseNextOrderAnswer: true });
         const cut = await collectEvents((await engine.generate(buildRequest(), test.signal)).unwrapOr([] as never));
--- a/packages/daisyturn-standins/src/engine/batch/__tests__/batchScheduler.test.ts
+++ b/packages/daisyturn-standins/src/engine/batch/__tests__/batchScheduler.test.ts
@@ -8,14 +8,14 @@
 import { createEngineStream, type EngineStream } from "../../engineStream.js";
 import { type BatchScheduler, createBatchScheduler } from "../batchScheduler.js";
 
-/** Part by which a measured rate may differ from the formula: the steps at both ends of the measured time. */
+/** Relative error allowed between a measured rate and the formula, for the partial steps at both ends. */
 const tolerance = 0.01;
 
 interface SchedulerCase {
     readonly settings: EngineSettings;
     readonly scheduler: BatchScheduler;
     readonly ended: string[];
-    /** Submits and gives the record. */
+    /** Submits a stream and returns it. */
     submit(changes: Partial<GenerateRequest>): EngineStream;
 }
 
@@ -53,7 +53,7 @@
     assert.ok(error <= tolerance, `measured ${measured}, formula ${expected}`);
 }
 
-// The settings of docs/design/engine-stand-in.md, written out: the formula is not taken from the code under test.
+// The settings of docs/design/engine-stand-in.md, repeated here so that the formula does not depend on the tested code.
 const formulaSettings = {
     stepBaseMilliseconds: 8,
     stepPerDecodeStreamMilliseconds: 0.25,
@@ -86,7 +86,7 @@
         assert.equal(ended.length, 200);
     });
 
-    it("slows decoding down by the prefill beside it", () => {
+    it("slows decoding down while a prefill runs in the same steps", () => {
         const { scheduler, submit } = createCase({ kvTokensCapacity: 10_000_000 });
         const decoding = submit({ prompt: buildPrompt("x", 8, 90_000) });
         submit({ prompt: buildPrompt("x", 2_000_000, 1), maxOutputTokens: 1 });
@@ -97,7 +97,7 @@
         assertNear(rate, 1_000 / (8 + 0.25 + 0.05 * 512));
     });
 
-    it("starts interactive work before bulk work that came earlier", () => {
+    it("starts interactive work before bulk work that arrived earlier", () => {
         const { scheduler, submit, ended } = createCase({ maxRunningStreams: 1 });
         submit({});
         submit({ priority: Priority.Bulk });
@@ -106,7 +106,7 @@
         assert.deepEqual(ended, ["st-1", "st-3", "st-2"]);
     });
 
-    it("lets no bulk work overtake interactive work that waits for memory", () => {
+    it("does not start bulk work before interactive work that waits for memory", () => {
         const { scheduler, submit, ended } = createCase({ kvTokensCapacity: 1_000 });
         const small = { prompt: buildPrompt("x", 8, 10), maxOutputTokens: 10 };
         submit({ prompt: buildPrompt("x", 500, 30), maxOutputTokens: 30 });
@@ -130,7 +130,7 @@
         assert.equal(half.generatedTokens, 1);
     });
 
-    it("never exceeds its memory or its batch, and ends everything that is not removed", () => {
+    it("never exceeds the memory or the batch limit, and completes every stream that is not removed", () => {
         const work = fc.record({
             prompt: fc.integer({ min: 8, max: 1_500 }),
             answer: fc.integer({ min: 0, max: 40 }),
@@ -166,7 +166,7 @@
 });
 
 describe("createPrefixCache", () => {
-    it("agrees with a naive list ordered by use", () => {
+    it("behaves like a plain list ordered by use", () => {
         const blockNames = fc.uniqueArray(fc.constantFrom<string[]>("a", "b", "c", "d", "e", "f"), { maxLength: 4 });
         const uses = fc.array(fc.record({ blocks: blockNames, isStored: fc.boolean() }), { maxLength: 30 });
         fc.assert(
--- a/packages/daisyturn-standins/src/engine/batch/__tests__/engineRun.test.ts
+++ b/packages/daisyturn-standins/src/engine/batch/__tests__/engineRun.test.ts
@@ -16,7 +16,13 @@
 import { describe, it, type TestContext } from "node:test";
 import type { Result } from "true-myth/result";
 import { joinText } from "../../__fixtures__/engineRig.js";
-import { buildLocalRequest, buildPrompt, createLocalRig, follow, startStream } from "../../__fixtures__/localRig.js";
+import {
+    buildLocalRequest,
+    buildPrompt,
+    collectInto,
+    createLocalRig,
+    startStream,
+} from "../../__fixtures__/localRig.js";
 import type { LocalEngine } from "../../createLocalEngine.js";
 import { expectedAnswer } from "../../expectedAnswer.js";
 
@@ -41,14 +47,14 @@
 }
 
 describe("streams of an engine", () => {
-    it("are resumed while they run and for a while after their end", async test => {
+    it("can be resumed while they run and for the retention period after their end", async test => {
         const { clock, addEngine } = createLocalRig(test);
         const engine = addEngine({ endedStreamMilliseconds: 10_000 });
         const request = buildLocalRequest(clock);
         await startStream(engine, request, test.signal);
         await clock.advance(100);
         const resumed: StreamEvent[] = [];
-        void follow((await engine.resume("st-1", 2, test.signal)).unwrapOr([] as never), resumed);
+        void collectInto((await engine.resume("st-1", 2, test.signal)).unwrapOr([] as never), resumed);
         await clock.advance(5_000);
         const whole = expectedAnswer(request, 100);
         assert.equal(expectedAnswer(request, 2) + joinText(resumed), whole);
@@ -57,7 +63,7 @@
         assert.equal(describeFailure(await engine.resume("st-1", 0, test.signal)), "not_found/may_have_run");
     });
 
-    it("refuse an id that was used, and one that was cancelled before it came", async test => {
+    it("are refused if their id was used, or was cancelled before the request arrived", async test => {
         const { clock, addEngine } = createLocalRig(test);
         const engine = addEngine();
         await engine.generate(buildLocalRequest(clock), test.signal);
@@ -97,7 +103,7 @@
         assert.deepEqual([lastKind(cancelled), lastKind(late)], [StreamEventKind.Broken, StreamEventKind.Broken]);
     });
 
-    it("check the text before a start offset", async test => {
+    it("are refused if the text before the start offset does not match", async test => {
         const { clock, addEngine } = createLocalRig(test);
         const engine = addEngine();
         const request = buildLocalRequest(clock, { startOffset: 3 });
@@ -132,7 +138,7 @@
         return { clock, prefillEngine, decodeEngine, events, decode };
     }
 
-    it("give the whole answer, after the transfer and without prefilling again", async test => {
+    it("return the complete answer after the transfer, without a second prefill", async test => {
         const times = { transferBaseMilliseconds: 100, transferTokensPerMillisecond: 1 };
         const { clock, prefillEngine, decodeEngine, events, decode } = await prefill(test, times);
         assert.deepEqual(events.map(event => event.kind), [StreamEventKind.End]);
@@ -148,7 +154,7 @@
         assert.equal((await readLoad(prefillEngine)).kvTokensUsed, 0);
     });
 
-    it("refuse as not run a cache that is gone or of another prompt", async test => {
+    it("refuse as not run a cache that was removed or belongs to another prompt", async test => {
         const { clock, decodeEngine, decode } = await prefill(test);
         const other = { ...decode, prompt: `${decode.prompt}.` };
         assert.equal(describeFailure(await decodeEngine.generate(other, test.signal)), "target_refused/not_run");
@@ -156,7 +162,7 @@
         assert.equal(describeFailure(await decodeEngine.generate(decode, test.signal)), "target_refused/not_run");
     });
 
-    it("take only the part of their role", async test => {
+    it("accept only the part that their role serves", async test => {
         const { prefillEngine, decodeEngine, decode } = await prefill(test);
         const whole = { ...decode, part: GeneratePart.Whole };
         assert.equal(describeFailure(await prefillEngine.generate(whole, test.signal)), "target_refused/not_run");
@@ -165,7 +171,7 @@
 });
 
 describe("reports of an engine", () => {
-    it("lag by the time that is set, and name the streams", async test => {
+    it("lag by the configured time and list the stream ids", async test => {
         const { clock, addEngine } = createLocalRig(test);
         const engine = addEngine({ loadLagMilliseconds: 500, loadSampleMilliseconds: 100 });
         await clock.advance(1_000);
@@ -181,7 +187,7 @@
         assert.ok(report.asOf >= takenAt && report.asOf <= clock.wallNow() - 500);
     });
 
-    it("publish cache events late, with gaps in the sequence, and all changes else", async test => {
+    it("publish cache events with a delay and with gaps in the sequence, but otherwise completely", async test => {
         const { clock, addEngine } = createLocalRig(test);
         const engine = addEngine({ cacheEventDelayMilliseconds: 300, cacheEventLoss: 0.3, prefixCacheBlocks: 16 });
         const readEvents = async (cursor: number) =>
@@ -205,7 +211,7 @@
 });
 
 describe("orders to an engine", () => {
-    it("change the role after some seconds, in which it takes no work and its streams are lost", async test => {
+    it("change the role after a delay, during which the engine accepts no work and its streams are cut", async test => {
         const { clock, addEngine } = createLocalRig(test);
         const engine = addEngine({ roleChangeMilliseconds: 5_000 });
         const running = await startStream(engine, buildLocalRequest(clock), test.signal);
@@ -223,7 +229,7 @@
         assert.deepEqual([after?.phase, after?.role], [EnginePhase.Serving, EngineRole.Decode]);
     });
 
-    it("are refused with an old fencing number only where the engine checks", async test => {
+    it("are refused with an old fencing number only if the engine checks fencing numbers", async test => {
         const { addEngine } = createLocalRig(test);
         for (const checksFencing of [true, false]) {
             const engine = addEngine({ id: `engine-${checksFencing}`, checksFencing });
@@ -254,7 +260,7 @@
         assert.equal(lastKind(running), StreamEventKind.End);
     });
 
-    it("load only with a grant of the weight store", async test => {
+    it("load an artifact only with a grant of the weight store", async test => {
         const { clock, addEngine } = createLocalRig(test);
         const engine = addEngine({ loadMilliseconds: 1_000 });
         const load = { kind: OrderKind.LoadAdapter, artifact: "moravia" };
@@ -265,7 +271,7 @@
         assert.equal(describeFailure(await engine.generate(request, test.signal)), "ok");
     });
 
-    it("leave the engine stuck when the change stops or crashes partway, until the next order", async test => {
+    it("leave the engine stuck until the next order if the change stops or crashes halfway", async test => {
         const { clock, addEngine } = createLocalRig(test);
         const engine = addEngine({ roleChangeMilliseconds: 1_000 });
         const incarnations = new Set<string>();
--- a/packages/daisyturn-standins/src/engine/batch/batchScheduler.ts
+++ b/packages/daisyturn-standins/src/engine/batch/batchScheduler.ts
@@ -5,44 +5,44 @@
 import { createJobLists, type Job, servingOrder, type WorkCounts } from "./jobLists.js";
 import { stepMilliseconds } from "./speedModel.js";
 
-/** Tokens of one block of the prefix cache. */
+/** Tokens per block of the prefix cache. */
 const blockTokens = promptBlockCharacters / charactersPerToken;
 
-/** A step under way. */
+/** The step that is being executed. */
 interface Step {
     readonly endsAt: number;
     readonly decoding: readonly Job[];
     readonly prefills: readonly { readonly job: Job; readonly tokens: number; }[];
 }
 
-/** What the scheduler tells as its steps end. Times are simulated. */
+/** Receives the results of completed steps. Times are simulated. */
 export interface SchedulerListener {
-    /** New tokens, or the end of a prefill. */
+    /** The stream has new tokens or its prefill ended. */
     progressed(stream: EngineStream): void;
-    /** All blocks of a prompt are computed. */
+    /** All blocks of the prompt are computed. */
     prefilled(stream: EngineStream, now: number): void;
     ended(stream: EngineStream, now: number): void;
 }
 
 /**
  * Continuous batching. Each step decodes one token for every running stream and prefills chunks of prompts up to a
- * budget. Time is simulated and moves only by `advanceTo`.
+ * budget. Time is simulated and advances only through `advanceTo`.
  */
 export interface BatchScheduler {
-    /** Runs all steps that end until then. */
+    /** Runs all steps that end at or before `time`. */
     advanceTo(time: number): void;
-    /** Takes work in; false if the queue is full. `advanceTo` must have been called with the present time. */
+    /** Queues a stream. Returns false if the queue is full. Call `advanceTo` with the current time first. */
     submit(stream: EngineStream, importedTokens: number, readyAt: number): boolean;
-    /** Drops a stream's work; false if there is none. */
+    /** Removes the job of a stream. Returns false if there is none. */
     remove(streamId: string): boolean;
-    /** Simulated time of the next change; undefined while there is no work. */
+    /** Simulated time of the next change, or undefined if there is no work. */
     nextEventAt(): number | undefined;
-    /** Takes or, with a negative number, frees KV memory that is held for others. */
-    holdKv(tokens: number): void;
+    /** Reserves KV memory for exported caches. A negative number frees it. */
+    reserveKv(tokens: number): void;
     counts(): WorkCounts;
 }
 
-/** KV memory that a stream needs: the prompt, and all that may be generated. */
+/** KV memory that a stream requires: its prompt and the maximum output, in tokens. */
 export function neededKvTokens(stream: EngineStream): number {
     const isPrefill = stream.request.part === GeneratePart.Prefill;
     return stream.promptTokens + (isPrefill ? 0 : stream.request.maxOutputTokens);
@@ -102,7 +102,7 @@
                 start(next);
             }
             if (queue.length > 0) {
-                // Bulk work does not overtake interactive work that waits for memory.
+                // Bulk jobs must not start before interactive jobs that wait for memory.
                 return;
             }
         }
@@ -122,14 +122,14 @@
             lists.decoding.push(job);
             return;
         }
-        // Also a prompt that is cached whole needs its last token computed.
+        // The last token must be computed even if the whole prompt is cached.
         const known = Math.min(Math.max(stream.cachedTokens, job.importedTokens), contextTokens - 1);
         job.prefillRemaining = contextTokens - known;
         lists.prefilling[stream.request.priority].push(job);
     };
 
     const finishStep = (finished: Step) => {
-        // What was removed since the step began is in no list any more.
+        // Jobs that were removed during the step are no longer in any list.
         const live = new Set(lists.decoding);
         finished.decoding.filter(job => live.has(job)).forEach(produceToken);
         finished.prefills.forEach(({ job, tokens }) => advancePrefill(job, tokens));
@@ -147,7 +147,7 @@
         }
         list.splice(list.indexOf(job), 1);
         listener.prefilled(job.stream, now);
-        // The step that ends a prefill gives the first token.
+        // The step that completes a prefill also produces the first token.
         lists.decoding.push(job);
         produceToken(job);
     };
@@ -188,14 +188,14 @@
         return Number.isFinite(next) ? next : undefined;
     };
 
-    const holdKv = (tokens: number) => {
+    const reserveKv = (tokens: number) => {
         kvTokensUsed += tokens;
     };
 
-    return { advanceTo, submit, remove, nextEventAt, holdKv, counts: () => lists.count(kvTokensUsed) };
+    return { advanceTo, submit, remove, nextEventAt, reserveKv, counts: () => lists.count(kvTokensUsed) };
 }
 
-/** Gives every decoding stream a token and shares the prefill budget out in serving order. */
+/** Plans one token for every decoding stream and assigns the prefill budget in serving order. */
 function planStep(settings: EngineSettings, decoding: readonly Job[], prefilling: readonly Job[], now: number): Step {
     const prefills: { job: Job; tokens: number; }[] = [];
     let budget = settings.prefillTokensPerStep;
--- a/packages/daisyturn-standins/src/engine/batch/engineRun.ts
+++ b/packages/daisyturn-standins/src/engine/batch/engineRun.ts
@@ -20,35 +20,35 @@
 import type { EngineFaults } from "../engineFaults.js";
 import type { EngineSettings } from "../engineOptions.js";
 import { createEngineStream, type EngineStream, flushStream, type StreamReader } from "../engineStream.js";
-import { createOrderDesk, type OrderDesk } from "../orderDesk.js";
+import { createOrderHandler, type OrderHandler } from "../orderHandler.js";
 import { createBatchScheduler } from "./batchScheduler.js";
 import { createLoadHistory } from "./loadHistory.js";
 import { createStreamTable } from "./streamTable.js";
 
-/** Longest real sleep of the task that steps, in milliseconds; timers can't be set for ever. */
-const longestSleep = 60_000;
+/** Maximum real sleep of the stepping task. Timers do not accept an infinite delay. */
+const maxSleepMilliseconds = 60_000;
 
-/** What one run of the engine's process is made of. */
+/** Options of one incarnation of the engine. */
 export interface EngineRunOptions {
     readonly settings: EngineSettings;
     readonly clock: Clock;
     readonly incarnation: string;
     readonly faults: EngineFaults;
     readonly importer: KvImporter;
-    /** Address from which other engines fetch KV caches. */
+    /** Address at which other engines fetch KV caches from this engine. */
     readonly address: () => string;
     readonly highestFencingNumber: number;
     readonly startsStuck: boolean;
     readonly crash: () => void;
 }
 
-/** One run of the engine's process, from its start to its end. */
+/** One incarnation of the engine, from its start to its end. */
 export interface EngineRun {
     readonly incarnation: string;
-    readonly desk: OrderDesk;
-    /** Takes work in; the stream is then read by `attach`. */
+    readonly orderHandler: OrderHandler;
+    /** Submits a request. Use `attach` to read the returned stream. */
     generate(request: GenerateRequest): Promise<Result<EngineStream, Failure>>;
-    /** A stream that runs or ended lately. */
+    /** Finds a stream that is running or ended within the retention period. */
     find(streamId: string, offset: number): Result<EngineStream, Failure>;
     attach(stream: EngineStream, reader: StreamReader): void;
     cancel(streamId: string): void;
@@ -58,11 +58,11 @@
     readCacheEvents(cursor: number): CacheEventPage;
     findExport(handleId: string): KvExport | undefined;
     releaseExport(handleId: string): void;
-    /** Ends at once: streams are cut and forgotten. */
+    /** Ends the incarnation immediately. Streams are cut and removed. */
     end(): void;
 }
 
-/** Starts one run of the engine. */
+/** Starts an incarnation of the engine. */
 export function createEngineRun(options: EngineRunOptions): EngineRun {
     const { settings, clock, incarnation } = options;
     const startedAt = clock.monotonicNow();
@@ -92,7 +92,7 @@
             }
         },
     });
-    const kvExports = createKvExports(settings.exportMilliseconds, tokens => scheduler.holdKv(tokens));
+    const kvExports = createKvExports(settings.exportMilliseconds, tokens => scheduler.reserveKv(tokens));
     const table = createStreamTable(settings, streamId => scheduler.remove(streamId));
 
     const describeHandle = ({ handleId, tokenCount }: KvExport): KvHandle => ({
@@ -102,7 +102,7 @@
         tokenCount,
     });
 
-    /** Brings the simulation to the present and writes what came of it. */
+    /** Advances the simulation to the current time and writes the new tokens to the readers. */
     const catchUp = () => {
         scheduler.advanceTo(simulatedNow());
         const monotonicNow = clock.monotonicNow();
@@ -111,7 +111,7 @@
         caughtUpAt = monotonicNow;
     };
 
-    /** Makes the task that steps look again at when its next step ends. */
+    /** Wakes the stepping task so that it recomputes the time of the next event. */
     const wakeStepping = () => sleeper.abort();
 
     const stepUntilEnded = async () => {
@@ -121,7 +121,7 @@
             const dueAt = nextEventAt === undefined ? Infinity : startedAt + nextEventAt / settings.speed;
             const earliest = caughtUpAt + settings.flushRealMilliseconds;
             await clock.sleepUntil(
-                Math.min(Math.max(dueAt, earliest), clock.monotonicNow() + longestSleep),
+                Math.min(Math.max(dueAt, earliest), clock.monotonicNow() + maxSleepMilliseconds),
                 sleeper.signal,
             );
             if (!sleeper.signal.aborted) {
@@ -131,14 +131,14 @@
     };
 
     const measureLoad = () =>
-        measureEngineLoad(settings, incarnation, desk, scheduler.counts(), table.streamIds, clock.wallNow());
+        measureEngineLoad(settings, incarnation, orderHandler, scheduler.counts(), table.streamIds, clock.wallNow());
 
     const sampleUntilEnded = async () => {
         const sampleInterval = Math.max(
             settings.loadSampleMilliseconds / settings.speed,
             settings.flushRealMilliseconds,
         );
-        // Waiting lines are due in real time, however slowly the simulated time goes by.
+        // Waiting lines are due in real time, independently of the simulation speed.
         const interval = Math.min(sampleInterval, settings.waitingRealMilliseconds / 2);
         while (!stopper.signal.aborted) {
             kvExports.expire(simulatedNow());
@@ -162,7 +162,7 @@
             return Result.err(notRun(FailureReason.Cancelled, "The stream was cancelled before it was asked for."));
         }
         const stream = createEngineStream(request);
-        const refusal = findRefusal(desk, request) ?? findRequestFault(stream, settings);
+        const refusal = findRefusal(orderHandler, request) ?? findRequestFault(stream, settings);
         if (refusal) {
             return Result.err(refusal);
         }
@@ -190,7 +190,7 @@
         await options.importer.release(handle);
     };
 
-    const desk = createOrderDesk({
+    const orderHandler = createOrderHandler({
         settings,
         faults: options.faults,
         highestFencingNumber: options.highestFencingNumber,
@@ -208,7 +208,7 @@
     void sampleUntilEnded();
     return {
         incarnation,
-        desk,
+        orderHandler,
         generate,
         find: (streamId, offset) => {
             catchUp();
@@ -222,12 +222,12 @@
             catchUp();
             table.cancel(streamId);
         },
-        order: order => desk.take(order),
+        order: order => orderHandler.handle(order),
         describeState: () => {
             catchUp();
-            return describeEngineState(settings, incarnation, desk, scheduler.counts());
+            return describeEngineState(settings, incarnation, orderHandler, scheduler.counts());
         },
-        describeLoad: () => history.lagging(clock.wallNow()) ?? measureLoad(),
+        describeLoad: () => history.findLagged(clock.wallNow()) ?? measureLoad(),
         readCacheEvents: cursor => cacheEvents.readAfter(cursor, simulatedNow()),
         findExport: handleId => kvExports.find(handleId),
         releaseExport: handleId => void kvExports.release(handleId),
--- a/packages/daisyturn-standins/src/engine/batch/jobLists.ts
+++ b/packages/daisyturn-standins/src/engine/batch/jobLists.ts
@@ -1,19 +1,19 @@
 import { GeneratePart, Priority } from "daisyturn";
 import type { EngineStream } from "../engineStream.js";
 
-/** The work of one stream. */
+/** The scheduled work of one stream. */
 export interface Job {
     readonly stream: EngineStream;
-    /** Tokens of KV cache that it holds while it runs. */
+    /** KV memory reserved while the job runs, in tokens. */
     readonly kvTokens: number;
     /** Tokens whose KV cache was imported. */
     readonly importedTokens: number;
-    /** Simulated time at which its imported KV cache is there. */
+    /** Simulated time at which the import of the KV cache completes. */
     readonly readyAt: number;
     prefillRemaining: number;
 }
 
-/** Amounts of work, for the load report. */
+/** Amounts of work for the load report. */
 export interface WorkCounts {
     readonly running: number;
     readonly queued: number;
@@ -22,16 +22,16 @@
     readonly kvTokensUsed: number;
 }
 
-/** Jobs by the stage that they are in; each job is in one list. */
+/** Jobs by stage. Each job is in exactly one list. */
 export interface JobLists {
-    /** Waiting for their KV cache. */
+    /** Jobs that wait for their imported KV cache. */
     importing: Job[];
     readonly queued: Record<Priority, Job[]>;
     readonly prefilling: Record<Priority, Job[]>;
     decoding: Job[];
     runningCount(): number;
     queuedCount(): number;
-    /** Takes a stream's job out. */
+    /** Removes and returns the job of a stream. */
     remove(streamId: string): { readonly job: Job; readonly wasRunning: boolean; } | undefined;
     count(kvTokensUsed: number): WorkCounts;
 }
@@ -83,12 +83,12 @@
     return lists;
 }
 
-/** Tokens to prefill before a job that waits can decode, as if nothing of it were cached. */
+/** Tokens to prefill before a waiting job can decode, assuming that no block of its prompt is cached. */
 function contextToPrefill(job: Job): number {
     return Math.max(0, job.stream.promptTokens + job.stream.generatedTokens - job.importedTokens);
 }
 
-/** The engine can't know when the model will end its answer, so it counts all that was asked for. */
+/** Counts up to the requested maximum, because the engine can't know when the model will end its answer. */
 function outstandingTokens(stream: EngineStream): number {
     const isPrefill = stream.request.part === GeneratePart.Prefill;
     return isPrefill ? 0 : Math.max(0, stream.request.maxOutputTokens - stream.generatedTokens);
--- a/packages/daisyturn-standins/src/engine/batch/streamTable.ts
+++ b/packages/daisyturn-standins/src/engine/batch/streamTable.ts
@@ -4,34 +4,34 @@
 import type { EngineSettings } from "../engineOptions.js";
 import { cutReaders, type EngineStream, type StreamReader } from "../engineStream.js";
 
-/** Ids of streams cancelled before they were asked for that are remembered. */
-const rememberedCancellations = 4_096;
+/** Maximum number of cancelled stream ids that are retained to refuse requests that arrive later. */
+const maxRememberedCancellations = 4_096;
 
-/** Streams that run or ended lately. */
+/** Streams that are running or ended within the retention period. */
 export interface StreamTable {
     readonly streamIds: readonly string[];
     has(streamId: string): boolean;
-    /** Whether a cancellation came before the request, or took it back. */
+    /** Whether the stream was cancelled, before or after its request arrived. */
     wasCancelled(streamId: string): boolean;
     add(stream: EngineStream): void;
-    /** The stream, if it can be read from that offset. */
+    /** Returns the stream if it can be read from `offset`. */
     find(streamId: string, offset: number): Result<EngineStream, Failure>;
     /** Cancels a stream unless it has ended. */
     cancel(streamId: string): void;
-    /** Cuts and forgets all streams. */
+    /** Cuts and removes all streams. */
     drop(): void;
-    /** Forgets old streams, cancels late ones, and writes waiting lines. */
+    /** Removes ended streams after the retention period, cancels overdue streams, and writes waiting lines. */
     tidy(now: TidyTimes): void;
 }
 
-/** The present, on each of the clocks. */
+/** The current time on each clock, in milliseconds. */
 export interface TidyTimes {
     readonly simulated: number;
     readonly monotonic: number;
     readonly wall: number;
 }
 
-/** Creates an empty table; `removeWork` drops a stream's work and tells whether there was any. */
+/** Creates an empty table. `removeWork` removes the job of a stream and returns whether there was one. */
 export function createStreamTable(
     settings: EngineSettings,
     removeWork: (streamId: string) => boolean,
@@ -59,7 +59,7 @@
         }
         cancelled.add(streamId);
         const [oldest] = cancelled;
-        if (cancelled.size > rememberedCancellations && oldest !== undefined) {
+        if (cancelled.size > maxRememberedCancellations && oldest !== undefined) {
             cancelled.delete(oldest);
         }
     };
--- a/packages/daisyturn-standins/src/engine/cache/cacheEventLog.ts
+++ b/packages/daisyturn-standins/src/engine/cache/cacheEventLog.ts
@@ -2,30 +2,30 @@
 import type { Random } from "daisyturn-utils";
 import type { CacheChange } from "./prefixCache.js";
 
-/** Events kept for readers; a reader that is further behind sees a gap. */
-const keptEvents = 4_096;
+/** Events retained for readers. A reader that is further behind sees a gap in the sequence. */
+const maxRetainedEvents = 4_096;
 
 interface DatedEvent {
     readonly visibleAt: number;
     readonly event: CacheEvent;
 }
 
-/** Changes of a prefix cache, published late and with gaps. Times are simulated. */
+/** Changes of a prefix cache, published with a delay and with losses. Times are simulated. */
 export interface CacheEventLog {
     append(change: CacheChange, now: number): void;
     readAfter(cursor: number, now: number): CacheEventPage;
 }
 
-/** How the events of one incarnation are published. */
+/** Options of the cache event log. */
 export interface CacheEventLogOptions {
     readonly incarnation: string;
     readonly random: Random;
     readonly delayMilliseconds: number;
-    /** Part of the events that is lost. */
+    /** Fraction of the events that is lost. */
     readonly loss: number;
 }
 
-/** Creates the empty log of one incarnation. */
+/** Creates an empty log for one incarnation. */
 export function createCacheEventLog(options: CacheEventLogOptions): CacheEventLog {
     let sequence = 0;
     let events: DatedEvent[] = [];
@@ -39,8 +39,8 @@
             return;
         }
         events.push({ visibleAt: now + options.delayMilliseconds, event: { sequence, ...change } });
-        if (events.length > 2 * keptEvents) {
-            events = events.slice(-keptEvents);
+        if (events.length > 2 * maxRetainedEvents) {
+            events = events.slice(-maxRetainedEvents);
         }
     };
 
--- a/packages/daisyturn-standins/src/engine/cache/kvImport.ts
+++ b/packages/daisyturn-standins/src/engine/cache/kvImport.ts
@@ -8,15 +8,15 @@
 const fetchTimeoutMilliseconds = 2_000;
 const kvExportSchema = z.object({ handleId: z.string(), tokenCount: z.number(), contentHash: z.string() });
 
-/** Where KV caches of other engines are fetched. The transfer itself is only simulated time. */
+/** Fetches descriptions of KV caches from other engines. The transfer itself is only simulated as a delay. */
 export interface KvImporter {
-    /** What the exporting engine holds under the handle; undefined if nothing, or if it can't be reached. */
+    /** Returns the export under the handle, or undefined if there is none or the engine is unreachable. */
     look(handle: KvHandle): Promise<KvExport | undefined>;
-    /** Tells the exporting engine that the cache was fetched. */
+    /** Reports to the exporting engine that the cache was fetched, so that it frees the memory. */
     release(handle: KvHandle): Promise<void>;
 }
 
-/** Tokens whose KV cache a request brings along, or why it can't be imported. */
+/** Returns the number of tokens in the KV cache that a request refers to, or why it can't be imported. */
 export async function importKv(importer: KvImporter, work: GenerateRequest): Promise<Result<number, Failure>> {
     if (work.part !== GeneratePart.Decode) {
         return Result.ok(0);
@@ -31,7 +31,7 @@
     return Result.ok(found.tokenCount);
 }
 
-/** Fetches over HTTP. */
+/** Creates an importer that fetches over HTTP. */
 export function createHttpKvImporter(): KvImporter {
     const look = async (handle: KvHandle) => {
         try {
@@ -50,7 +50,7 @@
             await (await request(exportUrl(handle), { method: "DELETE", signal })).body.dump();
         }
         catch {
-            // The exporting engine frees the cache by itself after a while.
+            // The exporting engine frees the cache when its lifetime ends.
         }
     };
 
--- a/packages/daisyturn-standins/src/engine/cache/prefixCache.ts
+++ b/packages/daisyturn-standins/src/engine/cache/prefixCache.ts
@@ -1,12 +1,12 @@
-/** What a store of blocks changed. */
+/** Blocks that were added and evicted by a call of `store`. */
 export interface CacheChange {
     readonly stored: readonly string[];
     readonly evicted: readonly string[];
 }
 
-/** Blocks of prompts whose KV cache an engine keeps, the least recently used evicted first. */
+/** LRU cache of the prompt blocks whose KV cache an engine stores. */
 export interface PrefixCache {
-    /** Leading blocks that are held; they count as used. */
+    /** Returns the number of leading blocks that are cached, and marks them as used. */
     match(blocks: readonly string[]): number;
     store(blocks: readonly string[]): CacheChange;
     readonly size: number;
@@ -14,28 +14,28 @@
 
 /** Creates an empty cache of at most `capacity` blocks. */
 export function createPrefixCache(capacity: number): PrefixCache {
-    // A Set remembers the order of insertion: the first is the least recently used.
-    const held = new Set<string>();
+    // A Set iterates in insertion order, so the first block is the least recently used.
+    const cached = new Set<string>();
 
     const touch = (block: string) => {
-        held.delete(block);
-        held.add(block);
+        cached.delete(block);
+        cached.add(block);
     };
 
     const match = (blocks: readonly string[]) => {
-        const firstAbsent = blocks.findIndex(block => !held.has(block));
+        const firstAbsent = blocks.findIndex(block => !cached.has(block));
         const matched = firstAbsent === -1 ? blocks.length : firstAbsent;
-        // From the last to the first, so that a prefix's end is evicted before its beginning.
+        // Touched from last to first, so that the end of a prefix is evicted before its beginning.
         blocks.slice(0, matched).reverse().forEach(touch);
         return matched;
     };
 
     const store = (blocks: readonly string[]): CacheChange => {
-        const kept = blocks.slice(0, capacity);
-        const stored = kept.filter(block => !held.has(block));
-        [...kept].reverse().forEach(touch);
-        const evicted = [...held].slice(0, Math.max(0, held.size - capacity));
-        evicted.forEach(block => held.delete(block));
+        const retained = blocks.slice(0, capacity);
+        const stored = retained.filter(block => !cached.has(block));
+        [...retained].reverse().forEach(touch);
+        const evicted = [...cached].slice(0, Math.max(0, cached.size - capacity));
+        evicted.forEach(block => cached.delete(block));
         return { stored, evicted };
     };
 
@@ -43,7 +43,7 @@
         match,
         store,
         get size() {
-            return held.size;
+            return cached.size;
         },
     };
 }
--- a/packages/daisyturn-standins/src/engine/checkRequest.ts
+++ b/packages/daisyturn-standins/src/engine/checkRequest.ts
@@ -3,21 +3,24 @@
 import { neededKvTokens } from "./batch/batchScheduler.js";
 import type { EngineSettings } from "./engineOptions.js";
 import type { EngineStream } from "./engineStream.js";
-import type { OrderDesk } from "./orderDesk.js";
+import type { OrderHandler } from "./orderHandler.js";
 
-/** Why an engine in its present state does not take a request; undefined if it does. */
-export function findRefusal(desk: OrderDesk, request: GenerateRequest): Failure | undefined {
-    if (desk.phase !== EnginePhase.Serving || desk.draining || !servesPart(desk.role, request.part)) {
+/** Returns why the engine refuses a request in its current state, or undefined if it accepts the request. */
+export function findRefusal(orderHandler: OrderHandler, request: GenerateRequest): Failure | undefined {
+    if (
+        orderHandler.phase !== EnginePhase.Serving || orderHandler.draining
+        || !servesPart(orderHandler.role, request.part)
+    ) {
         return notRun(FailureReason.TargetRefused, "The engine takes no such work now.");
     }
-    const hasAdapter = request.adapter === undefined || desk.adapters.includes(request.adapter);
-    if (!desk.models.includes(request.model) || !hasAdapter) {
+    const hasAdapter = request.adapter === undefined || orderHandler.adapters.includes(request.adapter);
+    if (!orderHandler.models.includes(request.model) || !hasAdapter) {
         return notRun(FailureReason.TargetRefused, "The engine has not loaded the model or adapter.");
     }
     return undefined;
 }
 
-/** Why a request can't be served by any engine of these settings; undefined if it can. */
+/** Returns why no engine with these settings can serve a request, or undefined if one can. */
 export function findRequestFault(stream: EngineStream, settings: EngineSettings): Failure | undefined {
     const { startOffset = 0, precedingText, part } = stream.request;
     if (neededKvTokens(stream) > settings.kvTokensCapacity) {
--- a/packages/daisyturn-standins/src/engine/createEngineServer.ts
+++ b/packages/daisyturn-standins/src/engine/createEngineServer.ts
@@ -5,15 +5,15 @@
 import type { EngineFaults } from "./engineFaults.js";
 import { type EngineOptions, engineOptionsSchema } from "./engineOptions.js";
 import { createEngineRoutes } from "./engineRoutes.js";
-import type { OrderRecord } from "./orderDesk.js";
+import type { OrderRecord } from "./orderHandler.js";
 
 /** A running engine stand-in. */
 export interface EngineServer extends StandInServer {
-    /** Orders over all incarnations, whatever the answer. */
+    /** Orders received by all incarnations, including refused ones. */
     readonly orders: readonly OrderRecord[];
     setFaults(faults: EngineFaults): void;
     incarnation(): string;
-    /** Ends the process, cutting every stream, and starts it under a new incarnation after a while. */
+    /** Cuts every stream and starts a new incarnation after `downMilliseconds` of real time. */
     restart(downMilliseconds: number): Promise<void>;
 }
 
@@ -45,7 +45,7 @@
     };
 
     const restart = async (downMilliseconds: number, isWithinChange = false) => {
-        const { highestFencingNumber } = run.desk;
+        const { highestFencingNumber } = run.orderHandler;
         run.end();
         const { port } = new URL(listener.url);
         await listener.close();
--- a/packages/daisyturn-standins/src/engine/createLocalEngine.ts
+++ b/packages/daisyturn-standins/src/engine/createLocalEngine.ts
@@ -18,19 +18,19 @@
 import { type EngineOptions, engineOptionsSchema } from "./engineOptions.js";
 import type { EngineStream, StreamReader } from "./engineStream.js";
 
-/** Engines without sockets that can fetch KV caches from each other, by their ids. */
+/** In-process engines by id, which can fetch KV caches from each other. */
 export type LocalFleet = Map<string, EngineRun>;
 
-/** An engine stand-in without sockets, for tests and measurements in one process, also under a FakeClock. */
+/** An in-process engine stand-in for tests and measurements. It also runs on a FakeClock. */
 export interface LocalEngine extends Engine {
     readonly faults: EngineFaults;
-    /** Ends the process and starts it under a new incarnation. */
+    /** Ends the current incarnation and starts a new one. */
     restart(): void;
-    /** Ends it for good. */
+    /** Ends the engine permanently and removes it from the fleet. */
     end(): void;
 }
 
-/** Creates an engine with the whole speed model in this process. */
+/** Creates an in-process engine with the complete speed model. */
 export function createLocalEngine(options: EngineOptions, clock: Clock, fleet: LocalFleet = new Map()): LocalEngine {
     const settings = engineOptionsSchema.parse(options);
     const faults: EngineFaults = {};
@@ -55,7 +55,7 @@
 
     const restart = (isWithinChange: boolean) => {
         run.end();
-        run = startRun(settings.keepsFencingOverRestart ? run.desk.highestFencingNumber : 0, isWithinChange);
+        run = startRun(settings.keepsFencingOverRestart ? run.orderHandler.highestFencingNumber : 0, isWithinChange);
     };
     let run = startRun(0, false);
 
@@ -70,12 +70,12 @@
             if (signal.aborted) {
                 return Result.err(notRun(FailureReason.Cancelled, "Cancelled before it was sent."));
             }
-            const taken = await run.generate(request);
-            if (taken.isErr) {
-                return Result.err(taken.error);
+            const submitted = await run.generate(request);
+            if (submitted.isErr) {
+                return Result.err(submitted.error);
             }
             const cancel = () => run.cancel(request.streamId);
-            return Result.ok(readLocally(run, taken.value, request.startOffset ?? 0, signal, cancel));
+            return Result.ok(readLocally(run, submitted.value, request.startOffset ?? 0, signal, cancel));
         }
 
         override async resume(
@@ -127,7 +127,7 @@
     };
 }
 
-/** Reads a stream as its lines come. Its reader is attached at once, so that no line is missed. */
+/** Yields the events of a stream. The reader is attached before the first read, so that no event is missed. */
 function readLocally(
     run: EngineRun,
     stream: EngineStream,
--- a/packages/daisyturn-standins/src/engine/describeEngine.ts
+++ b/packages/daisyturn-standins/src/engine/describeEngine.ts
@@ -2,39 +2,39 @@
 import type { WorkCounts } from "./batch/jobLists.js";
 import { decodeRate, prefillRate } from "./batch/speedModel.js";
 import type { EngineSettings } from "./engineOptions.js";
-import type { OrderDesk } from "./orderDesk.js";
+import type { OrderHandler } from "./orderHandler.js";
 
-/** Most stream ids in a load report; the newest are told. */
-const reportedStreamIds = 512;
+/** Maximum number of stream ids in a load report. The newest ids are reported. */
+const maxReportedStreamIds = 512;
 
-/** The engine's state as of now. */
+/** Returns the current state of the engine. */
 export function describeEngineState(
     settings: EngineSettings,
     incarnation: string,
-    desk: OrderDesk,
+    orderHandler: OrderHandler,
     counts: WorkCounts,
 ): EngineState {
     return {
         engineId: settings.id,
         incarnation,
-        role: desk.role,
-        phase: desk.phase,
-        draining: desk.draining,
-        models: desk.models,
-        adapters: desk.adapters,
-        version: desk.version,
+        role: orderHandler.role,
+        phase: orderHandler.phase,
+        draining: orderHandler.draining,
+        models: orderHandler.models,
+        adapters: orderHandler.adapters,
+        version: orderHandler.version,
         runningStreams: counts.running,
         queuedRequests: counts.queued,
-        lastOrderId: desk.lastOrderId,
-        highestFencingNumber: settings.checksFencing ? desk.highestFencingNumber : undefined,
+        lastOrderId: orderHandler.lastOrderId,
+        highestFencingNumber: settings.checksFencing ? orderHandler.highestFencingNumber : undefined,
     };
 }
 
-/** A sample of the load. Rates are told in real time, which is what readers measure in. */
+/** Samples the load. Rates are per second of real time, because consumers of the report measure in real time. */
 export function measureEngineLoad(
     settings: EngineSettings,
     incarnation: string,
-    desk: OrderDesk,
+    orderHandler: OrderHandler,
     counts: WorkCounts,
     streamIds: readonly string[],
     wallNow: number,
@@ -43,8 +43,8 @@
         engineId: settings.id,
         incarnation,
         asOf: wallNow,
-        role: desk.role,
-        phase: desk.phase,
+        role: orderHandler.role,
+        phase: orderHandler.phase,
         runningStreams: counts.running,
         queuedRequests: counts.queued,
         queuedPrefillTokens: counts.queuedPrefillTokens,
@@ -53,6 +53,6 @@
         kvTokensCapacity: settings.kvTokensCapacity,
         prefillRate: prefillRate(settings) * settings.speed,
         decodeRate: decodeRate(settings, 1) * settings.speed,
-        recentStreamIds: streamIds.slice(-reportedStreamIds),
+        recentStreamIds: streamIds.slice(-maxReportedStreamIds),
     };
 }
--- a/packages/daisyturn-standins/src/engine/engineFaults.ts
+++ b/packages/daisyturn-standins/src/engine/engineFaults.ts
@@ -1,16 +1,16 @@
 import { z } from "zod";
 
-/** What an engine stand-in is told to do wrong; each is used up when it strikes. Body of `POST /control/faults`. */
+/** Faults to inject into an engine stand-in, each used once unless stated otherwise. Body of `POST /control/faults`. */
 export const engineFaultsSchema = z.object({
-    /** The next change stops halfway: phase Stuck. */
+    /** The next change stops halfway and leaves the engine in phase Stuck. */
     stopNextChange: z.boolean().optional(),
-    /** The process ends halfway through the next change and comes back under a new incarnation, Stuck. */
+    /** The engine crashes halfway through the next change and restarts as a new incarnation in phase Stuck. */
     crashNextChange: z.boolean().optional(),
-    /** The next order takes effect, and the connection is reset before the answer. */
+    /** The next order takes effect, but the connection is reset before the answer is sent. */
     loseNextOrderAnswer: z.boolean().optional(),
-    /** The next streams are cut after so many tokens; the engine goes on with the work. */
+    /** Token counts after which the next stream connections are cut, one per connection. The engine continues the work. */
     cutStreamsAfterTokens: z.array(z.number().int().nonnegative()).optional(),
-    /** Answers no new requests for generation until set to false: they hang. */
+    /** New generate requests get no answer until this is set to false. */
     hangGenerate: z.boolean().optional(),
 });
 
--- a/packages/daisyturn-standins/src/engine/engineRoutes.ts
+++ b/packages/daisyturn-standins/src/engine/engineRoutes.ts
@@ -7,18 +7,18 @@
 import type { EngineRun } from "./batch/engineRun.js";
 import { type EngineFaults, engineFaultsSchema } from "./engineFaults.js";
 import type { EngineStream, StreamReader } from "./engineStream.js";
-import type { OrderRecord } from "./orderDesk.js";
+import type { OrderRecord } from "./orderHandler.js";
 
 /** Body of `POST /control/restart`. */
 const restartSchema = z.object({ downMilliseconds: z.number().nonnegative().default(0) });
 
-/** What the routes act on. */
+/** Options of the engine routes. */
 export interface EngineRoutesOptions {
     readonly clock: Clock;
     readonly run: () => EngineRun;
     readonly faults: EngineFaults;
     readonly orders: OrderRecord[];
-    /** Ends the process and starts it anew after so many real milliseconds. */
+    /** Ends the current incarnation and starts a new one after `downMilliseconds` of real time. */
     readonly restart: (downMilliseconds: number) => void;
 }
 
@@ -32,12 +32,12 @@
             return;
         }
         const run = options.run();
-        const taken = await run.generate(body);
-        if (taken.isErr) {
-            refuse(response, taken.error);
+        const submitted = await run.generate(body);
+        if (submitted.isErr) {
+            refuse(response, submitted.error);
             return;
         }
-        connect(run, taken.value, body.startOffset ?? 0, response);
+        connect(run, submitted.value, body.startOffset ?? 0, response);
     };
 
     const resume = (streamId: string, offset: number, response: ServerResponse) => {
@@ -72,7 +72,7 @@
         answerJson(response, 200, { orderId: body.orderId, answer });
     };
 
-    const exchangeKv = (method: string, handleId: string, response: ServerResponse) => {
+    const handleKv = (method: string, handleId: string, response: ServerResponse) => {
         const found = options.run().findExport(handleId);
         if (!found) {
             answerNotFound(response, "No such KV cache.");
@@ -84,8 +84,8 @@
         answerJson(response, 200, found);
     };
 
-    const control = async (word: string, request: IncomingMessage, response: ServerResponse) => {
-        switch (word) {
+    const control = async (action: string, request: IncomingMessage, response: ServerResponse) => {
+        switch (action) {
             case "faults":
                 Object.assign(faults, engineFaultsSchema.parse(JSON.parse(await readBody(request))));
                 return answerJson(response, 200, faults);
@@ -128,7 +128,7 @@
                 );
             case "GET kv":
             case "DELETE kv":
-                return exchangeKv(request.method ?? "", name, response);
+                return handleKv(request.method ?? "", name, response);
             case "GET control":
             case "POST control":
                 return control(name, request, response);
@@ -138,13 +138,13 @@
     };
 }
 
-/** Processor time in milliseconds and memory of this process, for measurements. */
+/** Returns the processor time of this process in milliseconds and its resident memory in megabytes. */
 function readUsage(): object {
     const { user, system } = process.cpuUsage();
     return { processor: (user + system) / 1_000, residentMegabytes: process.memoryUsage.rss() / 1_048_576 };
 }
 
-/** Writes a stream's lines into a response; the stream goes on when the connection ends. */
+/** Creates a reader that writes a stream to an HTTP response. The stream continues if the connection closes. */
 function createReader(
     response: ServerResponse,
     offset: number,
@@ -167,7 +167,7 @@
     return reader;
 }
 
-/** Status by which an engine says that a request did not run. */
+/** Status of a request that was refused without being run. */
 const notRunStatus = 503;
 const conflictStatus = 409;
 const notFoundStatus = 404;
--- a/packages/daisyturn-standins/src/engine/engineStream.ts
+++ b/packages/daisyturn-standins/src/engine/engineStream.ts
@@ -1,11 +1,11 @@
 import { estimateTokenCount, GeneratePart, type GenerateRequest, StreamEventKind, type StreamLine } from "daisyturn";
 import { type Answer, createAnswer } from "./expectedAnswer.js";
 
-/** Takes the lines of a stream, for one connection. */
+/** Receives the lines of a stream for one connection. */
 export interface StreamReader {
-    /** Tokens that it has got so far. */
+    /** Offset of the next token to write. */
     offset: number;
-    /** Real time, on the monotonic clock, of the last line. */
+    /** Time of the last line on the monotonic clock, in real milliseconds. */
     lastWriteAt: number;
     write(line: StreamLine): void;
     end(): void;
@@ -13,23 +13,23 @@
     cut(): void;
 }
 
-/** One stream: what was generated so far and who reads it. */
+/** State of one stream and the readers attached to it. */
 export interface EngineStream {
     readonly request: GenerateRequest;
     readonly answer: Answer;
     readonly promptTokens: number;
-    /** Tokens of the answer when it is whole. */
+    /** Number of tokens in the complete answer. */
     readonly targetTokens: number;
     generatedTokens: number;
     cachedTokens: number;
-    /** The end mark, once everything is generated. */
+    /** The end mark, set once all tokens are generated. */
     end?: StreamLine;
     /** Simulated time of the end. */
     endedAt?: number;
     readonly readers: Set<StreamReader>;
 }
 
-/** Creates the record of a request that was taken in. */
+/** Creates the stream of a request. */
 export function createEngineStream(request: GenerateRequest): EngineStream {
     const answer = createAnswer(request);
     const startOffset = request.startOffset ?? 0;
@@ -45,7 +45,7 @@
     };
 }
 
-/** Hands each reader what it has not got yet: one line for all new tokens, then the end mark. */
+/** Writes to each reader what it has not received yet: one line with all new tokens, then the end mark. */
 export function flushStream(stream: EngineStream, realNow: number): void {
     for (const reader of stream.readers) {
         const tokenCount = stream.generatedTokens - reader.offset;
@@ -68,7 +68,7 @@
     }
 }
 
-/** Cuts all readers off. */
+/** Cuts the connections of all readers and detaches them. */
 export function cutReaders(stream: EngineStream): void {
     stream.readers.forEach(reader => reader.cut());
     stream.readers.clear();
--- a/packages/daisyturn-standins/src/engine/expectedAnswer.ts
+++ b/packages/daisyturn-standins/src/engine/expectedAnswer.ts
@@ -1,6 +1,6 @@
 import { hashText } from "daisyturn-utils";
 
-/** What decides an answer, besides the index of the token. */
+/** The fields of a request that determine its answer. */
 export interface AnswerSource {
     readonly model: string;
     readonly adapter?: string;
@@ -8,7 +8,7 @@
     readonly sampling?: { readonly stop?: readonly string[]; };
 }
 
-/** Words that answers are made of; some take several bytes in UTF-8, so that cut characters are found out. */
+/** Words of the answers. Some contain multi-byte UTF-8 characters, so that tests detect split characters. */
 const vocabulary = [
     "seat",
     "coach",
@@ -43,16 +43,16 @@
     "offer",
     "0,5€",
 ];
-/** In a prompt, asks for a model answer of that many tokens; tests and load generators use it. */
+/** Marker in a prompt that sets the number of answer tokens. Used by tests and load generators. */
 const lengthMarker = /<answer-tokens:(\d+)>/;
-const shortestAnswer = 32;
-const answerLengthSpread = 225;
+const minAnswerTokens = 32;
+const answerLengthRange = 225;
 
 /** The answer of one request, computed token by token. */
 export interface Answer {
-    /** Tokens after which the model itself ends. */
+    /** Number of tokens after which the model ends the answer by itself. */
     readonly naturalLength: number;
-    /** Text of the tokens from `offset`, `count` of them. */
+    /** Returns the text of `count` tokens, starting at `offset`. */
     text(offset: number, count: number): string;
 }
 
@@ -61,7 +61,7 @@
     const digest = hashText(`${source.model}\n${source.adapter ?? ""}\n${source.prompt}`);
     const seed = Number.parseInt(digest.slice(0, 8), 16);
     const marker = lengthMarker.exec(source.prompt);
-    const naturalLength = marker ? Number(marker[1]) : shortestAnswer + seed % answerLengthSpread;
+    const naturalLength = marker ? Number(marker[1]) : minAnswerTokens + seed % answerLengthRange;
     const token = (index: number) => `${vocabulary[mix(seed, index) % vocabulary.length]} `;
     const text = (offset: number, count: number) => {
         let joined = "";
@@ -74,13 +74,13 @@
     return stops.length === 0 ? { naturalLength, text } : cutAtStop(naturalLength, token, stops);
 }
 
-/** The whole text of an answer, for comparing byte for byte. */
+/** Returns the complete text of an answer, for byte-by-byte comparison. */
 export function expectedAnswer(source: AnswerSource, maxOutputTokens: number): string {
     const answer = createAnswer(source);
     return answer.text(0, Math.min(answer.naturalLength, maxOutputTokens));
 }
 
-/** An answer that ends before the first of the stop texts. */
+/** Creates an answer that ends before the first occurrence of a stop text. */
 function cutAtStop(naturalLength: number, token: (index: number) => string, stops: readonly string[]): Answer {
     const tokens: string[] = [];
     let whole = "";
@@ -108,7 +108,7 @@
     return { naturalLength: kept.length, text: (offset, count) => kept.slice(offset, offset + count).join("") };
 }
 
-/** Spreads a seed and an index over 32 bits (the finaliser of MurmurHash3). */
+/** Hashes a seed and an index to 32 bits with the finalizer of MurmurHash3. */
 function mix(seed: number, index: number): number {
     let value = (seed ^ Math.imul(index + 1, 0x9e3779b1)) >>> 0;
     value = Math.imul(value ^ (value >>> 16), 0x85ebca6b) >>> 0;
--- a/packages/daisyturn-standins/src/engine/orderDesk.ts
+++ b/packages/daisyturn-standins/src/engine/orderHandler.ts
@@ -2,10 +2,10 @@
 import type { EngineFaults } from "./engineFaults.js";
 import type { EngineSettings } from "./engineOptions.js";
 
-/** Order ids that are remembered, to know a repeated order. */
-const rememberedOrders = 1_000;
+/** Order ids retained to detect repeated orders. */
+const maxRememberedOrders = 1_000;
 
-/** One order as the engine saw it; tests read them to find conflicts. */
+/** An order as the engine received it. Tests use the records to detect conflicting orders. */
 export interface OrderRecord {
     readonly order: EngineOrder;
     readonly answer: OrderAnswer;
@@ -14,8 +14,8 @@
     readonly runningStreams: number;
 }
 
-/** What orders change. */
-export interface OrderDesk {
+/** Applies orders and exposes the engine state that they change. */
+export interface OrderHandler {
     readonly role: EngineRole;
     readonly phase: EnginePhase;
     readonly draining: boolean;
@@ -24,27 +24,27 @@
     readonly version: string;
     readonly lastOrderId: string | undefined;
     readonly highestFencingNumber: number;
-    take(order: EngineOrder): OrderAnswer;
+    handle(order: EngineOrder): OrderAnswer;
 }
 
-/** What the desk needs from its engine. */
-export interface OrderDeskOptions {
+/** Options of the order handler. */
+export interface OrderHandlerOptions {
     readonly settings: EngineSettings;
     readonly faults: EngineFaults;
-    /** From an earlier incarnation. */
+    /** Highest fencing number that an earlier incarnation received. */
     readonly highestFencingNumber: number;
-    /** From an earlier incarnation that ended within a change. */
+    /** Whether the previous incarnation ended during a change, which leaves this one stuck. */
     readonly startsStuck: boolean;
-    /** Waits in simulated time; ends early when the engine does. */
+    /** Waits in simulated time. Returns early when the engine ends. */
     readonly pause: (milliseconds: number) => Promise<void>;
     readonly isEnded: () => boolean;
-    /** Ends all streams, as a change that reloads the engine does. */
+    /** Cuts and removes all streams, for a change that reloads the engine. */
     readonly dropStreams: () => void;
     readonly crash: () => void;
 }
 
-/** Creates the part that takes orders. */
-export function createOrderDesk(options: OrderDeskOptions): OrderDesk {
+/** Creates the order handler of one incarnation. */
+export function createOrderHandler(options: OrderHandlerOptions): OrderHandler {
     const { settings, faults } = options;
     const answered = new Set<string>();
     const models = [...settings.models];
@@ -60,7 +60,7 @@
         answered.add(order.orderId);
         lastOrderId = order.orderId;
         const [oldest] = answered;
-        if (answered.size > rememberedOrders && oldest !== undefined) {
+        if (answered.size > maxRememberedOrders && oldest !== undefined) {
             answered.delete(oldest);
         }
     };
@@ -116,7 +116,7 @@
         }
     };
 
-    const take = (order: EngineOrder): OrderAnswer => {
+    const handle = (order: EngineOrder): OrderAnswer => {
         if (settings.checksFencing && order.fencingNumber < highestFencingNumber) {
             return OrderAnswer.StaleFencingNumber;
         }
@@ -124,7 +124,7 @@
         if (answered.has(order.orderId)) {
             return OrderAnswer.Repeated;
         }
-        if (phase === EnginePhase.Changing || lacksNeeds(order)) {
+        if (phase === EnginePhase.Changing || lacksRequiredFields(order)) {
             return OrderAnswer.Busy;
         }
         remember(order);
@@ -161,7 +161,7 @@
         get highestFencingNumber() {
             return highestFencingNumber;
         },
-        take,
+        handle,
     };
 }
 
@@ -169,8 +169,8 @@
     return kind === OrderKind.ChangeRole || kind === OrderKind.LoadVersion;
 }
 
-/** A load needs a name and the weight store's grant; a role change needs a role. */
-function lacksNeeds(order: EngineOrder): boolean {
+/** A load requires an artifact name and a grant of the weight store. A role change requires a role. */
+function lacksRequiredFields(order: EngineOrder): boolean {
     switch (order.kind) {
         case OrderKind.ChangeRole:
             return order.role === undefined;
--- a/packages/daisyturn-standins/src/engine/runEngine.ts
+++ b/packages/daisyturn-standins/src/engine/runEngine.ts
@@ -4,8 +4,8 @@
 import { createEngineServer } from "./createEngineServer.js";
 import { type EngineOptions, engineOptionsSchema } from "./engineOptions.js";
 
-// Runs one engine stand-in as a process of its own. Every setting is a flag, such as `--step-base-milliseconds 8`;
-// lists have commas between their names.
+// Runs one engine stand-in as a separate process. Every setting is a flag, such as `--step-base-milliseconds 8`.
+// Lists are comma-separated.
 
 const textSettings = ["id", "host", "role", "version"];
 const listSettings = ["models", "adapters"];
