--- a/packages/daisyturn-standins/src/engine/engineFaults.ts
+++ b/packages/daisyturn-standins/src/engine/engineFaults.ts
@@ -8,7 +8,7 @@
     crashNextChange: z.boolean().optional(),
     /** The next order takes effect, but the connection is reset before the answer is sent. */
     loseNextOrderAnswer: z.boolean().optional(),
-    /** Token counts after which the next stream connections are cut, one per connection. The engine continues the work. */
+    /** Token counts after which the next stream connections are cut, one per connection. The work continues. */
     cutStreamsAfterTokens: z.array(z.number().int().nonnegative()).optional(),
     /** New generate requests get no answer until this is set to false. */
     hangGenerate: z.boolean().optional(),
