--- a/packages/daisyturn-standins/src/measure/measureFairShares.ts
+++ b/packages/daisyturn-standins/src/measure/measureFairShares.ts
@@ -1,10 +1,10 @@
-import { createCalmSource, createFlood, engineCount, goodPart, runShared } from "./policy/fairShareCases.js";
+import { computeGoodFraction, createCalmSource, createFlood, engineCount, runShared } from "./policy/fairShareCases.js";
 import { percentileOf, type SourceResult, type TrialSource } from "./policy/policyTrial.js";
 import { formatSummary, summarise } from "./summarise.js";
 
 /**
- * Measures what one partner's flood does to the other: goodput of a calm partner alone and beside a flood of twice what
- * the engines can serve, for demands below and above its share, through all entry processes and through one.
+ * Measures how one partner's flood affects another partner: the goodput of a calm partner alone and beside a flood of
+ * twice what the engines can serve, for loads below and above its share, through all entry processes and through one.
  * Run it with `node packages/daisyturn-standins/dist/measure/measureFairShares.js`.
  */
 const seeds = [1, 2, 3, 4, 5];
@@ -21,7 +21,7 @@
 }
 
 function describe(name: string, results: readonly SourceResult[]): string {
-    const parts = formatSummary(summarise(results.map(goodPart)), 3);
+    const parts = formatSummary(summarise(results.map(computeGoodFraction)), 3);
     const firstTokens = results.flatMap(result => result.firstTokens);
     const times = [0.5, 0.99].map(fraction => percentileOf(firstTokens, fraction).toFixed(0)).join(" / ");
     return `  ${name}: good ${parts} of its requests, first token ${times} ms (50th / 99th)`;
@@ -29,7 +29,7 @@
 
 for (const processes of processCounts) {
     for (const rate of calmRates) {
-        // Its share alone: half of the engines where it could use all.
+        // The baseline: half of the engines where its load would use all of them.
         const share = rate > 20 ? engineCount / 2 : engineCount;
         console.log(`${processes} processes, calm partner at ${rate} requests a second`);
         const one = { processes: [0] };
--- a/packages/daisyturn-standins/src/measure/policy/fairShareCases.ts
+++ b/packages/daisyturn-standins/src/measure/policy/fairShareCases.ts
@@ -4,23 +4,23 @@
 
 const mix = { blocks: 30, sharedBlocks: 10, prefixes: 5 };
 const limits = { firstTokenLimitMilliseconds: 1_600, betweenTokensLimitMilliseconds: 110, maxOutputTokens: 150 };
-/** What eight default engines serve of this mix, in requests a second. */
+/** Requests per second of this mix that eight engines with default settings can serve. */
 export const cellCapacity = 41;
 export const engineCount = 8;
 
-/** The partner whose goodput is to be left alone. */
+/** Creates the source of the partner whose goodput must not suffer from the other's load. */
 export function createCalmSource(requestsPerSecond: number, fields: Partial<TrialSource> = {}): TrialSource {
     const profile = createMeasuredProfile("jizdenka", limits);
     return { profile, requestsPerSecond, mix, outputTokens: 80, ...fields };
 }
 
-/** The partner that sends about twice what all engines can serve. */
+/** Creates the source of a partner that sends about twice what all engines can serve. */
 export function createFlood(fields: Partial<TrialSource> = {}): TrialSource {
     const profile = createMeasuredProfile("nyamata", limits);
     return { profile, requestsPerSecond: 2 * cellCapacity, mix, outputTokens: 80, ...fields };
 }
 
-/** Runs some sources through admission and routing. */
+/** Runs sources that share the engines through admission and routing. */
 export function runShared(
     sources: readonly TrialSource[],
     fields: Pick<TrialOptions, "seed" | "processes"> & Partial<TrialOptions>,
@@ -35,7 +35,7 @@
     });
 }
 
-/** Good answers as a part of what was offered. */
-export function goodPart(result: SourceResult): number {
+/** Returns the fraction of the offered requests that completed within all limits. */
+export function computeGoodFraction(result: SourceResult): number {
     return result.good / result.offered;
 }
