--- a/packages/daisyturn-standins/src/measure/callerPathFleet.ts
+++ b/packages/daisyturn-standins/src/measure/callerPathFleet.ts
@@ -18,8 +18,8 @@
 const pollMilliseconds = 50;
 
 /**
- * One entry process before four engines, whose step without work takes a millisecond, and two plain services. Only the
- * first engine has the large model, so that requests for it run on the same engine whichever way they take.
+ * One entry process in front of four engines, whose step without work takes 1 ms, and two plain services. Only the
+ * first engine has the large model, so that requests for it run on the same engine whichever route they take.
  */
 const plan: FleetPlan = {
     partners: [partner],
@@ -36,10 +36,10 @@
     engineArguments: ["--speed", "10"],
 };
 
-/** What the measurement runs against. */
+/** The processes that the measurement runs against. */
 export interface CallerPathFleet {
     readonly fleet: Fleet;
-    /** Passes bytes on and does nothing else. */
+    /** A proxy that forwards bytes and does nothing else. */
     readonly bareRelay: ChildProgram;
 }
 
--- a/packages/daisyturn-standins/src/measure/callerPathRequests.ts
+++ b/packages/daisyturn-standins/src/measure/callerPathRequests.ts
@@ -4,10 +4,10 @@
 import { createCallerKey, ModelName, PartnerName, ServiceName } from "../fleet/partnerConfiguration.js";
 import type { CallerPathFleet } from "./callerPathFleet.js";
 
-/** The way that a request takes. */
-export enum Way {
+/** The route of a request to its target. */
+export enum RequestRoute {
     Direct = "direct",
-    /** Through a process that passes bytes on and does nothing else. */
+    /** Through a proxy that forwards bytes and does nothing else. */
     ThroughBareRelay = "through bare relay",
     ThroughEntry = "through entry",
 }
@@ -15,26 +15,26 @@
 /** Services of the measurement: one is served by the first engine only, one by all. */
 export type ModelServiceName = ServiceName.Valuation | ServiceName.QuickQuestion;
 
-/** How one request went; times in milliseconds. */
+/** Outcome and durations of one request, in milliseconds. */
 export interface RequestTimes {
     readonly isAnswered: boolean;
     readonly firstByte: number;
     readonly total: number;
 }
 
-/** Sends the same requests straight to a target or through the entry process. */
+/** Sends the same requests to a target directly, through the bare relay or through the entry process. */
 export interface CallerPathRequests {
-    lookUp(way: Way): Promise<RequestTimes>;
-    /** Streams an answer; returns once its last byte has come. */
-    complete(way: Way, service: ModelServiceName, outputTokens: number): Promise<RequestTimes>;
+    lookUp(route: RequestRoute): Promise<RequestTimes>;
+    /** Requests a streamed completion; resolves when its last byte has been received. */
+    complete(route: RequestRoute, service: ModelServiceName, outputTokens: number): Promise<RequestTimes>;
     close(): Promise<void>;
 }
 
-/** Short, so that the engine's own work is. */
+/** Short, so that the engine's own work takes little time. */
 const promptCharacters = 400;
 const answerLimitMilliseconds = 60_000;
 
-/** Creates the sender. Targets are taken in turn where the request goes straight to them. */
+/** Creates the sender. Look-ups that don't go through the entry process alternate between the services. */
 export function createCallerPathRequests({ fleet, bareRelay }: CallerPathFleet): CallerPathRequests {
     const dispatcher = new Agent({ connections: 256, pipelining: 1 });
     const entryUrl = fleet.entries[0]?.callerUrl ?? "";
@@ -67,25 +67,25 @@
     };
 
     const sendToTarget = (
-        way: Way,
+        route: RequestRoute,
         url: string,
         method: "GET" | "POST",
         headers: Record<string, string>,
         body?: object,
-    ) => way === Way.Direct
+    ) => route === RequestRoute.Direct
         ? send(url, method, headers, body)
         : send(bareRelay.words.get("url") ?? "", method, { ...headers, "x-target": url }, body);
 
-    const lookUp = (way: Way) =>
-        way !== Way.ThroughEntry
-            ? sendToTarget(way, `${nextUrl(fleet.services)}/lookup/7`, "GET", { [callIdHeader]: randomUUID() })
+    const lookUp = (route: RequestRoute) =>
+        route !== RequestRoute.ThroughEntry
+            ? sendToTarget(route, `${nextUrl(fleet.services)}/lookup/7`, "GET", { [callIdHeader]: randomUUID() })
             : send(`${entryUrl}/services/${ServiceName.Quotes}/lookup/7`, "GET", { authorization: `Bearer ${key}` });
 
-    const complete = (way: Way, service: ModelServiceName, outputTokens: number) => {
+    const complete = (route: RequestRoute, service: ModelServiceName, outputTokens: number) => {
         const marker = `<answer-tokens:${outputTokens}>`;
         const prompt = `${randomUUID()} ${marker} ${"x".repeat(promptCharacters)}`;
-        return way !== Way.ThroughEntry
-            ? sendToTarget(way, `${fleet.engines[0]?.url}/generate`, "POST", { "content-type": "application/json" }, {
+        return route !== RequestRoute.ThroughEntry
+            ? sendToTarget(route, `${fleet.engines[0]?.url}/generate`, "POST", { "content-type": "application/json" }, {
                 streamId: randomUUID(),
                 part: GeneratePart.Whole,
                 model: ModelName.Large,
--- a/packages/daisyturn-standins/src/measure/measureCallerPath.ts
+++ b/packages/daisyturn-standins/src/measure/measureCallerPath.ts
@@ -7,27 +7,32 @@
 import type { Fleet } from "../fleet/launchFleet.js";
 import { ServiceName } from "../fleet/partnerConfiguration.js";
 import { launchCallerPathFleet } from "./callerPathFleet.js";
-import { type CallerPathRequests, createCallerPathRequests, type RequestTimes, Way } from "./callerPathRequests.js";
+import {
+    type CallerPathRequests,
+    createCallerPathRequests,
+    RequestRoute,
+    type RequestTimes,
+} from "./callerPathRequests.js";
 import { readProcessorSeconds } from "./processTime.js";
 
-// Compares going through an entry process with going straight to a target and with going through a process that only
-// passes bytes on, in blocks that alternate within one run.
+// Compares the latency of requests through an entry process, directly to a target, and through a proxy that only
+// forwards bytes, in blocks that alternate within one run.
 // Usage: node packages/daisyturn-standins/dist/measure/measureCallerPath.js [--seeds N] [--rate N] [--seconds N]
 
-/** What is timed. */
+/** The measured durations. */
 enum Quantity {
     LookUp = "look-up, whole",
     FirstByte = "completion, first byte",
     Completion = "completion, whole",
 }
 
-type Recorded = Readonly<Record<Way, Readonly<Record<Quantity, Histogram>> & { refused: number; }>>;
+type Recorded = Readonly<Record<RequestRoute, Readonly<Record<Quantity, Histogram>> & { refused: number; }>>;
 
 const microsecondsPerMillisecond = 1000;
 const millisecondsPerSecond = 1000;
-/** Of the run in which the processes compile their code; its times are not counted. */
+/** Seed of the warm-up run, in which the processes compile their code; its times are not counted. */
 const warmUpSeed = 0;
-const blocksPerWay = 4;
+const blocksPerRoute = 4;
 const outputTokens = 16;
 const relayStreams = 32;
 const relayTokens = 400;
@@ -38,7 +43,7 @@
 const flags = await yargs(hideBin(process.argv))
     .option("seeds", { type: "number", default: 5 })
     .option("rate", { type: "number", default: 200, describe: "requests a second" })
-    .option("seconds", { type: "number", default: 10, describe: "for each way and seed" })
+    .option("seconds", { type: "number", default: 10, describe: "for each route and seed" })
     .strict()
     .parse();
 
@@ -71,13 +76,13 @@
     const recorded = createRecorded();
     const processNumber = fleet.entries[0]?.program.processNumber ?? 0;
     const processorStart = readProcessorSeconds(processNumber);
-    for (let block = 0; block < blocksPerWay; block++) {
-        for (const way of shuffle(Object.values(Way), random)) {
-            await runBlock(requests, random, way, recorded);
+    for (let block = 0; block < blocksPerRoute; block++) {
+        for (const route of shuffle(Object.values(RequestRoute), random)) {
+            await runBlock(requests, random, route, recorded);
         }
     }
-    const count = recorded[Way.ThroughEntry][Quantity.LookUp].totalCount
-        + recorded[Way.ThroughEntry][Quantity.Completion].totalCount;
+    const count = recorded[RequestRoute.ThroughEntry][Quantity.LookUp].totalCount
+        + recorded[RequestRoute.ThroughEntry][Quantity.Completion].totalCount;
     const processorMilliseconds = (readProcessorSeconds(processNumber) - processorStart) * millisecondsPerSecond;
     print(`seed ${seed}: ${(processorMilliseconds / count).toFixed(2)} ms of processor time for each request`);
     return recorded;
@@ -88,15 +93,20 @@
     return keyed.sort((left, right) => left.key - right.key).map(({ item }) => item);
 }
 
-/** Sends requests at random moments at the given rate; half are look-ups, half completions. */
-async function runBlock(requests: CallerPathRequests, random: Random, way: Way, recorded: Recorded): Promise<void> {
-    const end = performance.now() + flags.seconds * millisecondsPerSecond / blocksPerWay;
+/** Sends requests with Poisson arrivals at the given rate; half are look-ups, half completions. */
+async function runBlock(
+    requests: CallerPathRequests,
+    random: Random,
+    route: RequestRoute,
+    recorded: Recorded,
+): Promise<void> {
+    const end = performance.now() + flags.seconds * millisecondsPerSecond / blocksPerRoute;
     const running: Promise<void>[] = [];
     const record = (quantities: readonly Quantity[], { isAnswered, firstByte, total }: RequestTimes) => {
-        recorded[way].refused += isAnswered ? 0 : 1;
+        recorded[route].refused += isAnswered ? 0 : 1;
         for (const quantity of isAnswered ? quantities : []) {
             const milliseconds = quantity === Quantity.FirstByte ? firstByte : total;
-            recorded[way][quantity].recordValue(Math.round(milliseconds * microsecondsPerMillisecond));
+            recorded[route][quantity].recordValue(Math.round(milliseconds * microsecondsPerMillisecond));
         }
     };
     let next = performance.now();
@@ -104,15 +114,15 @@
         next -= Math.log(1 - random.fraction()) * millisecondsPerSecond / flags.rate;
         await delay(Math.max(0, next - performance.now()));
         const sent = random.fraction() < 0.5
-            ? requests.lookUp(way).then(times => record([Quantity.LookUp], times))
-            : requests.complete(way, ServiceName.Valuation, outputTokens)
+            ? requests.lookUp(route).then(times => record([Quantity.LookUp], times))
+            : requests.complete(route, ServiceName.Valuation, outputTokens)
                 .then(times => record([Quantity.FirstByte, Quantity.Completion], times));
         running.push(sent);
     }
     await Promise.all(running);
 }
 
-/** Keeps a number of streams running and divides the tokens by the processor time of the entry process. */
+/** Runs a constant number of concurrent streams and divides their tokens by the entry process's processor time. */
 async function measureRelay(fleet: Fleet, requests: CallerPathRequests, seed: number): Promise<void> {
     const processNumber = fleet.entries[0]?.program.processNumber ?? 0;
     const idleStart = readProcessorSeconds(processNumber);
@@ -125,7 +135,11 @@
     let tokens = 0;
     const streamOneAfterTheOther = async () => {
         while (performance.now() < end) {
-            const { isAnswered } = await requests.complete(Way.ThroughEntry, ServiceName.QuickQuestion, relayTokens);
+            const { isAnswered } = await requests.complete(
+                RequestRoute.ThroughEntry,
+                ServiceName.QuickQuestion,
+                relayTokens,
+            );
             tokens += isAnswered ? relayTokens : 0;
         }
     };
@@ -141,21 +155,26 @@
 }
 
 function printAddedLatency(seed: number, recorded: Recorded): void {
-    print(`seed ${seed}: ${recorded[Way.ThroughEntry].refused} refused by the entry process, not in the figures`);
+    print(
+        `seed ${seed}: ${recorded[RequestRoute.ThroughEntry].refused} refused by the entry process, not in the figures`,
+    );
     for (const quantity of Object.values(Quantity)) {
         const describe = (percentile: number) => {
-            const read = (way: Way) =>
-                recorded[way][quantity].getValueAtPercentile(percentile) / microsecondsPerMillisecond;
-            const describeAdded = (way: Way) => `${way} +${(read(way) - read(Way.Direct)).toFixed(2)}`;
-            return `p${percentile} direct ${read(Way.Direct).toFixed(2)} ms, ${describeAdded(Way.ThroughBareRelay)}, `
-                + describeAdded(Way.ThroughEntry);
+            const read = (route: RequestRoute) =>
+                recorded[route][quantity].getValueAtPercentile(percentile) / microsecondsPerMillisecond;
+            const describeAdded = (route: RequestRoute) =>
+                `${route} +${(read(route) - read(RequestRoute.Direct)).toFixed(2)}`;
+            return `p${percentile} direct ${read(RequestRoute.Direct).toFixed(2)} ms, ${
+                describeAdded(RequestRoute.ThroughBareRelay)
+            }, `
+                + describeAdded(RequestRoute.ThroughEntry);
         };
-        const count = recorded[Way.ThroughEntry][quantity].totalCount;
+        const count = recorded[RequestRoute.ThroughEntry][quantity].totalCount;
         print(`seed ${seed}: ${quantity}: ${describe(median)}; ${describe(tail)}; ${count} through the entry`);
     }
 }
 
-/** Other programs on the machine widen the figures; the load average tells how much. */
+/** Prints the load average, because other programs on the machine increase the spread of the figures. */
 function printLoad(): void {
     print(`load average ${loadavg()[0]?.toFixed(1)} on ${availableParallelism()} cores`);
 }
@@ -168,9 +187,9 @@
         refused: 0,
     });
     return {
-        [Way.Direct]: createHistograms(),
-        [Way.ThroughBareRelay]: createHistograms(),
-        [Way.ThroughEntry]: createHistograms(),
+        [RequestRoute.Direct]: createHistograms(),
+        [RequestRoute.ThroughBareRelay]: createHistograms(),
+        [RequestRoute.ThroughEntry]: createHistograms(),
     };
 }
 
--- a/packages/daisyturn-standins/src/measure/runBareRelay.ts
+++ b/packages/daisyturn-standins/src/measure/runBareRelay.ts
@@ -3,8 +3,8 @@
 import { listenHttp } from "../httpListener.js";
 import { runUntilTerminated } from "../runUntilTerminated.js";
 
-// The naive version of an entry process: passes bytes on to the URL in a header, and does nothing else. What it adds
-// is the price of one more process on the way, which the entry process can't go below.
+// A minimal proxy for comparison with an entry process: it forwards bytes to the URL in a header and does nothing else.
+// Its added latency is the cost of one more process on the path, a lower bound for that of the entry process.
 
 const dispatcher = new Agent({ pipelining: 1 });
 
