--- a/packages/daisyturn-standins/src/measure/policy/policyTrial.ts
+++ b/packages/daisyturn-standins/src/measure/policy/policyTrial.ts
@@ -14,20 +14,20 @@
 import { SteppedEngine, type SteppedEngineSettings } from "./steppedEngine.js";
 import { VirtualClock } from "./virtualClock.js";
 
-/** One stream of arrivals. */
+/** A source of requests with Poisson arrivals. */
 export interface TrialSource {
     readonly profile: Profile;
     readonly requestsPerSecond: number;
     readonly mix: PromptMix;
-    /** Mean output tokens; lengths are spread evenly from half to one and a half of it. */
+    /** Mean output tokens; lengths are distributed uniformly from 0.5 to 1.5 times this value. */
     readonly outputTokens: number;
-    /** Processes that its requests reach; all if absent. */
+    /** Indices of the processes that receive its requests; all processes if absent. */
     readonly processes?: readonly number[];
-    /** Seconds of the trial in which it sends; always if absent. */
+    /** Start and end of its arrivals, in seconds of the trial; the whole trial if absent. */
     readonly activeSeconds?: readonly [number, number];
 }
 
-/** What a trial varies. */
+/** Parameters of a trial. */
 export interface TrialOptions {
     readonly seed: number;
     readonly seconds: number;
@@ -38,43 +38,43 @@
     readonly usesAdmission: boolean;
     readonly exchangeIntervalMilliseconds?: number;
     readonly createChoice?: (random: Random) => EngineChoice;
-    /** Changes engines as time goes by. */
-    readonly disturb?: (engines: readonly SteppedEngine[], clock: VirtualClock) => void;
+    /** Schedules changes to the engines during the trial, such as slowdowns. */
+    readonly scheduleEngineChanges?: (engines: readonly SteppedEngine[], clock: VirtualClock) => void;
 }
 
-/** How one source fared. */
+/** Results of one source. */
 export interface SourceResult {
     offered: number;
     refused: number;
-    /** Answered whole within all limits. */
+    /** Requests that completed within all limits of the profile. */
     good: number;
     late: number;
     readonly firstTokens: number[];
-    /** Milliseconds that first tokens came later than the router expected when it placed the request. */
+    /** Actual time of first tokens minus the time that the router expected at placement, in milliseconds. */
     readonly errors: number[];
     cachedTokens: number;
     promptTokens: number;
 }
 
-/** What a trial found. */
+/** Results of a trial. */
 export interface TrialResult {
     readonly sources: readonly SourceResult[];
-    /** Part of the engines' time spent on steps. */
+    /** Fraction of the engines' time spent on steps. */
     readonly busy: number;
     readonly prefilledTokens: number;
-    /** Bytes a second that one process tells the others, as JSON. */
+    /** Bytes per second that one process sends to its peers, as JSON. */
     readonly exchangeBytesPerSecond: number;
     readonly unfinished: number;
 }
 
 const tokensPerBlock = 64;
 const millisecondsPerSecond = 1_000;
-/** Time for the last requests to end. */
+/** Time after the last arrivals in which open requests can end. */
 const drainMilliseconds = 15_000;
-/** Time for the engines to report and the processes to meet before requests come. */
+/** Time before the first arrivals in which engines report and processes exchange their loads. */
 const settleMilliseconds = 1_000;
 
-/** Runs requests through the decisions of several processes over stepped engines, in virtual time. */
+/** Runs requests through admission (if used) and routing of several processes over stepped engines, in virtual time. */
 export async function runTrial(options: TrialOptions): Promise<TrialResult> {
     const clock = new VirtualClock();
     const random = createSeededRandom(options.seed);
@@ -97,7 +97,7 @@
     let openRequests = 0;
     let count = 0;
     cell.run(stopper.signal);
-    options.disturb?.(engines, clock);
+    options.scheduleEngineChanges?.(engines, clock);
 
     const serve = async (process: PolicyProcess, source: TrialSource, result: SourceResult) => {
         count += 1;
@@ -113,7 +113,7 @@
         result.offered += 1;
         openRequests += 1;
         const ticket = options.usesAdmission
-            ? await process.admission.admitModelRequest(accountOf(source), request, stopper.signal)
+            ? await process.admission.admitModelRequest(createAccount(source), request, stopper.signal)
             : undefined;
         const placed = ticket?.isErr ? undefined : process.router.place(request);
         if (placed?.isOk !== true) {
@@ -123,7 +123,7 @@
         }
         const usage = await submit(engines, placed.value, request, outputTokens, clock, result);
         openRequests -= 1;
-        noteUsage(result, request, usage);
+        recordUsage(result, request, usage);
         if (ticket?.isOk) {
             ticket.value.release();
         }
@@ -208,7 +208,7 @@
     });
 }
 
-function noteUsage(result: SourceResult, request: RoutingRequest, usage: TrialUsage): void {
+function recordUsage(result: SourceResult, request: RoutingRequest, usage: TrialUsage): void {
     const { profile } = request;
     const isGood = usage.firstToken <= profile.firstTokenLimitMilliseconds
         && usage.longestGap <= profile.betweenTokensLimitMilliseconds
@@ -223,12 +223,12 @@
     return { offered: 0, refused: 0, good: 0, late: 0, firstTokens: [], errors: [], cachedTokens: 0, promptTokens: 0 };
 }
 
-/** The value below which the fraction of the figures lies. */
+/** Returns a percentile (nearest rank) of unsorted values; `fraction` is between 0 and 1. */
 export function percentileOf(figures: readonly number[], fraction: number): number {
     return percentile([...figures].sort((left, right) => left - right), fraction);
 }
 
-function accountOf(source: TrialSource): CallerAccount {
+function createAccount(source: TrialSource): CallerAccount {
     return {
         kind: ItemKind.CallerAccount,
         partner: source.profile.partner,
--- a/packages/daisyturn-standins/src/measure/policy/steppedEngine.ts
+++ b/packages/daisyturn-standins/src/measure/policy/steppedEngine.ts
@@ -13,19 +13,19 @@
 import { err, ok, type Result } from "true-myth/result";
 import type { VirtualClock } from "./virtualClock.js";
 
-/** How fast an engine steps, in milliseconds; the lag of what it reports; its memory. */
+/** Step durations and reporting lags of an engine, in milliseconds, and the size of its cache. */
 export interface SteppedEngineSettings {
     readonly stepBase: number;
     readonly stepPerStream: number;
     readonly stepPerPrefillToken: number;
-    /** Prompt tokens taken into one step. */
+    /** Prompt tokens that one step prefills at most. */
     readonly chunkTokens: number;
     readonly maximumBatch: number;
     readonly cacheBlocks: number;
     readonly reportLag: number;
     readonly cacheEventLag: number;
-    /** Its own figures are too good by this factor. */
-    readonly boast: number;
+    /** Factor by which the reported prefill and decode rates exceed the actual ones. */
+    readonly reportedRateFactor: number;
 }
 
 export const defaultEngineSettings: SteppedEngineSettings = {
@@ -37,10 +37,10 @@
     cacheBlocks: 4_000,
     reportLag: 500,
     cacheEventLag: 1_000,
-    boast: 1,
+    reportedRateFactor: 1,
 };
 
-/** Work given to a stepped engine, and what becomes of it. */
+/** A request submitted to a stepped engine, with callbacks for its progress. */
 export interface SteppedWork {
     readonly streamId: string;
     readonly promptTokens: number;
@@ -64,15 +64,16 @@
 const modelName = "large";
 
 /**
- * An engine that batches continuously, for measurements: each step takes a chunk of waiting prompt and gives every
- * running stream one token. Step length = base + per stream + per prompt token. No network, no text.
+ * An in-process engine with continuous batching, for measurements: each step prefills a chunk of the waiting prompts
+ * and generates one token for every running stream. The step duration is `stepBase` plus a cost per stream and per
+ * prefilled token. It uses no network and generates no text.
  */
 export class SteppedEngine extends Engine {
-    /** Milliseconds that it spent on steps. */
+    /** Total duration of its steps in milliseconds. */
     busy = 0;
     prefilledTokens = 0;
     generatedTokens = 0;
-    /** Makes every step this many times as long. */
+    /** Factor applied to the duration of every step. */
     slowdown = 1;
     isHung = false;
     role = EngineRole.Mixed;
@@ -107,7 +108,7 @@
         if (!this.isStepping) {
             return;
         }
-        const chunk = this.takeChunk();
+        const chunk = this.prefillChunk();
         const { stepBase, stepPerStream, stepPerPrefillToken } = this.settings;
         const length = stepBase + stepPerStream * this.batch.length + stepPerPrefillToken * chunk;
         this.busy += length * this.slowdown;
@@ -115,24 +116,24 @@
         this.clock.at(this.clock.monotonicNow() + length * this.slowdown, () => this.finishStep());
     }
 
-    private takeChunk(): number {
-        let room = this.batch.length < this.settings.maximumBatch ? this.settings.chunkTokens : 0;
+    private prefillChunk(): number {
+        let remainingTokens = this.batch.length < this.settings.maximumBatch ? this.settings.chunkTokens : 0;
         const order = [...this.waiting].sort((one, other) => rank(one) - rank(other));
-        const start = room;
+        const start = remainingTokens;
         for (const work of order) {
-            const part = Math.min(room, work.toPrefill);
+            const part = Math.min(remainingTokens, work.toPrefill);
             work.toPrefill -= part;
-            room -= part;
-            if (room === 0) {
+            remainingTokens -= part;
+            if (remainingTokens === 0) {
                 break;
             }
         }
-        return start - room;
+        return start - remainingTokens;
     }
 
     private finishStep(): void {
         const now = this.clock.monotonicNow();
-        this.batch.forEach(stream => this.giveToken(stream, now));
+        this.batch.forEach(stream => this.generateToken(stream, now));
         for (const stream of this.batch.filter(one => one.generated >= one.outputTokens)) {
             stream.onEnd({ cachedTokens: stream.cachedTokens, longestGap: stream.longestGap });
         }
@@ -149,7 +150,7 @@
         this.step();
     }
 
-    private giveToken(stream: Running, now: number): void {
+    private generateToken(stream: Running, now: number): void {
         stream.generated += 1;
         this.generatedTokens += 1;
         stream.longestGap = Math.max(stream.longestGap, now - stream.lastTokenAt);
@@ -180,7 +181,7 @@
     }
 
     private takeSnapshot(): void {
-        const { stepPerPrefillToken, stepBase, stepPerStream, boast } = this.settings;
+        const { stepPerPrefillToken, stepBase, stepPerStream, reportedRateFactor } = this.settings;
         this.snapshots.push({
             engineId: this.engineId,
             incarnation: "1",
@@ -193,8 +194,8 @@
             outstandingOutputTokens: sum([...this.batch, ...this.waiting], one => one.outputTokens - one.generated),
             kvTokensUsed: sum(this.batch, one => one.promptTokens + one.generated),
             kvTokensCapacity: 1_000_000,
-            prefillRate: 1_000 / stepPerPrefillToken * boast,
-            decodeRate: 1_000 / (stepBase + stepPerStream) * boast,
+            prefillRate: 1_000 / stepPerPrefillToken * reportedRateFactor,
+            decodeRate: 1_000 / (stepBase + stepPerStream) * reportedRateFactor,
             recentStreamIds: [...this.batch, ...this.waiting].map(one => one.streamId),
         });
         this.clock.at(this.clock.monotonicNow() + snapshotInterval, () => this.takeSnapshot());
