--- a/packages/daisyturn-standins/src/measure/policy/comparisonChoices.ts
+++ b/packages/daisyturn-standins/src/measure/policy/comparisonChoices.ts
@@ -1,7 +1,7 @@
 import { EngineChoice, findCheapest, type PlacementOption } from "daisyturn";
 import type { Random } from "daisyturn-utils";
 
-/** Always the cheapest: what every process does alike. */
+/** Always chooses the cheapest engine, so that processes with the same reports choose the same one. */
 export class CheapestChoice extends EngineChoice {
     override choose(options: readonly PlacementOption[]): PlacementOption {
         return findCheapest(options);
@@ -9,7 +9,7 @@
 }
 
 /**
- * The cheaper of two drawn at random.
+ * Chooses the cheaper of two engines drawn at random.
  * Source: Mitzenmacher, "The power of two choices in randomized load balancing", IEEE TPDS 2001.
  */
 export class TwoChoices extends EngineChoice {
@@ -27,7 +27,7 @@
     }
 }
 
-/** Any, with a chance that falls exponentially with what it costs more than the cheapest, in milliseconds. */
+/** Chooses any engine; its probability falls exponentially with its extra cost over the cheapest, in milliseconds. */
 export class ProportionalChoice extends EngineChoice {
     constructor(private readonly random: Random, private readonly scale: number) {
         super();
@@ -47,7 +47,7 @@
     }
 }
 
-/** Any, with equal chances. */
+/** Chooses any engine with equal probability. */
 export class RandomChoice extends EngineChoice {
     constructor(private readonly random: Random) {
         super();
--- a/packages/daisyturn-standins/src/measure/policy/policyCell.ts
+++ b/packages/daisyturn-standins/src/measure/policy/policyCell.ts
@@ -30,7 +30,7 @@
 import { countUpTo } from "../requestMix.js";
 import type { SteppedEngine } from "./steppedEngine.js";
 
-/** One entry process's decisions, without its connections. */
+/** The routing and admission of one entry process, without network connections. */
 export interface PolicyProcess {
     readonly network: PeerNetwork;
     readonly membership: Membership;
@@ -40,10 +40,10 @@
     readonly configurationManager: ConfigurationManager;
 }
 
-/** What a measurement varies. */
+/** Parameters of a simulated cell. */
 export interface PolicyCellOptions {
     readonly clock: Clock;
-    /** Makes a call after some milliseconds: how peers' messages travel. */
+    /** Runs a call after a delay in milliseconds; used to deliver messages between peers. */
     readonly callLater: (milliseconds: number, call: () => void) => void;
     readonly engines: readonly SteppedEngine[];
     readonly processes: number;
@@ -55,10 +55,10 @@
     readonly createChoice?: (processIndex: number) => EngineChoice | undefined;
 }
 
-/** The processes of a cell, joined by messages that take time. */
+/** The processes of a cell, connected by messages that are delivered with a delay. */
 export interface PolicyCell {
     readonly processes: readonly PolicyProcess[];
-    /** Messages between the processes, and their bytes as JSON. */
+    /** Number of messages between the processes, and their total size as JSON. */
     readonly traffic: { messages: number; bytes: number; };
     run(signal: AbortSignal): void;
 }
@@ -71,7 +71,7 @@
     inFlight: () => 0,
 };
 
-/** Creates the processes; nothing runs before `run`. */
+/** Creates the processes of a cell; their loops start with `run`. */
 export function createPolicyCell(options: PolicyCellOptions): PolicyCell {
     const { clock, engines } = options;
     const identities = countUpTo(options.processes).map(index => createIdentity(`p${index}`));
@@ -126,7 +126,7 @@
         processes,
         traffic,
         run: signal => {
-            // Real processes don't act at the same moments.
+            // Random start times, because the intervals of real processes are not synchronized.
             const phases = createSeededRandom(options.seed);
             for (const process of processes) {
                 options.callLater(phases.fraction() * options.reportIntervalMilliseconds, () => {
--- a/packages/daisyturn-standins/src/measure/policy/virtualClock.ts
+++ b/packages/daisyturn-standins/src/measure/policy/virtualClock.ts
@@ -6,17 +6,17 @@
     readonly call: () => void;
 }
 
-/** Promises that may hang on one another before time goes on; no measurement waits for the machine itself. */
+/** Promise chains up to this length settle before time advances; no measurement on this clock does real I/O. */
 const settleSteps = 12;
 
 /**
- * A clock for measurements: jumps from one planned call to the next. Unlike the tests' clock it keeps its calls in a
- * heap, because a measurement plans hundreds of thousands of them.
+ * A virtual clock for measurements that advances from one scheduled call to the next. Unlike the tests' clock it stores
+ * its calls in a heap, because a measurement schedules hundreds of thousands of them.
  */
 export class VirtualClock extends Clock {
     private readonly heap: TimedCall[] = [];
     private now = 0;
-    private planned = 0;
+    private scheduledCount = 0;
 
     override monotonicNow(): number {
         return this.now;
@@ -33,20 +33,20 @@
                 resolve();
             };
             signal?.addEventListener("abort", wake);
-            this.plan(Math.max(deadline, this.now), wake);
+            this.schedule(Math.max(deadline, this.now), wake);
         });
     }
 
-    /** Plans a call. */
+    /** Schedules a call at a monotonic time. */
     at(time: number, call: () => void): void {
-        this.plan(time, call);
+        this.schedule(time, call);
     }
 
     callLater(milliseconds: number, call: () => void): void {
         this.at(this.now + milliseconds, call);
     }
 
-    /** Runs all planned calls up to `end`, and what they wake. */
+    /** Runs all calls scheduled up to `end`, including those scheduled meanwhile, and lets their promises settle. */
     async runUntil(end: number): Promise<void> {
         while (this.heap.length > 0 && this.heap[0]!.at <= end) {
             const next = this.pop();
@@ -57,9 +57,9 @@
         this.now = end;
     }
 
-    private plan(at: number, call: () => void): void {
-        this.planned += 1;
-        this.heap.push({ at, order: this.planned, call });
+    private schedule(at: number, call: () => void): void {
+        this.scheduledCount += 1;
+        this.heap.push({ at, order: this.scheduledCount, call });
         this.rise(this.heap.length - 1);
     }
 
