--- a/packages/daisyturn-standins/src/measure/measureEngine.ts
+++ b/packages/daisyturn-standins/src/measure/measureEngine.ts
@@ -16,12 +16,12 @@
 import { engineOptionsSchema } from "../engine/engineOptions.js";
 import { type ChildProgram, startChildProgram } from "../fleet/childProgram.js";
 
-// Loads one engine stand-in over HTTP and prints the measured rates beside the formula's, and the processor time of
-// the engine and of the reading side. Usage: node packages/daisyturn-standins/dist/measure/measureEngine.js
+// Puts load on one engine stand-in over HTTP and prints the measured rates beside those of the formula, and the
+// processor time of the engine and of the client. Usage: node packages/daisyturn-standins/dist/measure/measureEngine.js
 
-/** Real length of one measurement. */
+/** Duration of one measurement in wall-clock time. */
 const measuredMilliseconds = 4_000;
-/** Real time before it, in which streams start. */
+/** Wall-clock time before the measurement, in which streams start. */
 const settlingMilliseconds = 1_500;
 const prefillPromptTokens = 4_096;
 
@@ -68,13 +68,13 @@
     setMaxListeners(engines * streams + 1, stopper.signal);
     const tasks = programs.flatMap(({ name, words }) => {
         const engine = createHttpEngine({ engineId: name, url: words.get("url") ?? "", clock, dispatcher });
-        return Array.from(Array(streams).keys(), index => readStreams(engine, part, index, stopper.signal));
+        return Array.from(Array(streams).keys(), index => receiveStreams(engine, part, index, stopper.signal));
     });
     await clock.sleepUntil(clock.monotonicNow() + settlingMilliseconds);
 
-    const before = await takeReading(programs);
+    const before = await takeSample(programs);
     await clock.sleepUntil(before.at + measuredMilliseconds);
-    const after = await takeReading(programs);
+    const after = await takeSample(programs);
     stopper.abort();
     await Promise.all(tasks);
     await dispatcher.destroy();
@@ -98,8 +98,8 @@
     ].join(" ");
 }
 
-/** Reads streams one after the other until the signal is aborted, counting their tokens. */
-async function readStreams(engine: Engine, part: Case["part"], reader: number, signal: AbortSignal): Promise<void> {
+/** Receives streams one after the other until the signal is aborted, counting their tokens. */
+async function receiveStreams(engine: Engine, part: Case["part"], reader: number, signal: AbortSignal): Promise<void> {
     for (let number = 0; !signal.aborted; number++) {
         const isPrefill = part === GeneratePart.Prefill;
         const streamId = `st-${part}-${reader}-${number}-${Math.floor(clock.wallNow())}`;
@@ -132,15 +132,15 @@
     return startChildProgram(id, engineScript, words);
 }
 
-/** Tokens and processor time as of one moment; the moment is that of the tokens. */
-interface Reading {
+/** Tokens and processor time at one moment; `at` is the time at which the tokens were counted. */
+interface Sample {
     readonly at: number;
     readonly tokens: number;
     readonly reader: number;
     readonly engine: Usage;
 }
 
-async function takeReading(programs: readonly ChildProgram[]): Promise<Reading> {
+async function takeSample(programs: readonly ChildProgram[]): Promise<Sample> {
     const { user, system } = process.cpuUsage();
     const own = { at: clock.monotonicNow(), tokens: tokenCount, reader: (user + system) / 1_000 };
     const usages = await Promise.all(programs.map(program => readUsage(program.words.get("url") ?? "")));
--- a/packages/daisyturn-standins/src/measure/measureHerding.ts
+++ b/packages/daisyturn-standins/src/measure/measureHerding.ts
@@ -7,9 +7,9 @@
 import { formatSummary, summarise } from "./summarise.js";
 
 /**
- * Measures how processes that choose on the same late reports (half a second old when read, read every half second,
- * peers told within a tenth) get into each other's way, for several ways to choose. Without admission, so that the
- * choice alone decides.
+ * Measures herding: processes that route on the same outdated reports choose the same engines. Compares several
+ * policies for the choice. Reports are half a second old when read and are read every half second; peers receive
+ * updates within a tenth of a second. Runs without admission, so that only the choice affects the result.
  * Run it with `node packages/daisyturn-standins/dist/measure/measureHerding.js`.
  */
 const seeds = [1, 2, 3, 4, 5];
--- a/packages/daisyturn-standins/src/measure/measureRoutingSpeed.ts
+++ b/packages/daisyturn-standins/src/measure/measureRoutingSpeed.ts
@@ -7,9 +7,9 @@
 import { formatSummary, summarise } from "./summarise.js";
 
 /**
- * Measures how many routing decisions a second one core makes: 65 engines, prompts of 100 blocks of which half are
- * shared, cache views at their bound, time going by as if 150 requests a second arrived. A decision includes the
- * placement's notes up to its end and its part of the engines' reports.
+ * Measures how many routing decisions per second one core makes: 65 engines, prompts of 100 blocks of which half are
+ * shared, cache views at their maximum size, and virtual time that advances as at 150 requests per second. A decision
+ * includes the records of the placement up to its end and its share of the work on the engines' reports.
  * Run it with `node packages/daisyturn-standins/dist/measure/measureRoutingSpeed.js`.
  */
 const engineCount = 65;
@@ -20,7 +20,7 @@
 const runs = 10;
 const decisionsPerRun = 15_000;
 const warmUpDecisions = 30_000;
-/** Streams that run at any time. */
+/** Streams that run concurrently. */
 const openPlacements = 300;
 const seed = 1;
 
@@ -74,8 +74,8 @@
     placement.end(PlacementOutcome.Completed, { promptTokens: 6_432, cachedTokens: 3_200, outputTokens: 200 });
 }
 
-/** What the polls would bring: an engine that has worked off what it had. */
-function takeReports(process: PolicyProcess): void {
+/** Applies the load reports that polling would return for engines that have finished their earlier work. */
+function applyReports(process: PolicyProcess): void {
     for (const load of process.loadView.loads()) {
         const report = load.report()!;
         load.applyReport({ ...report, asOf: clock.wallNow() - 500, runningStreams: 4, recentStreamIds: [] });
@@ -87,7 +87,7 @@
         await clock.runUntil(clock.monotonicNow() + 1_000 / arrivalsPerSecond);
         decide(process, number);
         if (number % decisionsPerReport === 0) {
-            takeReports(process);
+            applyReports(process);
             process.loadView.exchange.publish();
         }
     }
