--- a/packages/daisyturn-standins/src/measure/claims/measureClaims.ts
+++ b/packages/daisyturn-standins/src/measure/claims/measureClaims.ts
@@ -26,15 +26,15 @@
 const runs = 7;
 const warmUpCalls = 300;
 const sequentialCalls = 1_500;
-const callMilliseconds = 30_000;
-/** How long an offered call may take. */
-const offeredCallMilliseconds = 2_000;
+const callTimeoutMilliseconds = 30_000;
+/** Time limit of a call in the measurement at fixed rates. */
+const offeredCallTimeoutMilliseconds = 2_000;
 const offeredMilliseconds = 5_000;
 const offeredRates = [5, 20, 40, 80, 160];
-/** One process's share of 400 writes a second among nine. */
-const shareOfWrites = 400 / 9;
-/** What a write to a table service in another availability zone may take on top of the loopback. */
-const slowStoreMilliseconds = [0, 3];
+/** The share of one of nine processes in a store limit of 400 writes per second. */
+const writesPerSecondShare = 400 / 9;
+/** Added to each request: 3 ms is what a write to a table service in another availability zone may take in addition. */
+const addedStoreMilliseconds = [0, 3];
 
 const self: ProcessIdentity = {
     processId: "measured",
@@ -44,7 +44,7 @@
     peerAddress: "127.0.0.1:1",
 };
 
-/** A way to run a call, to be compared. */
+/** One of the compared variants of running a call. */
 type RunCall = (call: ServiceCall) => Promise<unknown>;
 
 interface Bench {
@@ -56,10 +56,10 @@
 
 const send: SendCall = () => Promise.resolve(ok({ status: 201, contentType: "text/plain", body: "ticket" }));
 
-// Measures what a claim adds to a call, over the platform's stand-in on the loopback: `measureClaims.js`.
+// Measures the latency that a claim adds to a call, with the platform's stand-in on the loopback: `measureClaims.js`.
 const print = (line: string) => process.stdout.write(`${line}\n`);
 async function measureLatency(slowMilliseconds: number): Promise<void> {
-    const ways: readonly (readonly [string, (bench: Bench) => RunCall])[] = [
+    const variants: readonly (readonly [string, (bench: Bench) => RunCall])[] = [
         ["no claim", () => call => send(call, { isValid: () => true })],
         [
             "claim, answer before its record",
@@ -69,12 +69,12 @@
         ["claim in two steps, answer before its record", bench => call => runInTwoSteps(bench, call)],
     ];
     print(`store on the loopback, ${slowMilliseconds} ms added to each request; one call after the other`);
-    const medians = ways.map((): number[] => []);
-    const tails = ways.map((): number[] => []);
+    const medians = variants.map((): number[] => []);
+    const tails = variants.map((): number[] => []);
     for (let run = 0; run < runs; run++) {
-        for (const [index, [, createWay]] of ways.entries()) {
+        for (const [index, [, createVariant]] of variants.entries()) {
             const bench = await createBench({ slowMilliseconds }, unlimitedRate, run);
-            const runCall = createWay(bench);
+            const runCall = createVariant(bench);
             await timeCalls(runCall, warmUpCalls);
             const times = await timeCalls(runCall, sequentialCalls);
             medians[index]?.push(quantile(times, 0.5));
@@ -82,19 +82,19 @@
             await bench.close();
         }
     }
-    for (const [index, [name]] of ways.entries()) {
+    for (const [index, [name]] of variants.entries()) {
         print(formatSummary(`${name}: median`, "ms", medians[index] ?? [], 3));
         print(formatSummary(`${name}: 99%`, "ms", tails[index] ?? [], 3));
     }
 }
 
-/** What claims cost the store where the process is at its share of the store's rate, and below. */
+/** Measures the transactions per call at one rate of calls, with writes limited to the process's share. */
 async function measureWrites(offered: number): Promise<void> {
     const perCall: number[] = [];
     const answered: number[] = [];
     const latencies: number[] = [];
     for (let run = 0; run < runs; run++) {
-        const bench = await createBench({}, shareOfWrites, run);
+        const bench = await createBench({}, writesPerSecondShare, run);
         const times: number[] = [];
         const calls: Promise<void>[] = [];
         const startedAt = clock.monotonicNow();
@@ -103,13 +103,13 @@
             await clock.sleepUntil(startedAt + calls.length * 1_000 / offered);
         }
         await Promise.all(calls);
-        await bench.claimManager.drain(clock.monotonicNow() + callMilliseconds);
+        await bench.claimManager.drain(clock.monotonicNow() + callTimeoutMilliseconds);
         perCall.push(bench.countTransactions() / calls.length);
         answered.push(times.length / calls.length);
         latencies.push(quantile(times, 0.99));
         await bench.close();
     }
-    const name = `${offered} calls/s, ${shareOfWrites.toFixed(1)} transactions/s`;
+    const name = `${offered} calls/s, ${writesPerSecondShare.toFixed(1)} transactions/s`;
     print(formatSummary(`${name}: transactions per call`, "", perCall, 2));
     print(formatSummary(`${name}: part that was run`, "", answered, 2));
     print(formatSummary(`${name}: 99% latency`, "ms", latencies, 1));
@@ -148,7 +148,7 @@
         claimManager,
         countTransactions: () => transactions,
         close: async () => {
-            await claimManager.drain(clock.monotonicNow() + callMilliseconds);
+            await claimManager.drain(clock.monotonicNow() + callTimeoutMilliseconds);
             await tables.close();
             await server.close();
         },
@@ -157,19 +157,19 @@
 
 async function runWithRecord({ claimManager }: Bench, call: ServiceCall): Promise<void> {
     await claimManager.runOnce(createRequest(call), send);
-    await claimManager.drain(clock.monotonicNow() + callMilliseconds);
+    await claimManager.drain(clock.monotonicNow() + callTimeoutMilliseconds);
 }
 
-/** A second write, before the send, that would tell a claim whose call was not sent from one whose call was. */
+/** Adds a second write before the send, which would distinguish claims whose call was sent from those whose was not. */
 function runInTwoSteps({ claimManager, storeClient }: Bench, call: ServiceCall): Promise<unknown> {
     return claimManager.runOnce(createRequest(call), async (given, permit) => {
-        const deadline = clock.monotonicNow() + callMilliseconds;
+        const deadline = clock.monotonicNow() + callTimeoutMilliseconds;
         await storeClient.commit(createClaimTransaction(), StorePriority.Claim, deadline);
         return send(given, permit);
     });
 }
 
-function createRequest(call: ServiceCall, limitMilliseconds = callMilliseconds): ClaimRequest {
+function createRequest(call: ServiceCall, limitMilliseconds = callTimeoutMilliseconds): ClaimRequest {
     return {
         requestId: call.callId,
         partner: "measured",
@@ -181,12 +181,12 @@
     };
 }
 
-/** Times a call that is answered; one that is refused for lack of writes is left out. */
+/** Records the duration of a call that succeeds; calls refused because the write budget is used up are left out. */
 async function timeAnswered(claimManager: ProcessClaimManager, times: number[]): Promise<void> {
     const own: number[] = [];
     let isAnswered = false;
     await timeCall(async call => {
-        const result = await claimManager.runOnce(createRequest(call, offeredCallMilliseconds), send);
+        const result = await claimManager.runOnce(createRequest(call, offeredCallTimeoutMilliseconds), send);
         isAnswered = result.isOk;
     }, own);
     times.push(...isAnswered ? own : []);
@@ -209,14 +209,14 @@
         method: "POST",
         path: "/issue",
         body: "{\"seat\":4}",
-        deadline: clock.wallNow() + callMilliseconds,
+        deadline: clock.wallNow() + callTimeoutMilliseconds,
     };
     const startedAt = clock.monotonicNow();
     await runCall(call);
     times.push(clock.monotonicNow() - startedAt);
 }
 
-for (const slowMilliseconds of slowStoreMilliseconds) {
+for (const slowMilliseconds of addedStoreMilliseconds) {
     await measureLatency(slowMilliseconds);
 }
 for (const offered of offeredRates) {
--- a/packages/daisyturn-standins/src/measure/store/measureGrouping.ts
+++ b/packages/daisyturn-standins/src/measure/store/measureGrouping.ts
@@ -6,8 +6,8 @@
 
 const runs = 5;
 const measuredMilliseconds = 5_000;
-const commitMilliseconds = 2_000;
-/** One process's share of 400 writes a second among nine. */
+const commitTimeoutMilliseconds = 2_000;
+/** The share of one of nine processes in a store limit of 400 writes per second. */
 const writesPerSecond = 400 / 9;
 const offeredRates = [20, 40, 80, 200, 400];
 const groupSizes = [1, 16];
@@ -17,7 +17,7 @@
     readonly latencies: readonly number[];
 }
 
-/** Measures what one process commits within its share of the rate, with and without grouping, at several loads. */
+/** Measures one process's commits within its share of the write rate, with and without grouping, at several loads. */
 export async function measureGrouping(print: (line: string) => void): Promise<void> {
     for (const writeUnit of Object.values(WriteUnit)) {
         print(`store that counts writes by ${writeUnit}, ${writesPerSecond.toFixed(1)} writes/s for this process`);
@@ -40,7 +40,7 @@
         const server = await createPlatformServer({ faults: { writesPerSecond, writeUnit } });
         const tables = connectTables(server.url);
         const client = createMeasuredClient(tables.tableService, seed, { writesPerSecond, groupSize });
-        results.push(await offer(client, offered));
+        results.push(await runOffered(client, offered));
         await tables.close();
         await server.close();
     }
@@ -50,13 +50,13 @@
     print(formatSummary(`${name}: 99% latency`, "ms", results.map(result => quantile(result.latencies, 0.99))));
 }
 
-/** Offers commits at a steady rate, each with a deadline; late ones count as not committed. */
-async function offer(client: StoreClient, perSecond: number): Promise<OfferedRun> {
+/** Starts commits at a constant rate, each with a deadline; those that miss it count as not committed. */
+async function runOffered(client: StoreClient, perSecond: number): Promise<OfferedRun> {
     const latencies: number[] = [];
     const startedAt = clock.monotonicNow();
     const commitOne = async () => {
         const sentAt = clock.monotonicNow();
-        const deadline = sentAt + commitMilliseconds;
+        const deadline = sentAt + commitTimeoutMilliseconds;
         const answer = await client.commit(createClaimTransaction(), StorePriority.Claim, deadline);
         if (answer.outcome === TransactionOutcome.Committed) {
             latencies.push(clock.monotonicNow() - sentAt);
--- a/packages/daisyturn-standins/src/measure/store/measureOverhead.ts
+++ b/packages/daisyturn-standins/src/measure/store/measureOverhead.ts
@@ -7,11 +7,11 @@
 const warmUpCommits = 3_000;
 const memoryCommits = 20_000;
 const httpCommits = 2_000;
-const farMilliseconds = 60_000;
+const commitTimeoutMilliseconds = 60_000;
 
 type CommitOne = () => Promise<unknown>;
 
-/** Measures what the client adds to one commit: processor time over a store in memory, and latency over HTTP. */
+/** Measures the client's overhead per commit: processor time with a store in memory, and latency over HTTP. */
 export async function measureOverhead(print: (line: string) => void): Promise<void> {
     await measureProcessorTime(print);
     const server = await createPlatformServer({
@@ -56,12 +56,13 @@
 }
 
 function commitDirectly(tableService: TableService): CommitOne {
-    return () => tableService.transact(createClaimTransaction(), clock.monotonicNow() + farMilliseconds);
+    return () => tableService.transact(createClaimTransaction(), clock.monotonicNow() + commitTimeoutMilliseconds);
 }
 
 function commitThroughClient(tableService: TableService): CommitOne {
     const client = createMeasuredClient(tableService, 1);
-    return () => client.commit(createClaimTransaction(), StorePriority.Claim, clock.monotonicNow() + farMilliseconds);
+    return () =>
+        client.commit(createClaimTransaction(), StorePriority.Claim, clock.monotonicNow() + commitTimeoutMilliseconds);
 }
 
 async function repeat(count: number, action: CommitOne): Promise<void> {
--- a/packages/daisyturn-standins/src/measure/store/measureRecovery.ts
+++ b/packages/daisyturn-standins/src/measure/store/measureRecovery.ts
@@ -9,7 +9,7 @@
 const stuckPerClient = 20;
 const storeWritesPerSecond = 400;
 const outageMilliseconds = 20_000;
-const commitMilliseconds = 120_000;
+const commitTimeoutMilliseconds = 120_000;
 const countIntervalMilliseconds = 100;
 const naiveRetryMilliseconds = 50;
 
@@ -17,16 +17,16 @@
 type CommitClaim = () => Promise<void>;
 
 interface Recovery {
-    /** From the end of the outage, in milliseconds. */
+    /** In milliseconds from the end of the outage. */
     readonly firstCommitAt: number;
     readonly lastCommitAt: number;
-    /** Calls that reached the store in its busiest tenth of a second after the outage. */
+    /** Maximum number of calls that reached the store in 100 ms after the outage. */
     readonly peakCalls: number;
     readonly callsDuringOutage: number;
     readonly throttled: number;
 }
 
-/** Measures how nine processes with stuck transactions come back after an outage, beside a naive client. */
+/** Measures how nine processes with pending transactions recover after an outage, compared with a naive client. */
 export async function measureRecovery(print: (line: string) => void): Promise<void> {
     for (const down of [OutageKind.Reset, OutageKind.Hang]) {
         await measureKind(`outage (${down}), store client`, down, createClientCommit, print);
@@ -73,7 +73,7 @@
     server.setFaults({ down: OutageKind.None });
     const endedAt = clock.monotonicNow();
     const done = new AbortController();
-    const peak = watchPeak(server, done.signal);
+    const peak = measurePeakCalls(server, done.signal);
     await Promise.all(stuck);
     done.abort();
     const recovery = {
@@ -88,7 +88,7 @@
     return recovery;
 }
 
-async function watchPeak(server: PlatformServer, signal: AbortSignal): Promise<number> {
+async function measurePeakCalls(server: PlatformServer, signal: AbortSignal): Promise<number> {
     let peak = 0;
     let last = server.counts().requests;
     while (!signal.aborted) {
@@ -106,7 +106,7 @@
     return async () => {
         const transaction = createClaimTransaction();
         for (;;) {
-            const deadline = clock.monotonicNow() + commitMilliseconds;
+            const deadline = clock.monotonicNow() + commitTimeoutMilliseconds;
             const { outcome } = await client.commit(transaction, StorePriority.Claim, deadline);
             if (outcome === TransactionOutcome.Committed) {
                 return;
@@ -116,7 +116,7 @@
     };
 }
 
-/** Sends again until the store answers, with neither budget nor breaker. */
+/** Retries at a fixed interval until the transaction commits, without retry budget or circuit breaker. */
 function createNaiveCommit(tableService: TableService): CommitClaim {
     return async () => {
         const transaction = createClaimTransaction();
--- a/packages/daisyturn-standins/src/measure/store/measureStore.ts
+++ b/packages/daisyturn-standins/src/measure/store/measureStore.ts
@@ -2,7 +2,7 @@
 import { measureOverhead } from "./measureOverhead.js";
 import { measureRecovery } from "./measureRecovery.js";
 
-// Measures the access to the table service: `measureStore.js overhead | grouping | recovery`.
+// Measures access to the table service: `measureStore.js overhead | grouping | recovery`.
 const measurements = new Map([
     ["overhead", measureOverhead],
     ["grouping", measureGrouping],
--- a/packages/daisyturn-standins/src/measure/store/storeClients.ts
+++ b/packages/daisyturn-standins/src/measure/store/storeClients.ts
@@ -9,15 +9,15 @@
 } from "daisyturn";
 import { type Clock, createSeededRandom, MemoryEventLog, SystemClock } from "daisyturn-utils";
 
-/** The clock of all measurements. */
+/** The clock shared by all store measurements. */
 export const clock: Clock = new SystemClock();
 
-/** A rate that never makes a call wait. */
+/** A rate limit high enough that no call waits for it. */
 export const unlimitedRate = 1_000_000;
 
 let transactionCount = 0;
 
-/** A transaction like a claim: one row that must be absent. */
+/** Creates a transaction like that of a claim: it writes one row on condition that the row is absent. */
 export function createClaimTransaction(): Transaction {
     transactionCount += 1;
     const key = `claims/${transactionCount}`;
@@ -28,7 +28,7 @@
     };
 }
 
-/** Creates a client over a table service. */
+/** Creates a store client without rate limits; `options` override the defaults. */
 export function createMeasuredClient(
     tableService: TableService,
     seed: number,
@@ -45,7 +45,7 @@
     });
 }
 
-/** Connects to the stand-in as one process would. */
+/** Connects to the table service of the platform's stand-in. */
 export function connectTables(url: string) {
     return createHttpTableService({ url, clock });
 }
