--- a/packages/daisyturn-standins/src/measure/policy/virtualClock.ts
+++ b/packages/daisyturn-standins/src/measure/policy/virtualClock.ts
@@ -16,7 +16,7 @@
 export class VirtualClock extends Clock {
     private readonly heap: TimedCall[] = [];
     private now = 0;
-    private scheduledCount = 0;
+    private planned = 0;
 
     override monotonicNow(): number {
         return this.now;
@@ -58,8 +58,8 @@
     }
 
     private schedule(at: number, call: () => void): void {
-        this.scheduledCount += 1;
-        this.heap.push({ at, order: this.scheduledCount, call });
+        this.planned += 1;
+        this.heap.push({ at, order: this.planned, call });
         this.rise(this.heap.length - 1);
     }
 
--- a/packages/daisyturn-standins/src/measure/processTime.ts
+++ b/packages/daisyturn-standins/src/measure/processTime.ts
@@ -1,11 +1,11 @@
 import { readFileSync } from "node:fs";
 
-/** Position, in `/proc/NUMBER/stat` after the name in brackets, of the ticks spent in user mode; kernel mode follows. */
+/** Index of the user-mode ticks in `/proc/PID/stat`, counted after the name in brackets; kernel-mode ticks follow. */
 const userTicksField = 11;
-/** Linux tells processor time in hundredths of a second. */
+/** Linux reports processor time in hundredths of a second. */
 const ticksPerSecond = 100;
 
-/** Processor seconds that a process has used so far, over all its threads. Linux only. */
+/** Returns the processor seconds that a process has used so far, summed over its threads. Linux only. */
 export function readProcessorSeconds(processNumber: number): number {
     const stat = readFileSync(`/proc/${processNumber}/stat`, "utf8");
     const fields = stat.slice(stat.lastIndexOf(")") + 2).split(" ");
--- a/packages/daisyturn-standins/src/measure/requestMix.ts
+++ b/packages/daisyturn-standins/src/measure/requestMix.ts
@@ -1,7 +1,7 @@
 import { ItemKind, Priority, type Profile, type RoutingRequest } from "daisyturn";
 import type { Random } from "daisyturn-utils";
 
-/** A profile with limits as the users' large model has them. */
+/** Creates a profile with the limits of the users' large model. */
 export function createMeasuredProfile(partner: string, fields: Partial<Profile> = {}): Profile {
     return {
         kind: ItemKind.Profile,
@@ -19,7 +19,7 @@
     };
 }
 
-/** What prompts look like: some of the blocks are one of several shared prefixes, the rest is new each time. */
+/** Shape of the prompts: the first blocks are one of several shared prefixes, the rest are unique to each prompt. */
 export interface PromptMix {
     readonly blocks: number;
     readonly sharedBlocks: number;
@@ -28,12 +28,12 @@
 
 const tokensPerBlock = 64;
 
-/** The integers from 0 to `limit - 1`. */
+/** Returns the integers from 0 to `limit - 1`. */
 export function countUpTo(limit: number): number[] {
     return [...Array(limit).keys()];
 }
 
-/** Makes the blocks of the next prompt. Names stand for hashes: equal names mean equal prefixes. */
+/** Creates the blocks of a prompt. Names represent hashes: equal names mean equal prefixes. */
 export function drawPromptBlocks(mix: PromptMix, random: Random, promptNumber: number): string[] {
     const prefix = random.integerBelow(mix.prefixes);
     return countUpTo(mix.blocks).map(index =>
@@ -41,7 +41,7 @@
     );
 }
 
-/** A request of a profile that arrives now. */
+/** Creates a request of a profile that arrives now. */
 export function createRequest(
     profile: Profile,
     requestId: string,
