--- a/packages/daisyturn-standins/src/measure/policy/virtualClock.ts
+++ b/packages/daisyturn-standins/src/measure/policy/virtualClock.ts
@@ -6,12 +6,12 @@
     readonly call: () => void;
 }
 
-/** Promises that may hang on one another before time goes on; no measurement waits for the machine itself. */
+/** Promise chains up to this length settle before time advances; no measurement on this clock does real I/O. */
 const settleSteps = 12;
 
 /**
- * A clock for measurements: jumps from one planned call to the next. Unlike the tests' clock it keeps its calls in a
- * heap, because a measurement plans hundreds of thousands of them.
+ * A virtual clock for measurements that advances from one scheduled call to the next. Unlike the tests' clock it stores
+ * its calls in a heap, because a measurement schedules hundreds of thousands of them.
  */
 export class VirtualClock extends Clock {
     private readonly heap: TimedCall[] = [];
@@ -33,20 +33,20 @@
                 resolve();
             };
             signal?.addEventListener("abort", wake);
-            this.plan(Math.max(deadline, this.now), wake);
+            this.schedule(Math.max(deadline, this.now), wake);
         });
     }
 
-    /** Plans a call. */
+    /** Schedules a call at a monotonic time. */
     at(time: number, call: () => void): void {
-        this.plan(time, call);
+        this.schedule(time, call);
     }
 
     callLater(milliseconds: number, call: () => void): void {
         this.at(this.now + milliseconds, call);
     }
 
-    /** Runs all planned calls up to `end`, and what they wake. */
+    /** Runs all calls scheduled up to `end`, including those scheduled meanwhile, and lets their promises settle. */
     async runUntil(end: number): Promise<void> {
         while (this.heap.length > 0 && this.heap[0]!.at <= end) {
             const next = this.pop();
@@ -57,7 +57,7 @@
         this.now = end;
     }
 
-    private plan(at: number, call: () => void): void {
+    private schedule(at: number, call: () => void): void {
         this.planned += 1;
         this.heap.push({ at, order: this.planned, call });
         this.rise(this.heap.length - 1);
