--- a/packages/daisyturn-standins/src/capacity/__tests__/leastSquares.test.ts
+++ b/packages/daisyturn-standins/src/capacity/__tests__/leastSquares.test.ts
@@ -14,7 +14,7 @@
         assert.ok(fit.error < 1e-9);
     });
 
-    it("tells an error of the size of the noise", () => {
+    it("reports an error of the size of the noise", () => {
         const random = createSeededRandom(5);
         const points = Array.from({ length: 200 }, (unused, index) => ({
             inputs: [index],
@@ -25,7 +25,7 @@
         assert.ok(Math.abs((fit.slopes[0] ?? 0) - 3) < 0.01);
     });
 
-    it("refuses points that do not determine a plane", () => {
+    it("throws if the points do not determine a plane", () => {
         assert.throws(() => fitPlane([{ inputs: [1, 2], output: 1 }, { inputs: [2, 4], output: 2 }]));
     });
 });
--- a/packages/daisyturn-standins/src/capacity/leastSquares.ts
+++ b/packages/daisyturn-standins/src/capacity/leastSquares.ts
@@ -1,4 +1,4 @@
-/** A plane through measured points: `constant + sum(slopes[i] * inputs[i])`. */
+/** A plane fitted to measured points: `constant + sum(slopes[i] * inputs[i])`. */
 export interface Fit {
     readonly constant: number;
     readonly slopes: readonly number[];
@@ -12,8 +12,8 @@
     readonly output: number;
 }
 
-/** A pivot smaller than this means that the inputs don't vary independently. */
-const leastPivot = 1e-9;
+/** With a smaller pivot, the inputs are treated as linearly dependent. */
+const minPivot = 1e-9;
 
 /** Fits a plane by least squares (normal equations). Throws if the points don't determine it. */
 export function fitPlane(points: readonly Point[]): Fit {
@@ -24,22 +24,22 @@
         sum(rows.map((row, index) => at(row, left) * (points[index]?.output ?? 0))),
     ]);
     const [constant = 0, ...slopes] = solve(matrix);
-    const distances = points.map(point => predict({ constant, slopes, error: 0 }, point.inputs) - point.output);
-    return { constant, slopes, error: Math.sqrt(sum(distances.map(one => one * one)) / points.length) };
+    const residuals = points.map(point => predict({ constant, slopes, error: 0 }, point.inputs) - point.output);
+    return { constant, slopes, error: Math.sqrt(sum(residuals.map(residual => residual * residual)) / points.length) };
 }
 
-/** Value of the plane at a place. */
+/** Returns the value of the plane at the given inputs. */
 export function predict(fit: Fit, inputs: readonly number[]): number {
     return fit.constant + sum(fit.slopes.map((slope, index) => slope * at(inputs, index)));
 }
 
-/** Gauss elimination with row exchange; the last column is the right side. */
+/** Gaussian elimination with partial pivoting. The last column is the right-hand side. */
 function solve(matrix: number[][]): number[] {
     const size = matrix.length;
     for (let column = 0; column < size; column++) {
-        exchangeForLargest(matrix, column);
+        swapInLargestPivot(matrix, column);
         const pivotRow = matrix[column] ?? [];
-        if (Math.abs(at(pivotRow, column)) < leastPivot) {
+        if (Math.abs(at(pivotRow, column)) < minPivot) {
             throw new Error("the measured points do not determine the plane");
         }
         for (let row = 0; row < size; row++) {
@@ -51,16 +51,16 @@
     return matrix.map((row, index) => at(row, size) / at(row, index));
 }
 
-function exchangeForLargest(matrix: number[][], column: number): void {
+function swapInLargestPivot(matrix: number[][], column: number): void {
     let largest = column;
     for (let row = column + 1; row < matrix.length; row++) {
         if (Math.abs(at(matrix[row] ?? [], column)) > Math.abs(at(matrix[largest] ?? [], column))) {
             largest = row;
         }
     }
-    const kept = matrix[column] ?? [];
+    const previousRow = matrix[column] ?? [];
     matrix[column] = matrix[largest] ?? [];
-    matrix[largest] = kept;
+    matrix[largest] = previousRow;
 }
 
 function subtract(row: number[], pivotRow: readonly number[], factor: number): void {
--- a/packages/daisyturn-standins/src/capacity/measureCell.ts
+++ b/packages/daisyturn-standins/src/capacity/measureCell.ts
@@ -8,13 +8,13 @@
 import { publishFleet } from "../fleet/publishFleet.js";
 import { readProcessorSeconds } from "../measure/processTime.js";
 
-/** Size of a cell that is measured. */
+/** Size of a measured cell. */
 export interface CellSize {
     readonly nodes: number;
     readonly engines: number;
 }
 
-/** What control costs one entry process of a cell at rest. Means over the cell's processes. */
+/** Cost of the control plane for one entry process of an idle cell. Means over the processes of the cell. */
 export interface CellCost extends CellSize {
     /** Share of one core, in per cent. */
     readonly processorPercent: number;
@@ -23,7 +23,7 @@
     /** Sent and received over the peer connections, in bytes a second. */
     readonly peerBytesPerSecond: number;
     readonly peerMessagesPerSecond: number;
-    /** Transactions and reads of the whole cell at the table service. */
+    /** Transactions and reads of the whole cell in the table service. */
     readonly storeCallsPerSecond: number;
 }
 
@@ -38,7 +38,7 @@
     readonly heapBytes: number;
 }
 
-interface Reading {
+interface CellSample {
     readonly at: number;
     readonly processorSeconds: number;
     readonly reports: readonly ProcessReport[];
@@ -50,7 +50,7 @@
 const millisecondsPerSecond = 1000;
 const percent = 100;
 
-/** Starts a cell without load, waits until it is calm, and measures it for `milliseconds`. */
+/** Starts a cell without load, waits until it has settled, and measures it for `milliseconds`. */
 export async function measureCell(size: CellSize, milliseconds: number): Promise<CellCost> {
     const zones = ["zone-a", "zone-b", "zone-c"];
     const plan = createFleetPlan({
@@ -70,9 +70,9 @@
         await balancer.waitForReady(size.nodes);
         await balancer.stop();
         await delay(settleMilliseconds);
-        const before = await readCell(fleet);
+        const before = await sampleCell(fleet);
         await delay(milliseconds);
-        return computeCost(size, before, await readCell(fleet));
+        return computeCost(size, before, await sampleCell(fleet));
     }
     finally {
         await balancer.stop();
@@ -81,7 +81,7 @@
     }
 }
 
-async function readCell(fleet: Fleet): Promise<Reading> {
+async function sampleCell(fleet: Fleet): Promise<CellSample> {
     const reports = await Promise.all(fleet.entries.map(entry => readReport(entry.operatorUrl, fleet)));
     const counts = await readJson<{ transactions: number; reads: number; }>(`${fleet.platform.url}/control/counts`);
     const seconds = fleet.entries.map(entry => readProcessorSeconds(entry.program.processNumber));
@@ -93,18 +93,18 @@
     };
 }
 
-function computeCost(size: CellSize, before: Reading, after: Reading): CellCost {
+function computeCost(size: CellSize, before: CellSample, after: CellSample): CellCost {
     const seconds = (after.at - before.at) / millisecondsPerSecond;
-    const grown = (pick: (report: ProcessReport) => number) =>
-        (sum(after.reports.map(pick)) - sum(before.reports.map(pick))) / seconds / size.nodes;
-    const mean = (pick: (report: ProcessReport) => number) => sum(after.reports.map(pick)) / size.nodes;
+    const rate = (select: (report: ProcessReport) => number) =>
+        (sum(after.reports.map(select)) - sum(before.reports.map(select))) / seconds / size.nodes;
+    const mean = (select: (report: ProcessReport) => number) => sum(after.reports.map(select)) / size.nodes;
     return {
         ...size,
         processorPercent: (after.processorSeconds - before.processorSeconds) / seconds / size.nodes * percent,
         residentMegabytes: mean(report => report.memoryBytes) / bytesPerMegabyte,
         heapMegabytes: mean(report => report.heapBytes) / bytesPerMegabyte,
-        peerBytesPerSecond: grown(({ peerTraffic }) => peerTraffic.bytesSent + peerTraffic.bytesReceived),
-        peerMessagesPerSecond: grown(({ peerTraffic }) => peerTraffic.messagesSent + peerTraffic.messagesReceived),
+        peerBytesPerSecond: rate(({ peerTraffic }) => peerTraffic.bytesSent + peerTraffic.bytesReceived),
+        peerMessagesPerSecond: rate(({ peerTraffic }) => peerTraffic.messagesSent + peerTraffic.messagesReceived),
         storeCallsPerSecond: (after.storeCalls - before.storeCalls) / seconds,
     };
 }
--- a/packages/daisyturn-standins/src/capacity/runCapacity.ts
+++ b/packages/daisyturn-standins/src/capacity/runCapacity.ts
@@ -5,7 +5,7 @@
 import { fitPlane, predict } from "./leastSquares.js";
 import { type CellCost, type CellSize, measureCell } from "./measureCell.js";
 
-// Slopes of what control costs an entry process, for docs/CAPACITY.md:
+// Measures how the cost of the control plane per entry process grows with nodes and engines, for docs/CAPACITY.md:
 // node packages/daisyturn-standins/dist/capacity/runCapacity.js
 
 const flags = await yargs(hideBin(process.argv))
@@ -16,7 +16,7 @@
     .strict()
     .parse();
 
-/** The figures that are fitted. */
+/** Figures to which a plane is fitted. */
 const quantities = [
     "processorPercent",
     "residentMegabytes",
@@ -33,17 +33,17 @@
 for (const size of flags.sizes.split(",").map(readSize)) {
     const cost = await measureCell(size, flags.seconds * millisecondsPerSecond);
     costs.push(cost);
-    say(`nodes=${size.nodes} engines=${size.engines} ${
-        quantities.map(name => `${name}=${show(cost[name])}`).join(" ")
+    printLine(`nodes=${size.nodes} engines=${size.engines} ${
+        quantities.map(name => `${name}=${format(cost[name])}`).join(" ")
     }`);
 }
 const target = readSize(flags.at);
 for (const name of quantities) {
     const fit = fitPlane(costs.map(cost => ({ inputs: [cost.nodes, cost.engines], output: cost[name] })));
     const [perNode = 0, perEngine = 0] = fit.slopes;
-    say(
-        `${name} = ${show(fit.constant)} + ${show(perNode)} per node + ${show(perEngine)} per engine,`
-            + ` error ${show(fit.error)}; at ${flags.at}: ${show(predict(fit, [target.nodes, target.engines]))}`,
+    printLine(
+        `${name} = ${format(fit.constant)} + ${format(perNode)} per node + ${format(perEngine)} per engine,`
+            + ` error ${format(fit.error)}; at ${flags.at}: ${format(predict(fit, [target.nodes, target.engines]))}`,
     );
 }
 mkdirSync("out", { recursive: true });
@@ -58,10 +58,10 @@
     return { nodes, engines };
 }
 
-function show(value: number): string {
+function format(value: number): string {
     return String(Number(value.toFixed(digits)));
 }
 
-function say(line: string): void {
+function printLine(line: string): void {
     process.stdout.write(`${line}\n`);
 }
--- a/packages/daisyturn-standins/src/configuration/launchNodes.ts
+++ b/packages/daisyturn-standins/src/configuration/launchNodes.ts
@@ -4,7 +4,7 @@
 import { type ChildProgram, startChildProgram } from "../fleet/childProgram.js";
 import { type NodeReport, operatorKeyOf } from "./nodeReport.js";
 
-/** A measured process. */
+/** A process whose configuration exchange is measured. */
 export interface ConfigurationNode {
     readonly id: string;
     readonly operatorUrl: string;
@@ -13,11 +13,11 @@
     report(): Promise<NodeReport>;
 }
 
-/** The platform's stand-in and the processes of one or more cells. */
+/** A platform stand-in and the processes of one or more cells that use it. */
 export interface ConfigurationNodes {
     readonly platformUrl: string;
     readonly nodes: readonly ConfigurationNode[];
-    /** Starts one more process that knows these addresses. */
+    /** Starts one more process with these peer addresses as seeds. */
     startNode(id: string, seeds: readonly string[]): Promise<ConfigurationNode>;
     stop(): Promise<void>;
 }
@@ -26,15 +26,15 @@
 const platformScript = path.join(here, "../platform/runPlatform.js");
 const nodeScript = path.join(here, "runConfigurationNode.js");
 
-/** Starts cells of these sizes, all before one platform. */
+/** Starts cells of these sizes that share one platform stand-in. `headInterval` is in milliseconds. */
 export async function launchNodes(cellSizes: readonly number[], headInterval = 1_000): Promise<ConfigurationNodes> {
     const platform = await startChildProgram("platform", platformScript, ["--port", "0"]);
     const platformUrl = platform.words.get("url") ?? "";
     const started: ChildProgram[] = [platform];
 
     const startNode = async (id: string, seeds: readonly string[]): Promise<ConfigurationNode> => {
-        const words = ["--id", id, "--seeds", seeds.join(","), "--platform", platformUrl];
-        const program = await startChildProgram(id, nodeScript, [...words, "--head-interval", String(headInterval)]);
+        const flags = ["--id", id, "--seeds", seeds.join(","), "--platform", platformUrl];
+        const program = await startChildProgram(id, nodeScript, [...flags, "--head-interval", String(headInterval)]);
         started.push(program);
         const operatorUrl = program.words.get("operators") ?? "";
         const peerAddress = program.words.get("peer") ?? "";
@@ -42,7 +42,7 @@
         return { id, operatorUrl, peerAddress, program, report };
     };
 
-    /** One after the other: each dials all that are there, so that everybody meets everybody. */
+    /** Starts the processes in sequence, each with all earlier ones as seeds, so that every pair connects. */
     const startCell = async (cell: number, size: number): Promise<ConfigurationNode[]> => {
         const nodes: ConfigurationNode[] = [];
         for (let index = 0; index < size; index++) {
@@ -56,7 +56,7 @@
         await platform.stop();
     };
 
-    // All cells settle before any program is ended, so that none is started after that.
+    // Waits for all cells, also after a failure, so that no program is started after the others have been killed.
     const cells = await Promise.allSettled(cellSizes.map((size, cell) => startCell(cell, size)));
     const failed = cells.find(cell => cell.status === "rejected");
     if (failed) {
@@ -67,7 +67,7 @@
     return { platformUrl, nodes, startNode, stop };
 }
 
-/** Calls a node's operators' interface as the operator of `north`; throws on any refusal. */
+/** Calls a node's operator API as the operator of `north`. Throws on any status other than 200. */
 export async function callNode<Answer>(
     operatorUrl: string,
     method: "GET" | "POST",
--- a/packages/daisyturn-standins/src/configuration/measureAdoption.ts
+++ b/packages/daisyturn-standins/src/configuration/measureAdoption.ts
@@ -4,14 +4,14 @@
 import { callNode, launchNodes } from "./launchNodes.js";
 import { createMeasuredItems } from "./measuredItems.js";
 
-// Measures how long a fresh process takes to adopt a large configuration, from peers, from the table service, and from
-// one object in the object store: [--accounts 15000] [--runs 5]
+// Measures how long a new process takes to adopt a large configuration: from peers, from the table service, and from
+// one object in the object store. Options: [--accounts 15000] [--runs 5]
 const { values } = parseArgs({
     options: { accounts: { type: "string", default: "15000" }, runs: { type: "string", default: "5" } },
 });
 const itemsPerChange = 90;
 const objectName = "configuration-snapshot";
-const longestCallMilliseconds = 30_000;
+const maxCallMilliseconds = 30_000;
 
 const items = createMeasuredItems(Number(values.accounts));
 const cells = await launchNodes([1]);
@@ -46,11 +46,11 @@
     };
 }
 
-/** The time that a snapshot in the object store would take, without the question whether it is the newest. */
+/** Milliseconds to load a snapshot from the object store, without the check that it is the newest one. */
 async function readObject(): Promise<number> {
     const clock = new SystemClock();
     const store = createHttpObjectStore({ url: cells.platformUrl, clock });
-    const deadline = clock.monotonicNow() + longestCallMilliseconds;
+    const deadline = clock.monotonicNow() + maxCallMilliseconds;
     await store.objectStore.put(objectName, JSON.stringify(items), deadline);
     const start = clock.monotonicNow();
     const body = await store.objectStore.get(objectName, deadline);
--- a/packages/daisyturn-standins/src/configuration/measureSpread.ts
+++ b/packages/daisyturn-standins/src/configuration/measureSpread.ts
@@ -5,7 +5,7 @@
 import { callNode, type ConfigurationNodes, launchNodes } from "./launchNodes.js";
 import type { NodeReport } from "./nodeReport.js";
 
-// Measures the time from the acceptance of a change to its being in force everywhere, and what the exchange costs:
+// Measures the time from the acceptance of a change until it is active in every process, and the cost of the exchange:
 // --cells 9 or 9,9,9 (processes per cell) [--changes 100] [--runs 5] [--idle-seconds 10] [--interval-milliseconds 100]
 const { values } = parseArgs({
     options: {
@@ -20,11 +20,11 @@
 const changeCount = Number(values.changes);
 const idleMilliseconds = Number(values["idle-seconds"]) * 1_000;
 const intervalMilliseconds = Number(values["interval-milliseconds"]);
-/** Longest time given to cells and changes to settle. */
+/** Time limit for cells to form and for changes to become active everywhere. */
 const settleMilliseconds = 60_000;
 const microsecondsPerMillisecond = 1_000;
 
-/** Costs of all processes over one phase, per process. */
+/** Mean cost per process over one phase. */
 interface PhaseCost {
     readonly cpuMilliseconds: number;
     readonly bytesSent: number;
@@ -33,9 +33,9 @@
 }
 
 interface RunResult {
-    /** Microseconds from the committed transaction's answer to the last process. */
-    readonly spread: Histogram;
-    /** Microseconds from the operator's call to its answer. */
+    /** Microseconds from the answer to the committed transaction until the change is active in the last process. */
+    readonly propagation: Histogram;
+    /** Microseconds from an operator's call to its answer. */
     readonly answer: Histogram;
     readonly idle: PhaseCost;
     readonly busy: PhaseCost;
@@ -69,10 +69,10 @@
     };
 }
 
-async function waitUntil(isReached: () => Promise<boolean>): Promise<boolean> {
+async function waitUntil(isConditionMet: () => Promise<boolean>): Promise<boolean> {
     const deadline = performance.now() + settleMilliseconds;
     while (performance.now() < deadline) {
-        if (await isReached()) {
+        if (await isConditionMet()) {
             return true;
         }
         await delay(200);
@@ -108,17 +108,17 @@
     }
 }
 
-/** A process that went past a generation had its changes in force with the next one it took. */
-function findInForceAt(report: NodeReport, generation: number): number {
+/** If a process skipped a generation, the changes of that one became active with the next generation it applied. */
+function findActiveAt(report: NodeReport, generation: number): number {
     const later = Object.entries(report.inForceAt).filter(([reached]) => Number(reached) >= generation);
     return Math.min(...later.map(([, at]) => at));
 }
 
-function recordSpread(reports: readonly NodeReport[], spread: Histogram): number {
+function recordPropagation(reports: readonly NodeReport[], propagation: Histogram): number {
     const accepted = reports.flatMap(report => Object.entries(report.acceptedAt));
     for (const [generation, acceptedAt] of accepted) {
-        const last = Math.max(...reports.map(report => findInForceAt(report, Number(generation))));
-        spread.recordValue(Math.max(0, last - acceptedAt) * microsecondsPerMillisecond);
+        const last = Math.max(...reports.map(report => findActiveAt(report, Number(generation))));
+        propagation.recordValue(Math.max(0, last - acceptedAt) * microsecondsPerMillisecond);
     }
     return changeCount - accepted.length;
 }
@@ -131,9 +131,9 @@
             return reports.every((report, index) => report.livePeers === sizeOfCell(index) - 1);
         });
         if (!isJoined) {
-            throw new Error("the cells have not formed");
+            throw new Error("cells did not form within the time limit");
         }
-        const spread = createHistogram();
+        const propagation = createHistogram();
         const answer = createHistogram();
         const idle = await measurePhase(cells, () => delay(idleMilliseconds));
         const busy = await measurePhase(cells, async () => {
@@ -144,9 +144,9 @@
             });
         });
         const reports = await readReports(cells);
-        const missing = recordSpread(reports, spread);
+        const missing = recordPropagation(reports, propagation);
         const resident = reports.reduce((sum, report) => sum + report.residentBytes, 0) / reports.length;
-        return { spread, answer, idle, busy, residentMegabytes: resident / 1_048_576, missing };
+        return { propagation, answer, idle, busy, residentMegabytes: resident / 1_048_576, missing };
     }
     finally {
         await cells.stop();
@@ -164,7 +164,7 @@
     return 0;
 }
 
-function describeRun({ spread, answer, idle, busy, residentMegabytes, missing }: RunResult): object {
+function describeRun({ propagation, answer, idle, busy, residentMegabytes, missing }: RunResult): object {
     const inMilliseconds = (histogram: Histogram, percentile: number) =>
         Number((histogram.getValueAtPercentile(percentile) / microsecondsPerMillisecond).toFixed(1));
     const perSecond = (cost: PhaseCost, field: "cpuMilliseconds" | "bytesSent" | "messagesSent") =>
@@ -174,9 +174,9 @@
     return {
         cells: values.cells,
         missing,
-        inForceP50: inMilliseconds(spread, 50),
-        inForceP99: inMilliseconds(spread, 99),
-        inForceMaximum: Number((spread.maxValue / microsecondsPerMillisecond).toFixed(1)),
+        inForceP50: inMilliseconds(propagation, 50),
+        inForceP99: inMilliseconds(propagation, 99),
+        inForceMaximum: Number((propagation.maxValue / microsecondsPerMillisecond).toFixed(1)),
         answerP50: inMilliseconds(answer, 50),
         answerP99: inMilliseconds(answer, 99),
         idleCpuPercent: Number((perSecond(idle, "cpuMilliseconds") / 10).toFixed(2)),
--- a/packages/daisyturn-standins/src/configuration/measuredItems.ts
+++ b/packages/daisyturn-standins/src/configuration/measuredItems.ts
@@ -1,11 +1,11 @@
 import { type CallerAccount, type ConfigurationItem, ItemKind, Priority, type Profile, ServiceKind } from "daisyturn";
 import { hashText } from "daisyturn-utils";
 
-/** The size to come: client accounts and models in steady use. */
+/** Expected size of a configuration in steady use: client accounts and models. */
 export const accountCount = 15_000;
 export const modelCount = 26;
 
-/** A profile of a measured configuration; `revision` tells one writing of it from the next. */
+/** Creates a profile for measurements. A different `revision` gives a different content. */
 export function createMeasuredProfile(index: number, revision = 0): Profile {
     return {
         kind: ItemKind.Profile,
@@ -22,7 +22,7 @@
     };
 }
 
-/** An account of a measured configuration. */
+/** Creates a client account for measurements. */
 export function createMeasuredAccount(index: number): CallerAccount {
     return {
         kind: ItemKind.CallerAccount,
@@ -35,7 +35,7 @@
     };
 }
 
-/** Profiles and services first, since accounts name services. */
+/** Profiles and services come first, because accounts refer to services. */
 export function createMeasuredItems(accounts = accountCount): ConfigurationItem[] {
     const indexes = Array.from({ length: modelCount }, (...[, index]) => index);
     return [
--- a/packages/daisyturn-standins/src/configuration/nodeReport.ts
+++ b/packages/daisyturn-standins/src/configuration/nodeReport.ts
@@ -1,16 +1,16 @@
-/** Partners that publish in measurements. */
+/** Partners that publish changes in measurements. */
 export const measuredPartners = ["north", "south"] as const;
 
-/** Key of a partner's operator in measurements. */
+/** Returns the key of a partner's operator in measurements. */
 export function operatorKeyOf(partner: string): string {
     return `operator-key-of-${partner}`;
 }
 
-/** What a measured process tells of itself. Times are milliseconds of the machine's monotonic clock. */
+/** Figures that a measured process reports. Times are milliseconds of the machine's monotonic clock. */
 export interface NodeReport {
-    /** By generation, where this process published it. */
+    /** Time of acceptance by generation, for the generations that this process published. */
     readonly acceptedAt: Readonly<Record<number, number>>;
-    /** By generation. */
+    /** Time of activation by generation. */
     readonly inForceAt: Readonly<Record<number, number>>;
     readonly adoptionMilliseconds: number;
     readonly items: number;
--- a/packages/daisyturn-standins/src/configuration/runConfigurationNode.ts
+++ b/packages/daisyturn-standins/src/configuration/runConfigurationNode.ts
@@ -15,7 +15,7 @@
 import { createMeasuredPeer } from "../peers/createMeasuredPeer.js";
 import { measuredPartners, type NodeReport, operatorKeyOf } from "./nodeReport.js";
 
-// Runs a process that has only peers, membership and configuration, for measurements:
+// Runs a process with only peer connections, membership and configuration, for measurements:
 // --id ID --seeds ADDRESS,... --platform URL [--head-interval MS]
 const { values } = parseArgs({
     options: {
@@ -26,7 +26,7 @@
     },
 });
 
-/** Keeps when each generation was accepted or in force here, on the machine's own monotonic clock. */
+/** Records when this process accepted and activated each generation, on the machine's monotonic clock. */
 class TimedEventLog extends EventLog {
     readonly acceptedAt: Record<number, number> = {};
     readonly inForceAt: Record<number, number> = {};
@@ -42,7 +42,7 @@
     }
 }
 
-/** Milliseconds; the same clock in all processes of one machine. */
+/** Returns milliseconds of a clock that all processes of one machine share. */
 function readMachineClock(): number {
     return Number(process.hrtime.bigint()) / 1_000_000;
 }
@@ -95,7 +95,7 @@
 
 await network.start();
 const tasks = [membership.run(background.signal)];
-// Else a process that joins a running cell adopts from the store before it has met its first peer.
+// Without this wait, a process that joins a running cell adopts from the store before its first peer is connected.
 for (let wait = 0; seeds.length > 0 && membership.livePeers().length === 0 && wait < 100; wait++) {
     await clock.sleepUntil(clock.monotonicNow() + 20);
 }
