--- a/packages/daisyturn-standins/src/endToEnd/__fixtures__/createRunningFleet.ts
+++ b/packages/daisyturn-standins/src/endToEnd/__fixtures__/createRunningFleet.ts
@@ -9,7 +9,7 @@
     readonly fleet: Fleet;
     readonly plan: FleetPlan;
     readonly balancer: Balancer;
-    /** Stops everything, paused processes included, and removes the logs. */
+    /** Stops all processes, including paused ones, and removes the logs. */
     close(): Promise<void>;
 }
 
--- a/packages/daisyturn-standins/src/endToEnd/__tests__/plannedRoleChange.test.ts
+++ b/packages/daisyturn-standins/src/endToEnd/__tests__/plannedRoleChange.test.ts
@@ -17,7 +17,7 @@
     readonly orders: readonly { readonly engineId: string; readonly request?: { readonly state: string; }; }[];
 }
 
-/** Has one entry process record the order, and waits until the fleet says that it is done. */
+/** Records the order through one entry process, and waits until the operator API reports it as done. */
 async function changeRole(running: RunningFleet, engineId: string, role: EngineRole): Promise<void> {
     const recorded = await callOperator(running, "POST", `/v1/engines/${engineId}/orders`, {
         requestId: `${engineId}-${role}`,
@@ -48,7 +48,7 @@
 }
 
 describe("role change under load", () => {
-    it("cuts no stream: every answer is whole on its first try", async () => {
+    it("interrupts no stream: every request gets a complete answer on the first attempt", async () => {
         const running = await createRunningFleet();
         try {
             const records = await runMixedLoad({
--- a/packages/daisyturn-standins/src/endToEnd/__tests__/rollingRestart.test.ts
+++ b/packages/daisyturn-standins/src/endToEnd/__tests__/rollingRestart.test.ts
@@ -22,29 +22,31 @@
 }
 
 /**
- * Every departure that a peer noted before the same run had given back its lease. A departure proves that the run sends
- * nothing more, so it must come last.
+ * Lists departures that a peer recorded before the same incarnation had released its lease. A departure proves that the
+ * incarnation sends nothing more, so it must come last.
  */
 function listEarlyDepartures(running: RunningFleet): string[] {
     const lines = running.fleet.entries
         .flatMap(entry => readFileSync(entry.logFile, "utf8").split("\n"))
         .map(line => logfmt.parse(line) as Readonly<Record<string, string>>);
     const releases = lines.filter(line => line["event"] === EventKind.LeaseReleased);
-    assert.ok(releases.length > 0, "no lease was given back");
+    assert.ok(releases.length > 0, "no lease was released");
     return lines
         .filter(line => line["event"] === EventKind.PeerLeft)
         .filter(left =>
-            releases.some(release => isOfRun(release, left) && (left["stamp"] ?? "") < (release["stamp"] ?? ""))
+            releases.some(release =>
+                isSameIncarnation(release, left) && (left["stamp"] ?? "") < (release["stamp"] ?? "")
+            )
         )
         .map(left => `${left["peer"]} left at ${left["stamp"]}`);
 }
 
-function isOfRun(release: Readonly<Record<string, string>>, left: Readonly<Record<string, string>>): boolean {
+function isSameIncarnation(release: Readonly<Record<string, string>>, left: Readonly<Record<string, string>>): boolean {
     return release["incarnation"] === left["peerIncarnation"];
 }
 
 describe("planned stop of every entry process in turn under load", () => {
-    it("shows no caller an error: every request is answered whole on its first try", async () => {
+    it("returns no errors to callers: every request gets a complete answer on the first attempt", async () => {
         const running = await createRunningFleet();
         try {
             let restarted: Promise<void> | undefined;
