--- a/packages/daisyturn-standins/src/demo/runDemo.ts
+++ b/packages/daisyturn-standins/src/demo/runDemo.ts
@@ -12,30 +12,30 @@
 import { runMixedLoad } from "../load/runMixedLoad.js";
 import { type LoadSummary, summarizeLoad } from "../load/summarizeLoad.js";
 
-// The first thing that a newcomer runs: a small fleet, a mixed load, planned changes and a killed process.
+// Demonstration for new users: a small fleet under a mixed load, with planned changes and a killed process.
 
 const seed = 20_261_202;
 const requestCount = 400;
 const requestsPerSecond = 60;
 const progressIntervalMilliseconds = 1_000;
-const shownProblems = 5;
+const maxPrintedProblems = 5;
 
 process.exitCode = await runDemo();
 
-/** Runs the demonstration; the exit code is 1 if anything was lost, doubled or wrong. */
+/** Runs the demonstration. The exit code is 1 if a request was lost, doubled, answered wrongly or refused but run. */
 async function runDemo(): Promise<number> {
-    say("starting stand-ins and three entry processes");
+    printLine("starting stand-ins and three entry processes");
     const plan = createFleetPlan();
     const fleet = await launchFleet(plan);
     try {
         const answers = await publishFleet(fleet, plan);
-        answers.forEach(answer => say(`published: ${describeAnswer(answer)}`));
+        answers.forEach(answer => printLine(`published: ${describeAnswer(answer)}`));
         const records = await runLoadWithChanges(fleet);
         const summary = await summarizeLoad(fleet, requestCount, records);
         const exitCodes = await fleet.stop();
-        say(`stopped; exit codes of the entry processes: ${exitCodes.map(code => code ?? "killed").join(", ")}`);
+        printLine(`stopped; exit codes of the entry processes: ${exitCodes.map(code => code ?? "killed").join(", ")}`);
         printSummary(fleet, summary, records);
-        say(`time line: ${await writeTimeLine(fleet)}`);
+        printLine(`time line: ${await writeTimeLine(fleet)}`);
         return summary.wrong + summary.lost + summary.doubled + summary.falselyRefused > 0 ? 1 : 0;
     }
     catch (error) {
@@ -46,7 +46,7 @@
 
 async function runLoadWithChanges(fleet: Fleet): Promise<MixedRecord[]> {
     let ended = 0;
-    const progress = setInterval(() => say(`${ended} of ${requestCount} ended`), progressIntervalMilliseconds);
+    const progress = setInterval(() => printLine(`${ended} of ${requestCount} ended`), progressIntervalMilliseconds);
     const records = await runMixedLoad({
         seed,
         requestCount,
@@ -61,7 +61,7 @@
     return records;
 }
 
-/** What is done to the fleet once a share of the load has been sent. */
+/** Applies the change that is due after request `number` has been sent, if any. */
 function makeChange(fleet: Fleet, number: number): Promise<void> | undefined {
     switch (number) {
         case Math.floor(requestCount * 0.25):
@@ -79,19 +79,19 @@
     const partner = PartnerName.Jizdenka;
     const profile = createProfile(partner, "platform-day", ModelName.Large, { roleChangeCost: 8 });
     const answer = await publishAt(fleet, 1, partner, putItems([profile]));
-    say(`${partner} published a profile: ${describeAnswer(answer)}`);
+    printLine(`${partner} published a profile: ${describeAnswer(answer)}`);
 }
 
 async function drainEngine(fleet: Fleet): Promise<void> {
     const partner = PartnerName.Nyamata;
     const hold = { kind: ItemKind.Hold, partner, name: "engine-1", holdKind: HoldKind.Drain } as const;
     const answer = await publishAt(fleet, 0, partner, [{ action: ChangeAction.Put, item: hold }]);
-    say(`${partner} drains engine-1: ${describeAnswer(answer)}`);
+    printLine(`${partner} drains engine-1: ${describeAnswer(answer)}`);
 }
 
 async function killEntry(fleet: Fleet): Promise<void> {
     const entry = fleet.entries[2];
-    say(`killing ${entry?.processId}`);
+    printLine(`killing ${entry?.processId}`);
     await entry?.program.kill();
 }
 
@@ -104,28 +104,28 @@
 }
 
 function printSummary(fleet: Fleet, summary: LoadSummary, records: readonly MixedRecord[]): void {
-    say(`answered ${summary.answered} of ${summary.sent}, compared byte for byte; wrong ${summary.wrong}`);
-    say(`refused (not run) ${summary.refused}, may have run ${summary.unknown}`);
-    say(`resumed at another entry process ${summary.moved}`);
-    say(`doubled ${summary.doubled}, lost ${summary.lost}, refused but run ${summary.falselyRefused}`);
+    printLine(`answered ${summary.answered} of ${summary.sent}, compared byte for byte; wrong ${summary.wrong}`);
+    printLine(`refused (not run) ${summary.refused}, may have run ${summary.unknown}`);
+    printLine(`resumed at another entry process ${summary.moved}`);
+    printLine(`doubled ${summary.doubled}, lost ${summary.lost}, refused but run ${summary.falselyRefused}`);
     records.filter(({ record }) => record.outcome !== CallOutcome.Answered)
-        .slice(0, shownProblems)
-        .forEach(({ kind, record }) => say(`  ${kind}: ${record.outcome} ${record.reason ?? ""}`));
+        .slice(0, maxPrintedProblems)
+        .forEach(({ kind, record }) => printLine(`  ${kind}: ${record.outcome} ${record.reason ?? ""}`));
 }
 
-/** Merges the logs of all entry processes into one page beside them. */
+/** Merges the logs of all entry processes into one HTML page in the same folder. */
 async function writeTimeLine(fleet: Fleet): Promise<string> {
-    const broken: LineProblem[] = [];
+    const unreadable: LineProblem[] = [];
     const events: TimedEvent[] = [];
-    const logs = openLogs(fleet.entries.map(entry => entry.logFile), line => broken.push(line));
+    const logs = openLogs(fleet.entries.map(entry => entry.logFile), line => unreadable.push(line));
     for await (const event of mergeEvents(logs)) {
         events.push(event);
     }
     const file = path.join(fleet.folder, "time-line.html");
     writeFileSync(file, drawTimeLine(events));
-    return broken.length === 0 ? file : `${file} (${broken.length} lines could not be read)`;
+    return unreadable.length === 0 ? file : `${file} (${unreadable.length} lines could not be read)`;
 }
 
-function say(line: string): void {
+function printLine(line: string): void {
     process.stdout.write(`${line}\n`);
 }
