--- a/packages/daisyturn-standins/src/bench/benchFleet.ts
+++ b/packages/daisyturn-standins/src/bench/benchFleet.ts
@@ -8,7 +8,7 @@
 import type { PolicyName } from "./policyName.js";
 import type { TraceClass } from "./tracedRequest.js";
 
-/** Speed of the bench's engines, in simulated milliseconds. Slow, so that few processes can be saturated. */
+/** Speed of the bench's engines, in simulated milliseconds. Slow, so that a few processes can saturate them. */
 const engineSpeed = {
     stepBaseMilliseconds: 20,
     stepPerDecodeStreamMilliseconds: 0.6,
@@ -18,7 +18,7 @@
     prefixCacheBlocks: 1_024,
 };
 
-/** Limits that decide whether an answer counts, in simulated milliseconds. */
+/** Limits within which an answer counts towards goodput, in simulated milliseconds. */
 export const benchLimits: GoodputLimits = {
     firstTokenMilliseconds: 4_000,
     betweenTokensMilliseconds: 90,
@@ -35,7 +35,7 @@
     readonly entryCount: number;
 }
 
-/** The fleet on which a policy is measured. */
+/** Creates the plan of the fleet on which a policy is measured. */
 export function createBenchFleetPlan(options: BenchFleetOptions): FleetPlan {
     const roles = [
         ...Array<EngineRole>(options.prefillEngines).fill(EngineRole.Prefill),
@@ -58,7 +58,7 @@
     });
 }
 
-/** Limits of the bench's profiles in real time, as the entry processes see it. */
+/** Converts the limits of the bench's profiles from simulated time to the real time of the entry processes. */
 export function createProfileLimits(speed: number): Partial<Profile> {
     return {
         firstTokenLimitMilliseconds: Math.round(benchLimits.firstTokenMilliseconds / speed),
@@ -68,7 +68,7 @@
     };
 }
 
-/** Engine seconds that a request takes at best: its own prompt in full steps, its answer in full batches. */
+/** Minimum engine seconds of a request: its uncached prompt in full steps, its answer in full batches. */
 export function computeEngineSeconds(traceClass: TraceClass): number {
     const perPromptToken = engineSpeed.stepPerPrefillTokenMilliseconds
         + engineSpeed.stepBaseMilliseconds / engineSpeed.prefillTokensPerStep;
--- a/packages/daisyturn-standins/src/bench/createTrace.ts
+++ b/packages/daisyturn-standins/src/bench/createTrace.ts
@@ -2,17 +2,16 @@
 import { traceClasses } from "./traceClasses.js";
 import { type TraceClass, type TracedRequest, TraceKind } from "./tracedRequest.js";
 
-/** Shares of the classes, by engine time, during one part of the trace. */
+/** Share of engine time per class during one phase of the trace. */
 export type Mix = Readonly<Record<TraceKind, number>>;
 
-/** A part of the trace with one mix. */
+/** A period of the trace with a constant mix. */
 export interface TracePhase {
     /** Milliseconds of simulated time after the start at which the phase begins. */
     readonly startsAt: number;
     readonly mix: Mix;
 }
 
-/** What a trace is made from. */
 export interface TracePlan {
     readonly seed: number;
     /** Milliseconds of simulated time. */
@@ -20,11 +19,11 @@
     readonly phases: readonly TracePhase[];
     /** Engine seconds that arrive per second of simulated time. */
     readonly offeredEngines: number;
-    /** Engine seconds that one request of a class takes at best. */
+    /** Minimum engine seconds of one request of a class. */
     readonly engineSeconds: (traceClass: TraceClass) => number;
 }
 
-/** Prompts are long against their answers. */
+/** Most engine time goes to classes with long prompts and shorter answers. */
 export const promptHeavyMix: Mix = {
     [TraceKind.Dossier]: 0.5,
     [TraceKind.QuickQuestion]: 0.1,
@@ -32,7 +31,7 @@
     [TraceKind.QuickReply]: 0.1,
 };
 
-/** Answers are long against their prompts. */
+/** Most engine time goes to classes whose answers are longer than their prompts. */
 export const answerHeavyMix: Mix = {
     [TraceKind.Dossier]: 0.08,
     [TraceKind.QuickQuestion]: 0.35,
@@ -40,18 +39,18 @@
     [TraceKind.QuickReply]: 0.45,
 };
 
-/** Lengths vary by up to this share to both sides. */
-const lengthSpread = 0.3;
+/** Lengths vary by up to this share in both directions. */
+const lengthVariation = 0.3;
 const millisecondsPerSecond = 1000;
 
-/** Makes the requests of a trace: a Poisson process whose mix changes with the phases. */
+/** Creates the requests of a trace: Poisson arrivals with a mix that changes with the phases. */
 export function createTrace(plan: TracePlan): TracedRequest[] {
     const random = createSeededRandom(plan.seed);
     const requests: TracedRequest[] = [];
     let now = 0;
     for (let number = 0;; number++) {
         const mix = findMix(plan.phases, now);
-        now += drawExponential(random) * millisecondsPerSecond / arrivalRate(plan, mix);
+        now += drawExponential(random) * millisecondsPerSecond / computeArrivalRate(plan, mix);
         if (now >= plan.endsAt) {
             return requests;
         }
@@ -59,8 +58,12 @@
     }
 }
 
-/** Phases that alternate between two mixes, each for `phaseMilliseconds`. */
-export function createSwingingPhases(endsAt: number, phaseMilliseconds: number, mixes: readonly Mix[]): TracePhase[] {
+/** Creates phases of `phaseMilliseconds` each that cycle through the mixes. */
+export function createAlternatingPhases(
+    endsAt: number,
+    phaseMilliseconds: number,
+    mixes: readonly Mix[],
+): TracePhase[] {
     const count = Math.ceil(endsAt / phaseMilliseconds);
     return Array.from({ length: count }, (unused, index) => ({
         startsAt: index * phaseMilliseconds,
@@ -68,7 +71,7 @@
     }));
 }
 
-/** The prompt of a traced request; requests of one group share its beginning, and no two prompts are equal. */
+/** Creates the prompt of a traced request. Prompts of one group share a prefix, and no two prompts are equal. */
 export function createPrompt(request: TracedRequest, charactersPerToken: number, seed: number): string {
     const { traceClass } = request;
     const sharedLength = traceClass.sharedTokens * charactersPerToken;
@@ -86,20 +89,20 @@
     return phase?.mix ?? promptHeavyMix;
 }
 
-/** Requests a second for which the classes' shares of engine time add up to the offered engines. */
-function arrivalRate(plan: TracePlan, mix: Mix): number {
-    return sum(Object.values(TraceKind).map(kind => classRate(plan, mix, kind)));
+/** Requests per second at which the engine time of all classes adds up to the offered engines. */
+function computeArrivalRate(plan: TracePlan, mix: Mix): number {
+    return sum(Object.values(TraceKind).map(kind => computeClassRate(plan, mix, kind)));
 }
 
-function classRate(plan: TracePlan, mix: Mix, kind: TraceKind): number {
+function computeClassRate(plan: TracePlan, mix: Mix, kind: TraceKind): number {
     return plan.offeredEngines * mix[kind] / plan.engineSeconds(traceClasses[kind]);
 }
 
 function drawClass(plan: TracePlan, mix: Mix, random: Random): TraceClass {
-    let left = random.fraction() * arrivalRate(plan, mix);
+    let remaining = random.fraction() * computeArrivalRate(plan, mix);
     for (const kind of Object.values(TraceKind)) {
-        left -= classRate(plan, mix, kind);
-        if (left < 0) {
+        remaining -= computeClassRate(plan, mix, kind);
+        if (remaining < 0) {
             return traceClasses[kind];
         }
     }
@@ -107,7 +110,7 @@
 }
 
 function createRequest(traceClass: TraceClass, arrivesAt: number, number: number, random: Random): TracedRequest {
-    const vary = (tokens: number) => Math.round(tokens * (1 + lengthSpread * (2 * random.fraction() - 1)));
+    const vary = (tokens: number) => Math.round(tokens * (1 + lengthVariation * (2 * random.fraction() - 1)));
     return {
         traceClass,
         arrivesAt,
--- a/packages/daisyturn-standins/src/bench/goodput.ts
+++ b/packages/daisyturn-standins/src/bench/goodput.ts
@@ -9,15 +9,15 @@
     readonly totalMilliseconds: number;
 }
 
-/** A request of the trace and what its caller saw. */
+/** A request of the trace, and the result that its caller received. */
 export interface MeasuredRequest {
     readonly request: TracedRequest;
     readonly record: CallRecord;
     readonly limits: GoodputLimits;
     /** Simulated milliseconds per millisecond. */
     readonly speed: number;
-    /** Whether the answer is the engine's, byte for byte. */
-    readonly isWhole: boolean;
+    /** Whether the answer equals the engine's answer byte for byte. */
+    readonly isCorrect: boolean;
 }
 
 /** Figures of one run. Rates are per second of simulated time. */
@@ -37,17 +37,17 @@
 
 const millisecondsPerSecond = 1000;
 
-/** Whether a request counts: whole, and within its first-token, between-token and total limits. */
+/** Whether a request counts towards goodput: correct, and within its first-token, between-token and total limits. */
 export function isGood(measured: MeasuredRequest): boolean {
     const { record, limits } = measured;
     return record.outcome === CallOutcome.Answered
-        && measured.isWhole
+        && measured.isCorrect
         && firstTokenTime(measured) <= limits.firstTokenMilliseconds
         && meanBetweenTokens(measured) <= limits.betweenTokensMilliseconds
         && (record.endedAt - record.startedAt) * measured.speed <= limits.totalMilliseconds;
 }
 
-/** Adds up a run, of all partners or of one. */
+/** Computes the figures of a run, for all partners or for one. */
 export function computeGoodput(
     all: readonly MeasuredRequest[],
     simulatedMilliseconds: number,
@@ -56,7 +56,7 @@
     const counted = all.filter(one => partner === undefined || one.request.traceClass.partner === partner);
     const answered = counted.filter(one => one.record.outcome === CallOutcome.Answered);
     const good = counted.filter(isGood).length;
-    const wrong = answered.filter(one => !one.isWhole).length;
+    const wrong = answered.filter(one => !one.isCorrect).length;
     const refused = counted.filter(one => one.record.outcome === CallOutcome.Refused).length;
     return {
         offered: counted.length,
@@ -78,14 +78,14 @@
     return ((record.firstTokenAt ?? record.endedAt) - record.startedAt) * speed;
 }
 
-/** Mean simulated milliseconds between tokens: the whole decode time over the tokens after the first. */
+/** Mean simulated milliseconds between tokens: the total decode time divided by the tokens after the first. */
 export function meanBetweenTokens(measured: MeasuredRequest): number {
     const { record, request, speed } = measured;
     const decodeTime = (record.endedAt - (record.firstTokenAt ?? record.endedAt)) * speed;
     return decodeTime / Math.max(1, request.outputTokens - 1);
 }
 
-/** Value below which a share of the values lies; not a number where there are none. */
+/** Value below which the given share of the values lies. NaN if there are no values. */
 export function quantile(values: readonly number[], share: number): number {
     const sorted = [...values].sort((left, right) => left - right);
     return sorted[Math.min(sorted.length - 1, Math.floor(sorted.length * share))] ?? Number.NaN;
--- a/packages/daisyturn-standins/src/bench/naivePolicies.ts
+++ b/packages/daisyturn-standins/src/bench/naivePolicies.ts
@@ -12,17 +12,17 @@
 import { Result } from "true-myth/result";
 
 const retryMilliseconds = 1_000;
-/** The longest that a timer of node can wait. */
-const longestSleepMilliseconds = 0x7fffffff;
+/** Maximum delay of a Node.js timer. */
+const maxTimerMilliseconds = 0x7fffffff;
 
-/** The baseline: engines of the fitting role in turn, whatever their load, and everybody is let in. */
+/** The baseline: round robin over engines of the matching role regardless of load, and no admission limits. */
 export class NaivePolicies extends EntryPolicies {
     override createRouter(options: RouterOptions): PlanningRouter {
         return createRoundRobinRouter(options);
     }
 
     override createAdmission(options: AdmissionOptions): RunningAdmission {
-        return createOpenAdmission(options);
+        return createUnlimitedAdmission(options);
     }
 
     override createRolePlanning(): undefined {
@@ -32,9 +32,9 @@
 
 function createRoundRobinRouter(options: RouterOptions): PlanningRouter {
     const { loadView, gate, configurationManager, clock } = options;
-    const turns = new Map<string, number>();
+    const nextIndexes = new Map<string, number>();
 
-    const listOpen = (request: RoutingRequest, roles: readonly EngineRole[]) =>
+    const listOpenEngines = (request: RoutingRequest, roles: readonly EngineRole[]) =>
         loadView.loads()
             .filter(load => roles.includes(load.role()) && gate.isOpen(load.engineId))
             .filter(load =>
@@ -44,22 +44,22 @@
             .map(load => load.engineId)
             .sort();
 
-    const takeTurn = (kind: string, engines: readonly string[]) => {
-        const turn = turns.get(kind) ?? 0;
-        turns.set(kind, turn + 1);
-        return engines[turn % engines.length];
+    const selectNext = (kind: string, engines: readonly string[]) => {
+        const index = nextIndexes.get(kind) ?? 0;
+        nextIndexes.set(kind, index + 1);
+        return engines[index % engines.length];
     };
 
     const place = (request: RoutingRequest) => {
-        const prefillEngine = takeTurn("prefill", listOpen(request, [EngineRole.Prefill]));
-        const engine = takeTurn("decode", listOpen(request, [EngineRole.Decode, EngineRole.Mixed]));
+        const prefillEngine = selectNext("prefill", listOpenEngines(request, [EngineRole.Prefill]));
+        const engine = selectNext("decode", listOpenEngines(request, [EngineRole.Decode, EngineRole.Mixed]));
         if (engine === undefined) {
             const retryAt = clock.wallNow() + retryMilliseconds;
             return Result.err<Placement, Failure>(
                 notRun(FailureReason.NoTarget, "No engine is open for this model.", retryAt),
             );
         }
-        return Result.ok<Placement, Failure>(createUncountedPlacement(engine, prefillEngine));
+        return Result.ok<Placement, Failure>(createUntrackedPlacement(engine, prefillEngine));
     };
 
     return {
@@ -71,8 +71,8 @@
     };
 }
 
-/** A placement of which nothing is counted. */
-function createUncountedPlacement(engine: string, prefillEngine: string | undefined): Placement {
+/** Creates a placement that records nothing. */
+function createUntrackedPlacement(engine: string, prefillEngine: string | undefined): Placement {
     const ignore = () => undefined;
     return {
         engine,
@@ -86,10 +86,10 @@
     };
 }
 
-function createOpenAdmission({ clock }: AdmissionOptions): RunningAdmission {
+function createUnlimitedAdmission({ clock }: AdmissionOptions): RunningAdmission {
     const ticket = { release: () => undefined };
     const run = async (signal: AbortSignal) => {
-        await clock.sleepUntil(clock.monotonicNow() + longestSleepMilliseconds, signal);
+        await clock.sleepUntil(clock.monotonicNow() + maxTimerMilliseconds, signal);
     };
     return {
         admitModelRequest: async () => Result.ok(ticket),
--- a/packages/daisyturn-standins/src/bench/policyName.ts
+++ b/packages/daisyturn-standins/src/bench/policyName.ts
@@ -1,9 +1,9 @@
-/** Sets of decisions that are compared with each other. */
+/** Policies that the bench compares. */
 export enum PolicyName {
-    /** Round robin, static roles, everybody is let in. */
+    /** Round robin, static roles and no admission limits. */
     Naive = "naive",
-    /** The product's decisions, but roles stay as they are. */
+    /** The policies of the product, with static roles. */
     StaticRoles = "static_roles",
-    /** The product's. */
+    /** The policies of the product. */
     Present = "present",
 }
--- a/packages/daisyturn-standins/src/bench/runBench.ts
+++ b/packages/daisyturn-standins/src/bench/runBench.ts
@@ -3,14 +3,15 @@
 import { hideBin } from "yargs/helpers";
 import { PartnerName } from "../fleet/partnerConfiguration.js";
 import { computeEngineSeconds, createBenchFleetPlan } from "./benchFleet.js";
-import { answerHeavyMix, createSwingingPhases, createTrace, promptHeavyMix } from "./createTrace.js";
+import { answerHeavyMix, createAlternatingPhases, createTrace, promptHeavyMix } from "./createTrace.js";
 import { computeGoodput, type GoodputFigures } from "./goodput.js";
 import { PolicyName } from "./policyName.js";
 import { runTrace, type TraceResult } from "./runTrace.js";
 
-// Goodput of the policies on the same seeded traces: node packages/daisyturn-standins/dist/bench/runBench.js --help
+// Compares the goodput of the policies on the same seeded traces:
+// node packages/daisyturn-standins/dist/bench/runBench.js --help
 
-/** Figures of one run. */
+/** Figures of one run, as written to the output file. */
 interface BenchRow {
     readonly policy: PolicyName;
     readonly load: number;
@@ -59,7 +60,7 @@
     const trace = createTrace({
         seed,
         endsAt,
-        phases: createSwingingPhases(endsAt, flags.swing * millisecondsPerSecond, [promptHeavyMix, answerHeavyMix]),
+        phases: createAlternatingPhases(endsAt, flags.swing * millisecondsPerSecond, [promptHeavyMix, answerHeavyMix]),
         offeredEngines: load * flags.capacity * engineCount,
         engineSeconds: computeEngineSeconds,
     });
--- a/packages/daisyturn-standins/src/bench/runBenchEntry.ts
+++ b/packages/daisyturn-standins/src/bench/runBenchEntry.ts
@@ -4,7 +4,7 @@
 import { NaivePolicies } from "./naivePolicies.js";
 import { PolicyName } from "./policyName.js";
 
-// An entry process whose decisions under load are those of the named policy.
+// Runs an entry process with the routing, admission and role planning of the given policy.
 
 const flags = await yargs(hideBin(process.argv))
     .option("policy", { choices: Object.values(PolicyName), demandOption: true })
--- a/packages/daisyturn-standins/src/bench/runTrace.ts
+++ b/packages/daisyturn-standins/src/bench/runTrace.ts
@@ -19,27 +19,25 @@
 import type { MeasuredRequest } from "./goodput.js";
 import type { TracedRequest } from "./tracedRequest.js";
 
-/** What one run needs. */
 export interface TraceRun {
     readonly plan: FleetPlan;
     readonly trace: readonly TracedRequest[];
     readonly speed: number;
     readonly seed: number;
-    /** For looking at why a run went as it did. */
+    /** Keeps the logs of the fleet after the run, for analysis. */
     readonly keepLogs?: boolean;
 }
 
 /** Time for the fleet to settle before the first request, in real milliseconds. */
 const settleMilliseconds = 1_000;
-const orderKindWord = ` kind=${OrderKind.ChangeRole} `;
+const kindField = ` kind=${OrderKind.ChangeRole} `;
 
-/** What a run gives. */
 export interface TraceResult {
     readonly measured: readonly MeasuredRequest[];
     readonly roleChanges: number;
 }
 
-/** Starts a fleet, sends the trace as it is written, and stops the fleet. */
+/** Starts a fleet, sends the requests of the trace at their arrival times, and stops the fleet. */
 export async function runTrace(run: TraceRun): Promise<TraceResult> {
     const fleet = await launchFleet(run.plan);
     const balancer = createBalancer(fleet);
@@ -48,7 +46,7 @@
         await balancer.waitForReady(run.plan.entryCount);
         await delay(settleMilliseconds);
         const measured = await sendTrace(run, balancer.readyUrls);
-        // The logs are whole once the processes have ended.
+        // The logs are complete only after the processes have exited.
         await fleet.stop();
         return { measured, roleChanges: countRoleChanges(fleet) };
     }
@@ -64,10 +62,10 @@
     }
 }
 
-/** Role change orders that were sent, from the entry processes' logs. */
+/** Counts the role change orders that were sent, from the entry processes' logs. */
 function countRoleChanges(fleet: Fleet): number {
     const lines = fleet.entries.flatMap(entry => readFileSync(entry.logFile, "utf8").split("\n"));
-    return lines.filter(line => line.includes(` event=${EventKind.OrderSent} `) && line.includes(orderKindWord)).length;
+    return lines.filter(line => line.includes(` event=${EventKind.OrderSent} `) && line.includes(kindField)).length;
 }
 
 async function publishBench(fleet: Fleet, { plan, speed }: TraceRun): Promise<void> {
@@ -106,12 +104,12 @@
         prompt,
         maxTokens: request.outputTokens,
     });
-    const isWhole = record.text === expectedAnswer({ model: traceClass.model, prompt }, request.outputTokens);
-    // The text is not needed any more, and a run has many of them.
-    return { request, record: { ...record, text: "" }, limits: benchLimits, speed: run.speed, isWhole };
+    const isCorrect = record.text === expectedAnswer({ model: traceClass.model, prompt }, request.outputTokens);
+    // Drops the text to save memory: a run has many records, and the text is not used any more.
+    return { request, record: { ...record, text: "" }, limits: benchLimits, speed: run.speed, isCorrect };
 }
 
-/** A refused request counts as lost, so it is not sent again. */
+/** A refused request does not count towards goodput, so the client does not retry it. */
 function createClient(partner: PartnerName, entryUrls: () => readonly string[]): CallerClient {
     return createCallerClient({ key: createCallerKey(partner), entryUrls, maximumTries: 1 });
 }
--- a/packages/daisyturn-standins/src/bench/traceClasses.ts
+++ b/packages/daisyturn-standins/src/bench/traceClasses.ts
@@ -1,7 +1,7 @@
 import { ModelName, PartnerName, ServiceName } from "../fleet/partnerConfiguration.js";
 import { type TraceClass, TraceKind } from "./tracedRequest.js";
 
-/** Long prompt with one common guide, short verdict. */
+/** A long prompt that starts with a guide common to all requests, and a short answer. */
 const dossier: TraceClass = {
     kind: TraceKind.Dossier,
     partner: PartnerName.Nyamata,
@@ -13,7 +13,7 @@
     outputTokens: 40,
 };
 
-/** A question at the counter. */
+/** A short question with a short answer. */
 const quickQuestion: TraceClass = {
     kind: TraceKind.QuickQuestion,
     partner: PartnerName.Nyamata,
@@ -25,7 +25,7 @@
     outputTokens: 120,
 };
 
-/** A society's timetable, fare rules and diagrams, then a seat plan. */
+/** A long prompt that starts with one society's timetable, fare rules and diagrams, and a seat plan as the answer. */
 const seatPlan: TraceClass = {
     kind: TraceKind.SeatPlan,
     partner: PartnerName.Jizdenka,
@@ -37,7 +37,7 @@
     outputTokens: 200,
 };
 
-/** A short reply drafted from a short question. */
+/** A short question, and a reply that is longer than the question. */
 const quickReply: TraceClass = {
     kind: TraceKind.QuickReply,
     partner: PartnerName.Jizdenka,
--- a/packages/daisyturn-standins/src/bench/tracedRequest.ts
+++ b/packages/daisyturn-standins/src/bench/tracedRequest.ts
@@ -1,6 +1,6 @@
 import type { ModelName, PartnerName, ServiceName } from "../fleet/partnerConfiguration.js";
 
-/** Classes of model request in a trace. */
+/** Classes of model requests in a trace. */
 export enum TraceKind {
     Dossier = "dossier",
     QuickQuestion = "quick_question",
@@ -8,17 +8,17 @@
     QuickReply = "quick_reply",
 }
 
-/** What all requests of one class have in common. Lengths are in tokens. */
+/** Properties shared by all requests of one class. Lengths are in tokens. */
 export interface TraceClass {
     readonly kind: TraceKind;
     readonly partner: PartnerName;
     readonly service: ServiceName;
     readonly model: ModelName;
-    /** Tokens of the prompt, the shared beginning included. */
+    /** Tokens of the prompt, including the shared prefix. */
     readonly promptTokens: number;
-    /** Tokens of the beginning that requests of one group share. */
+    /** Tokens of the prefix that requests of one group share. */
     readonly sharedTokens: number;
-    /** Number of groups, such as societies with their own timetable. */
+    /** Number of groups, each with its own shared prefix, such as the timetable of one society. */
     readonly groups: number;
     readonly outputTokens: number;
 }
