--- a/packages/daisyturn-standins/src/capacity/runCapacity.ts
+++ b/packages/daisyturn-standins/src/capacity/runCapacity.ts
@@ -33,9 +33,11 @@
 for (const size of flags.sizes.split(",").map(readSize)) {
     const cost = await measureCell(size, flags.seconds * millisecondsPerSecond);
     costs.push(cost);
-    printLine(`nodes=${size.nodes} engines=${size.engines} ${
-        quantities.map(name => `${name}=${format(cost[name])}`).join(" ")
-    }`);
+    printLine(
+        `nodes=${size.nodes} engines=${size.engines} ${
+            quantities.map(name => `${name}=${format(cost[name])}`).join(" ")
+        }`,
+    );
 }
 const target = readSize(flags.at);
 for (const name of quantities) {
