--- a/packages/daisyturn-standins/src/configuration/measureVersions.ts
+++ b/packages/daisyturn-standins/src/configuration/measureVersions.ts
@@ -1,7 +1,8 @@
 import { ChangeAction, createConfigurationVersion, type ItemChange, validateChange } from "daisyturn";
 import { accountCount, createMeasuredAccount, createMeasuredItems, createMeasuredProfile } from "./measuredItems.js";
 
-// Measures time and memory of versions in one process at the expected size: node --expose-gc measureVersions.js
+// Measures the time and memory cost of configuration versions in one process at the expected size:
+// node --expose-gc measureVersions.js
 const changeCount = 2_000;
 const fullCopyCount = 20;
 const lookupCount = 1_000_000;
